--- a/sched-call.c
+++ b/sched-call.c
@@ -115,7 +115,7 @@
 			.route = r->name,
 			.service = r->service,
 			.body = in->body,
-			.fate = FATE_QUEUED};
+			.fate = JOB_STATUS_QUEUED};
 
 	TAILQ_INIT(&j.occs);
 	c->row = job_row_write(&j);
@@ -262,7 +262,7 @@
 		reply(s, c->id, 200, "accepted-before", c->job);
 		break;
 	case OUT_REFUSED:
-	case OUT_GONE:
+	case OUT_COMPACTED:
 		/* Nothing was done by this try, but by an earlier one? */
 		if (c->uncertain)
 			break;
@@ -278,7 +278,7 @@
 		call_free(s, c);
 		return;
 	}
-	if (s->now + STORE_AGAIN_MS < c->deadline && !s->stop_by) {
+	if (s->now + STORE_RETRY_MS < c->deadline && !s->stop_by) {
 		sched_count(s, COUNT_RETRY_PLATFORM_UNKNOWN, 1);
 		submit_send(s, c);
 		return;
@@ -334,23 +334,23 @@
 }
 
 /* Tell a caller a job's state, or cancel the job if it is not final. */
-static void state_reply(struct sched *s, struct call *c, enum job_fate fate,
+static void state_reply(struct sched *s, struct call *c, enum job_status fate,
 			bool cancel)
 {
 	struct sched_effect *fx;
 
-	if (cancel && fate <= FATE_RUNNING) {
+	if (cancel && fate <= JOB_STATUS_RUNNING) {
 		cancel_send(s, c);
 		return;
 	}
 	if (cancel) {
-		reply(s, c->id, 200, fate_name(fate), c->job);
+		reply(s, c->id, 200, job_status_name(fate), c->job);
 	} else {
 		fx = sched_effect_add(s, EFFECT_REPLY);
 		fx->reply = (struct reply){.call = c->id,
 					   .status = 200,
 					   .kind = REPLY_STATE,
-					   .text = fate_name(fate)};
+					   .text = job_status_name(fate)};
 	}
 	call_free(s, c);
 }
@@ -363,7 +363,7 @@
 		      purpose == FOR_CANCEL_READ_JOB;
 	bool job = purpose == FOR_STATE_JOB || purpose == FOR_CANCEL_READ_JOB;
 	const struct row *row = state_row(c, a);
-	enum job_fate fate = FATE_QUEUED;
+	enum job_status fate = JOB_STATUS_QUEUED;
 	bstr tenant = BSTR_NONE;
 	int64_t ended;
 	bool ok = true;
@@ -392,7 +392,7 @@
 /* Try an exchange of a call once more, or give up. */
 static void call_again(struct sched *s, struct call *c, enum purpose purpose)
 {
-	if (s->now + STORE_AGAIN_MS >= c->deadline || !sched_store_works(s)) {
+	if (s->now + STORE_RETRY_MS >= c->deadline || !sched_store_works(s)) {
 		call_refuse(s, c->id, purpose == FOR_CANCEL ? 504 : 503,
 			    COUNT_REFUSED_PLATFORM, "store-unavailable",
 			    c->job);
--- a/sched-commit.c
+++ b/sched-commit.c
@@ -93,7 +93,7 @@
 	}
 	s->committing = true;
 	s->flying_from = TAILQ_FIRST(&s->flying)->flying_seq;
-	s->commit_at = s->now + COMMIT_PACE_MS;
+	s->commit_at = s->now + COMMIT_INTERVAL_MS;
 }
 
 /* The row that commits rewrite, as it was read. */
@@ -120,7 +120,7 @@
 	unsigned rows = 0;
 	struct job *j;
 
-	if (rq->epoch != s->own.epoch || s->own.state != OWN_YES)
+	if (rq->epoch != s->own.epoch || s->own.state != OWN_OWNER)
 		return;
 	s->committing = false;
 	if (a->outcome == OUT_CONFLICT) {
@@ -132,7 +132,7 @@
 		return;
 	}
 	if (a->outcome != OUT_DONE) {
-		commit_again(s, s->now + STORE_AGAIN_MS);
+		commit_again(s, s->now + STORE_RETRY_MS);
 		return;
 	}
 	if (a->revision > s->commit_revision)
@@ -159,7 +159,7 @@
 {
 	struct retired *r, *next;
 
-	if (rq->epoch != s->own.epoch || s->own.state != OWN_YES)
+	if (rq->epoch != s->own.epoch || s->own.state != OWN_OWNER)
 		return;
 	if (a->outcome == OUT_CONFLICT) {
 		own_lose(s, "replaced");
--- a/sched-count.c
+++ b/sched-count.c
@@ -102,7 +102,7 @@
  */
 int64_t book_told_at(const struct sched *s)
 {
-	return s->own.state == OWN_YES ? s->follows[3].told_at : 0;
+	return s->own.state == OWN_OWNER ? s->follows[3].told_at : 0;
 }
 
 /* What this VM knows of a queue: the owner's book, or its last beat. */
@@ -112,7 +112,7 @@
 	struct waiting_count *w;
 	const struct job *j;
 
-	if (s->own.state != OWN_YES) {
+	if (s->own.state != OWN_OWNER) {
 		HASH_FIND_BSTR(s->waiting, route, w);
 		k.waiting = w ? w->count : 0;
 		return k;
@@ -135,8 +135,8 @@
 /* The age of what this VM would tell a caller now. */
 int64_t counts_age(const struct sched *s)
 {
-	return count_age(s, s->own.state == OWN_YES ? book_told_at(s)
-						    : s->waiting_told_at);
+	return count_age(s, s->own.state == OWN_OWNER ? book_told_at(s)
+						      : s->waiting_told_at);
 }
 
 /*
--- a/sched-follow.c
+++ b/sched-follow.c
@@ -285,7 +285,7 @@
 		follow_go(s, f);
 		return;
 	}
-	if (a->outcome == OUT_GONE) {
+	if (a->outcome == OUT_COMPACTED) {
 		sched_log(s, LOG_HISTORY_GONE, "table=%d revision=%llu",
 			  f->table, (unsigned long long)f->revision);
 		follow_restart(f);
@@ -295,7 +295,7 @@
 	if (fed)
 		feed_patience_take(s, f, a->outcome == OUT_DONE);
 	if (a->outcome != OUT_DONE) {
-		f->again_at = s->now + STORE_AGAIN_MS;
+		f->again_at = s->now + STORE_RETRY_MS;
 		return;
 	}
 	for (i = 0; i < a->row_count; i++)
--- a/sched-job.c
+++ b/sched-job.c
@@ -91,7 +91,8 @@
 	TAILQ_FOREACH(o, &j->occs, entry) {
 		open++;
 		for (i = 0; i < o->task_count; i++)
-			if (o->tasks[i].phase == AT_END || o->tasks[i].fails ||
+			if (o->tasks[i].phase == PHASE_DONE ||
+			    o->tasks[i].fails ||
 			    o->tasks[i].checkpoint.bstr_len)
 				return true;
 	}
@@ -106,7 +107,7 @@
  */
 bool job_waits(const struct job *j)
 {
-	return j->fate <= FATE_RUNNING && !j->ran;
+	return j->fate <= JOB_STATUS_RUNNING && !j->ran;
 }
 
 /*
@@ -120,9 +121,9 @@
 {
 	if (j->begun)
 		return true;
-	if (j->fate == FATE_QUEUED) {
+	if (j->fate == JOB_STATUS_QUEUED) {
 		s->load.begins++;
-		j->fate = FATE_RUNNING;
+		j->fate = JOB_STATUS_RUNNING;
 		job_touch(s, j);
 	}
 	return false;
@@ -131,7 +132,7 @@
 /* A job's progress as it is has been written. */
 void job_written(struct sched *s, struct job *j)
 {
-	if (j->begun || j->dirty_seq || j->fate != FATE_RUNNING)
+	if (j->begun || j->dirty_seq || j->fate != JOB_STATUS_RUNNING)
 		return;
 	j->begun = true;
 	s->place = true;
@@ -142,9 +143,9 @@
 {
 	struct resting *r = &t->occ->resting[t->step];
 
-	if (t->phase == AT_REST)
+	if (t->phase == PHASE_PENDING)
 		r->count--;
-	if (phase == AT_REST)
+	if (phase == PHASE_PENDING)
 		r->count++;
 	t->phase = phase;
 }
@@ -316,20 +317,20 @@
 }
 
 /* Give a job its final state. */
-static void job_finish(struct sched *s, struct job *j, enum job_fate fate)
+static void job_finish(struct sched *s, struct job *j, enum job_status fate)
 {
-	if (j->fate > FATE_RUNNING)
+	if (j->fate > JOB_STATUS_RUNNING)
 		return;
 	j->fate = fate;
 	j->ended = s->wall;
 	sched_count(s,
-		    fate == FATE_COMPLETED ? COUNT_JOBS_DONE
-		    : fate == FATE_FAILED  ? COUNT_JOBS_FAILED
-					   : COUNT_JOBS_NOT_RUN,
+		    fate == JOB_STATUS_COMPLETED ? COUNT_JOBS_DONE
+		    : fate == JOB_STATUS_FAILED	 ? COUNT_JOBS_FAILED
+						 : COUNT_JOBS_NOT_RUN,
 		    1);
 	sched_log(s, LOG_JOB_FINAL,
 		  "job=%s queue=%.*s state=%s starts=%u ms=%lld late_ms=%lld",
-		  j->id, BSTR_ARG(j->route), fate_name(fate), j->starts,
+		  j->id, BSTR_ARG(j->route), job_status_name(fate), j->starts,
 		  (long long)(s->now - j->arrived),
 		  (long long)(j->due ? s->now - j->due : 0));
 	if (!j->inherited)
@@ -352,7 +353,7 @@
 /* A final job whose state is durable and that runs nowhere is forgotten. */
 void job_settle(struct sched *s, struct job *j)
 {
-	if (j->fate <= FATE_RUNNING || j->dirty_seq || j->flying_seq ||
+	if (j->fate <= JOB_STATUS_RUNNING || j->dirty_seq || j->flying_seq ||
 	    j->placed || job_may_show_up(s, j))
 		return;
 	job_retire(s, j->id, j->ended);
@@ -373,7 +374,7 @@
 	const struct job_body *b = j->body;
 	int64_t due;
 
-	if (j->fate > FATE_RUNNING)
+	if (j->fate > JOB_STATUS_RUNNING)
 		return;
 	if (!b->repeat_count) {
 		if (!j->next_k) {
@@ -409,10 +410,10 @@
 {
 	struct job *j = sched_job_find(s, id);
 
-	if (!j || j->fate > FATE_RUNNING)
+	if (!j || j->fate > JOB_STATUS_RUNNING)
 		return;
 	sched_log(s, LOG_JOB_CANCEL, "job=%s placed=%u", id, j->placed);
-	job_finish(s, j, FATE_CANCELLED);
+	job_finish(s, j, JOB_STATUS_CANCELLED);
 }
 
 /* A row of a job, or of its cancel. */
@@ -450,7 +451,7 @@
 void progress_row_take(struct sched *s, struct row *r)
 {
 	char id[JOB_ID_BYTES + 1] = "";
-	enum job_fate fate;
+	enum job_status fate;
 	struct job *j;
 	int64_t ended;
 	bstr tenant;
@@ -465,7 +466,7 @@
 	}
 	bstr_free(&tenant);
 	j = sched_job_find(s, id);
-	if (fate > FATE_RUNNING) {
+	if (fate > JOB_STATUS_RUNNING) {
 		job_retire(s, id, ended);
 		if (j && j->inherited) {
 			j->fate = fate;
@@ -474,11 +475,11 @@
 		return;
 	}
 	if (j && j->inherited && TAILQ_EMPTY(&j->occs) && !j->next_k &&
-	    j->fate <= FATE_RUNNING) {
+	    j->fate <= JOB_STATUS_RUNNING) {
 		progress_apply(j, r->value);
 		j->ran = progress_has_run(j);
 	}
-	if (j && j->inherited && j->fate == FATE_RUNNING)
+	if (j && j->inherited && j->fate == JOB_STATUS_RUNNING)
 		j->begun = j->ran_before = true;
 }
 
@@ -488,9 +489,9 @@
 	struct occurrence *o = t->occ;
 	struct job *j = o->job;
 
-	if (t->phase == AT_END)
+	if (t->phase == PHASE_DONE)
 		return;
-	task_phase(t, AT_END);
+	task_phase(t, PHASE_DONE);
 	o->left[t->step]--;
 	o->undone--;
 	job_touch(s, j);
@@ -499,7 +500,7 @@
 	TAILQ_REMOVE(&j->occs, o, entry);
 	occurrence_free(o);
 	if (job_is_done(j))
-		job_finish(s, j, FATE_COMPLETED);
+		job_finish(s, j, JOB_STATUS_COMPLETED);
 }
 
 /* How often may a task of a job fail? */
@@ -552,7 +553,7 @@
 	if (task_step(t)->lasts)
 		return;
 	if (task_failures(t) >= job_attempts(s, j))
-		job_finish(s, j, FATE_FAILED);
+		job_finish(s, j, JOB_STATUS_FAILED);
 }
 
 /* Find one time of a job. */
@@ -577,7 +578,7 @@
 
 	if (k >= times)
 		return;
-	if (j->fate > FATE_RUNNING) {
+	if (j->fate > JOB_STATUS_RUNNING) {
 		if (job_may_show_up(s, j) && !occurrence_find(j, k))
 			job_make_occurrence(j, k);
 		return;
@@ -672,7 +673,7 @@
 {
 	struct job *j, *next;
 
-	if (s->own.state != OWN_YES)
+	if (s->own.state != OWN_OWNER)
 		return;
 	for (j = TAILQ_FIRST(&s->order); j; j = next) {
 		next = TAILQ_NEXT(j, entry);
--- a/sched-limit.c
+++ b/sched-limit.c
@@ -186,29 +186,30 @@
 }
 
 /* What its organisation's limit has against a task of a step beginning. */
-enum hold limit_hold(struct sched *s, struct job *j, const struct job_step *st)
+enum pending_reason limit_pending_reason(struct sched *s, struct job *j,
+					 const struct job_step *st)
 {
 	const struct tenant *t = job_tenant(s, j);
 	struct usage *u;
 
 	if (!t)
-		return HOLD_NONE;
+		return PENDING_NONE;
 	u = job_usage(s, j);
 	if (!all_below(size_add(u->used, usage_hidden(s, u)), st->need,
 		       t->maximum))
-		return HOLD_LIMIT;
+		return PENDING_LIMIT;
 	if (size_fits(size_add(u->used, st->need), u->ceiling))
-		return HOLD_NONE;
+		return PENDING_NONE;
 	/* Have the next beat raise it. */
 	u->wanted = st->need;
 	s->own.beat_at = s->now;
-	return HOLD_CEILING;
+	return PENDING_CEILING;
 }
 
 /* May a task of a step begin, by its organisation's limit? */
 bool limit_allows(struct sched *s, struct job *j, const struct job_step *st)
 {
-	return limit_hold(s, j, st) == HOLD_NONE;
+	return limit_pending_reason(s, j, st) == PENDING_NONE;
 }
 
 /* Free the accounts. */
--- a/sched-load.c
+++ b/sched-load.c
@@ -48,7 +48,7 @@
 
 	if (s->now < l->tell_at)
 		return;
-	if (s->own.state == OWN_YES && (l->starts || l->ends))
+	if (s->own.state == OWN_OWNER && (l->starts || l->ends))
 		sched_log(s, LOG_OWNER_LOAD,
 			  "jobs=%u looks=%u begins=%u starts=%u slow=%u "
 			  "holds=%u "
@@ -59,6 +59,6 @@
 			  (long long)(l->gaps ? l->gap_ms / l->gaps : 0),
 			  l->ends, l->commits, l->rows, (long long)l->commit_ms,
 			  dirty_jobs(s), l->most_flying,
-			  s->start_window / START_WINDOW_PARTS);
+			  s->start_window / START_WINDOW_UNIT);
 	*l = (struct load){.tell_at = s->now + LOAD_TOLD_MS};
 }
--- a/sched-move.c
+++ b/sched-move.c
@@ -99,7 +99,7 @@
 static bool worker_may_answer(const struct sched *s, const struct worker *w)
 {
 	return !w->fenced && !w->gone && w->listed && !w->row.draining &&
-	       s->now - s->own.ready_at < WORKER_QUIET_MS;
+	       s->now - s->own.ready_at < WORKER_TIMEOUT_MS;
 }
 
 /* Add up what the workers have. */
@@ -149,10 +149,10 @@
 static bool job_queues(const struct job *j)
 {
 	switch (j->hold) {
-	case HOLD_LIMIT:
-	case HOLD_CEILING:
-	case HOLD_WORKER:
-	case HOLD_TICKET:
+	case PENDING_LIMIT:
+	case PENDING_CEILING:
+	case PENDING_CONSTRAINTS:
+	case PENDING_TICKET:
 		return false;
 	default:
 		return true;
@@ -191,7 +191,7 @@
 			continue;
 		t = &o->tasks[o->first[i]];
 		for (k = 0; k < st->count; k++, t++)
-			if (t->phase == AT_REST && task_ready_at(t) &&
+			if (t->phase == PHASE_PENDING && task_ready_at(t) &&
 			    s->now - task_ready_at(t) > STRANDED_MS)
 				n++;
 	}
@@ -206,7 +206,7 @@
 	struct job *j;
 
 	TAILQ_FOREACH(j, &s->order, entry) {
-		if (j->fate > FATE_RUNNING)
+		if (j->fate > JOB_STATUS_RUNNING)
 			continue;
 		p = balance_find(b, job_service(s, j));
 		if (!p)
--- a/sched-note.c
+++ b/sched-note.c
@@ -33,7 +33,7 @@
 	bool due = s->now >= s->note_at, any = due && s->note_names_freed;
 	struct worker *w, *next;
 
-	if (s->own.state != OWN_YES)
+	if (s->own.state != OWN_OWNER)
 		return false;
 	HASH_ITER(hh, s->workers, w, next)
 		any = any || (worker_is_bare(w) ? due && w->noted : !w->noted);
--- a/sched-order.c
+++ b/sched-order.c
@@ -28,8 +28,8 @@
  * How many starts may be without an answer, in parts of one, and how that
  * changes with the time until an answer is dealt with.
  */
-#define WINDOW_LEAST (64 * START_WINDOW_PARTS)
-#define WINDOW_MOST (2048 * START_WINDOW_PARTS)
+#define WINDOW_LEAST (64 * START_WINDOW_UNIT)
+#define WINDOW_MOST (2048 * START_WINDOW_UNIT)
 #define START_SLOW_MS 150
 #define WINDOW_CUT_MS 150
 
@@ -42,7 +42,7 @@
  */
 bool starts_are_full(const struct sched *s)
 {
-	return s->starts_flying * START_WINDOW_PARTS >= s->start_window;
+	return s->starts_flying * START_WINDOW_UNIT >= s->start_window;
 }
 
 /* A start was answered by its worker: it took so long with all that waited. */
@@ -57,8 +57,8 @@
 	if (s->now < s->window_cut_at + WINDOW_CUT_MS)
 		return;
 	s->window_cut_at = s->now;
-	if (s->start_window > s->starts_flying * START_WINDOW_PARTS)
-		s->start_window = s->starts_flying * START_WINDOW_PARTS;
+	if (s->start_window > s->starts_flying * START_WINDOW_UNIT)
+		s->start_window = s->starts_flying * START_WINDOW_UNIT;
 	s->start_window -= s->start_window / 4;
 	if (s->start_window < WINDOW_LEAST)
 		s->start_window = WINDOW_LEAST;
@@ -101,8 +101,8 @@
 	usage_add(s, t, -1);
 	t->worker = NULL;
 	t->asked = t->stopping = false;
-	if (t->phase != AT_END)
-		task_phase(t, AT_REST);
+	if (t->phase != PHASE_DONE)
+		task_phase(t, PHASE_PENDING);
 	t->ready_at = s->now;
 	t->occ->job->placed--;
 	s->place = true;
@@ -126,13 +126,13 @@
 }
 
 /* What a start's line of the log says of what held the job back. */
-static const char *hold_word(enum hold hold)
+static const char *hold_word(enum pending_reason hold)
 {
 	static const char *const words[] = {
-		[HOLD_NONE] = "none",	[HOLD_LEASES] = "leases",
-		[HOLD_ROOM] = "room",	[HOLD_WORKER] = "worker",
-		[HOLD_LIMIT] = "limit", [HOLD_CEILING] = "ceiling",
-		[HOLD_STORE] = "store", [HOLD_TICKET] = "ticket",
+		[PENDING_NONE] = "none",     [PENDING_LEASES] = "leases",
+		[PENDING_CAPACITY] = "room", [PENDING_CONSTRAINTS] = "worker",
+		[PENDING_LIMIT] = "limit",   [PENDING_CEILING] = "ceiling",
+		[PENDING_STORE] = "store",   [PENDING_TICKET] = "ticket",
 	};
 
 	return words[hold];
@@ -147,11 +147,11 @@
 	struct order *o;
 
 	task_place(s, t, w, run);
-	task_phase(t, AT_START);
+	task_phase(t, PHASE_STARTING);
 	t->asked = true;
 	t->opened_at = 0;
 	t->awaited = 0;
-	t->start_by = worker_clock(s, w) + START_BY_MS;
+	t->start_by = worker_clock(s, w) + START_VALID_MS;
 	if (t->start_by > w->lease_end)
 		w->lease_end = t->start_by;
 	o = order_ask(s, FOR_START, ASK_START, w, &rq);
@@ -185,7 +185,7 @@
 	task_place(s, t, w, run);
 	if (!s->settled)
 		usage_found(s, t);
-	task_phase(t, AT_WORK);
+	task_phase(t, PHASE_RUNNING);
 	t->occ->job->ran = true;
 	sched_log(s, LOG_TASK_ADOPTED, "task=%s.%u.%u.%u run=%llu worker=%.*s",
 		  t->occ->job->id, t->occ->k, t->step, t->index,
@@ -201,7 +201,7 @@
 	if (!t->worker)
 		return;
 	t->stopping = true;
-	t->stop_at = s->now + STOP_AGAIN_MS;
+	t->stop_at = s->now + STOP_RETRY_MS;
 	if (!own_acts(s))
 		return;
 	o = order_ask(s, FOR_STOP, ASK_STOP, t->worker, &rq);
@@ -264,15 +264,15 @@
 {
 	static const char *const words[] = {
 		[REFUSAL_NONE] = "none",
-		[REFUSAL_FENCE] = "fence",
-		[REFUSAL_OLD] = "old",
+		[REFUSAL_STALE_EPOCH] = "fence",
+		[REFUSAL_STALE_RUN] = "old",
 		[REFUSAL_LATE] = "late",
-		[REFUSAL_ROOM] = "room",
+		[REFUSAL_CAPACITY] = "room",
 		[REFUSAL_TICKET] = "ticket",
 		[REFUSAL_BUSY] = "busy",
 		[REFUSAL_WAVE] = "wave",
 		[REFUSAL_OTHER_LIFE] = "other-life",
-		[REFUSAL_UNWELL] = "unwell",
+		[REFUSAL_UNHEALTHY] = "unwell",
 		[REFUSAL_INVALID] = "invalid",
 		[REFUSAL_NOT_SENT] = "not-sent",
 	};
@@ -285,10 +285,10 @@
 		  (unsigned long long)t->run, BSTR_ARG(w->id), words[why]);
 	task_rest(s, t);
 	switch (why) {
-	case REFUSAL_FENCE:
+	case REFUSAL_STALE_EPOCH:
 		own_doubt(s, "fenced");
 		break;
-	case REFUSAL_ROOM:
+	case REFUSAL_CAPACITY:
 		w->unwell_until = s->now + ROOM_AGAIN_MS;
 		break;
 	case REFUSAL_TICKET:
@@ -300,7 +300,7 @@
 		task_pause(t, s->now + UNWELL_MS);
 		break;
 	case REFUSAL_OTHER_LIFE:
-	case REFUSAL_UNWELL:
+	case REFUSAL_UNHEALTHY:
 	case REFUSAL_NOT_SENT:
 		w->unwell_until = s->now + UNWELL_MS;
 		break;
@@ -333,7 +333,7 @@
 	}
 	if (!w || rq->epoch != s->own.epoch)
 		return;
-	if (a->refusal == REFUSAL_FENCE && rq->purpose != FOR_START)
+	if (a->refusal == REFUSAL_STALE_EPOCH && rq->purpose != FOR_START)
 		own_doubt(s, "fenced");
 	if (rq->purpose != FOR_START)
 		return;
@@ -350,8 +350,8 @@
 	switch (a->outcome) {
 	case OUT_DONE:
 		t->occ->job->ran = true;
-		if (t->phase == AT_START) {
-			task_phase(t, AT_WORK);
+		if (t->phase == PHASE_STARTING) {
+			task_phase(t, PHASE_RUNNING);
 			t->acked = a->clock;
 		}
 		break;
--- a/sched-own.c
+++ b/sched-own.c
@@ -44,19 +44,19 @@
 bool own_starts(const struct sched *s)
 {
 	return own_acts(s) &&
-	       s->now - s->own.proved_at < UNPROVED_LEASE_MS - LEASE_MS;
+	       s->now - s->own.proved_at < UNCONFIRMED_LEASE_MS - LEASE_MS;
 }
 
 /*
  * Is this VM surely the only owner?  A successor claims when it has missed
- * beats for OWNER_SILENT_MS.  Workers refuse an owner that was replaced, but
+ * beats for OWNER_TIMEOUT_MS.  Workers refuse an owner that was replaced, but
  * nobody may check that for machines, so none is moved or taken down by an
  * owner whose latest proof is nearly as old.
  */
 bool own_alone(const struct sched *s)
 {
 	return own_acts(s) && s->now - s->own.proved_at <
-				      OWNER_SILENT_MS - OWN_ALONE_MARGIN_MS;
+				      OWNER_TIMEOUT_MS - OWN_ALONE_MARGIN_MS;
 }
 
 /*
@@ -67,7 +67,7 @@
  */
 int64_t own_alone_until(const struct sched *s, int64_t deadline)
 {
-	int64_t most = s->own.proved_at + OWNER_SILENT_MS;
+	int64_t most = s->own.proved_at + OWNER_TIMEOUT_MS;
 
 	return deadline < most ? deadline : most;
 }
@@ -75,7 +75,7 @@
 /* May this VM give orders now? */
 bool own_acts(const struct sched *s)
 {
-	return s->own.state == OWN_YES && !s->own.doubtful;
+	return s->own.state == OWN_OWNER && !s->own.doubtful;
 }
 
 /* Is this process the holder that the row names? */
@@ -125,12 +125,12 @@
 /* This VM is not the owner any more. */
 void own_lose(struct sched *s, const char *why)
 {
-	if (s->own.state == OWN_NOT)
+	if (s->own.state == OWN_NONE)
 		return;
 	if (s->own.state != OWN_CLAIMING)
 		sched_log(s, LOG_OWNER_LOST, "epoch=%llu why=%s",
 			  (unsigned long long)s->own.epoch, why);
-	s->own.state = OWN_NOT;
+	s->own.state = OWN_NONE;
 	s->own.doubtful = false;
 	s->own.heard_at = s->now;
 	s->own.silent = 0;
@@ -144,7 +144,7 @@
 {
 	s->own.heard_at = s->now;
 	s->own.silent = 0;
-	if (s->own.state == OWN_NOT || s->own.doubtful)
+	if (s->own.state == OWN_NONE || s->own.doubtful)
 		return;
 	s->own.doubtful = true;
 	s->own.beat_at = s->now;
@@ -183,7 +183,7 @@
 		s->own.doubtful = false;
 		return;
 	}
-	if (s->own.state == OWN_YES || s->own.state == OWN_LOADING)
+	if (s->own.state == OWN_OWNER || s->own.state == OWN_LOADING)
 		own_lose(s, "replaced");
 }
 
@@ -200,7 +200,7 @@
 	}
 	if (!bstr_eq_str(r->key, KEY_BEAT))
 		return;
-	if (s->own.state != OWN_YES && beat_row_read(s, r->value, &epoch) &&
+	if (s->own.state != OWN_OWNER && beat_row_read(s, r->value, &epoch) &&
 	    r->revision > s->own.beat_revision)
 		own_heard(s);
 	if (r->revision > s->own.beat_revision)
@@ -213,7 +213,7 @@
  */
 void note_row_take(struct sched *s, struct row *r)
 {
-	if (r->removed || r->kind == ROW_BAD || s->own.state == OWN_YES)
+	if (r->removed || r->kind == ROW_BAD || s->own.state == OWN_OWNER)
 		return;
 	if (bstr_eq_str(r->key, KEY_WORKERS)) {
 		workers_row_read(s, r->value);
@@ -303,7 +303,7 @@
 	if (bstr_eq(s->own.holder, s->options.vm) && s->own.life &&
 	    s->own.life != s->options.seed && !own_claims_late(s))
 		return true;
-	return s->now - s->own.heard_at >= OWNER_SILENT_MS + spread &&
+	return s->now - s->own.heard_at >= OWNER_TIMEOUT_MS + spread &&
 	       s->own.silent >= 2;
 }
 
@@ -354,7 +354,8 @@
 	s->own.proved_at = s->own.claimed_at;
 	s->own.owned_at = s->own.read_at = s->now;
 	s->own.settle_by = s->own.old_heard_at +
-			   (s->own.old_released ? LEASE_MS : UNPROVED_LEASE_MS);
+			   (s->own.old_released ? LEASE_MS
+						: UNCONFIRMED_LEASE_MS);
 	s->own.beat_at = s->now;
 	s->own.beating = false;
 	s->own.doubtful = false;
@@ -380,7 +381,7 @@
 	    !s->follows[3].whole || !s->progress.whole || !s->notes.whole)
 		return;
 	workers_inherit(s);
-	s->own.state = OWN_YES;
+	s->own.state = OWN_OWNER;
 	s->own.ready_at = s->now;
 	s->own.unread = 0;
 	s->place = true;
@@ -408,7 +409,7 @@
 	 * The rows come with a conflict; without an answer the next reading
 	 * of the feed tells, and names this process if the claim was done.
 	 */
-	s->own.state = OWN_NOT;
+	s->own.state = OWN_NONE;
 	s->own.heard_at = s->now;
 	s->own.silent = 0;
 }
@@ -420,7 +421,7 @@
 	if (rq->number != s->own.epoch)
 		return;
 	s->own.beating = false;
-	if (s->own.state != OWN_YES && s->own.state != OWN_LOADING)
+	if (s->own.state != OWN_OWNER && s->own.state != OWN_LOADING)
 		return;
 	switch (a->outcome) {
 	case OUT_DONE:
@@ -448,7 +449,7 @@
 		s->homes_dirty = s->homes_dirty || s->homes_telling;
 		break;
 	default:
-		s->own.beat_at = s->now + STORE_AGAIN_MS;
+		s->own.beat_at = s->now + STORE_RETRY_MS;
 		s->homes_dirty = s->homes_dirty || s->homes_telling;
 		break;
 	}
@@ -461,7 +462,7 @@
 	case FOR_CLAIM:
 		claim_answer(s, rq, a);
 		break;
-	case FOR_BEAT:
+	case FOR_HEARTBEAT:
 		beat_answer(s, rq, a);
 		break;
 	default: /* a release: whatever came of it, this VM is done */
@@ -481,7 +482,7 @@
 	struct tx *t;
 
 	s->own.beat_seq++;
-	t = sched_tx(s, FOR_BEAT, s->now + STORE_TIMEOUT_MS, &rq);
+	t = sched_tx(s, FOR_HEARTBEAT, s->now + STORE_TIMEOUT_MS, &rq);
 	rq->number = s->own.epoch;
 	rq->revision = s->own.beat_revision;
 	tx_expect(t, TABLE_OWNER, bstr_lit(KEY_EPOCH), s->own.revision);
@@ -498,11 +499,12 @@
 	sched_log(s, LOG_OWNER_BEAT,
 		  "epoch=%llu seq=%llu read=%d jobs=%u age_ms=%lld",
 		  (unsigned long long)s->own.epoch,
-		  (unsigned long long)s->own.beat_seq, s->own.state == OWN_YES,
-		  HASH_COUNT(s->jobs), (long long)counts_age(s));
+		  (unsigned long long)s->own.beat_seq,
+		  s->own.state == OWN_OWNER, HASH_COUNT(s->jobs),
+		  (long long)counts_age(s));
 	s->own.beating = true;
 	s->own.beat_sent = s->now;
-	s->own.beat_at = s->now + BEAT_MS;
+	s->own.beat_at = s->now + HEARTBEAT_MS;
 }
 
 /*
@@ -512,7 +514,7 @@
 static bool own_beat_loads(const struct sched *s)
 {
 	return s->own.state == OWN_LOADING && s->follows[1].whole &&
-	       s->now - s->own.owned_at >= BEAT_MS;
+	       s->now - s->own.owned_at >= HEARTBEAT_MS;
 }
 
 /*
@@ -523,8 +525,8 @@
  */
 void own_beat_due(struct sched *s)
 {
-	if ((s->own.state == OWN_YES || own_beat_loads(s)) && !s->own.beating &&
-	    s->now >= s->own.beat_at)
+	if ((s->own.state == OWN_OWNER || own_beat_loads(s)) &&
+	    !s->own.beating && s->now >= s->own.beat_at)
 		own_beat(s);
 }
 
@@ -534,7 +536,7 @@
  */
 static bool own_unaware(const struct sched *s)
 {
-	return s->own.state == OWN_NOT && own_is_self(s) && !s->stop_by;
+	return s->own.state == OWN_NONE && own_is_self(s) && !s->stop_by;
 }
 
 /* Give the ownership up for another VM to take at once. */
@@ -544,7 +546,7 @@
 	struct request *rq;
 	struct tx *t;
 
-	if (s->own.state != OWN_YES && s->own.state != OWN_LOADING)
+	if (s->own.state != OWN_OWNER && s->own.state != OWN_LOADING)
 		return;
 	t = sched_tx(s, FOR_RELEASE, s->now + STORE_TIMEOUT_MS, &rq);
 	tx_expect(t, TABLE_OWNER, bstr_lit(KEY_EPOCH), s->own.revision);
@@ -557,14 +559,14 @@
 static bool own_cannot_read(const struct sched *s)
 {
 	return s->now - s->own.read_at >= LOAD_SILENT_MS &&
-	       s->now - s->own.proved_at < OWNER_SILENT_MS;
+	       s->now - s->own.proved_at < OWNER_TIMEOUT_MS;
 }
 
 /* Look at the clock. */
 void own_tick(struct sched *s)
 {
 	switch (s->own.state) {
-	case OWN_NOT:
+	case OWN_NONE:
 		if (own_unaware(s))
 			own_gain(s, s->own.epoch, s->own.revision);
 		else if (owner_is_gone(s))
@@ -578,7 +580,7 @@
 			own_release(s);
 		}
 		break;
-	case OWN_YES:
+	case OWN_OWNER:
 		own_beat_due(s);
 		break;
 	case OWN_CLAIMING:
--- a/sched-pace.c
+++ b/sched-pace.c
@@ -20,7 +20,7 @@
 	double worst = 0, share;
 
 	TAILQ_FOREACH(t, &w->tasks, on) {
-		if (!task_step(t)->target_ms || t->phase != AT_WORK)
+		if (!task_step(t)->target_ms || t->phase != PHASE_RUNNING)
 			continue;
 		share = (double)t->figure / task_step(t)->target_ms;
 		if (share > worst)
@@ -38,7 +38,8 @@
 	if (!policy_on(s, POLICY_PACING))
 		return;
 	TAILQ_FOREACH(t, &w->tasks, on) {
-		if (!task_step(t)->fills || t->phase != AT_WORK || t->stopping)
+		if (!task_step(t)->fills || t->phase != PHASE_RUNNING ||
+		    t->stopping)
 			continue;
 		if (tail > TAIL_HIGH && t->pace &&
 		    s->now - t->paced_at >= PACE_DOWN_MS)
--- a/sched-place.c
+++ b/sched-place.c
@@ -37,12 +37,12 @@
 	struct occurrence *occ;
 	struct pool *pool; /* whose workers may run it */
 	unsigned step;
-	struct size need; /* of each of its tasks */
-	enum hold held;	  /* what held its job back before */
-	bool advised;	  /* a start needs a ticket */
-	unsigned rank;	  /* lasting work, then priorities */
-	bool late;	  /* its objective can't be met any more */
-	int64_t due;	  /* when its objective ends; if late: its length */
+	struct size need;	  /* of each of its tasks */
+	enum pending_reason held; /* what held its job back before */
+	bool advised;		  /* a start needs a ticket */
+	unsigned rank;		  /* lasting work, then priorities */
+	bool late;		  /* its objective can't be met any more */
+	int64_t due; /* when its objective ends; if late: its length */
 };
 
 struct placing {
@@ -70,7 +70,7 @@
 	if (s->now >= r->pause_until)
 		return true;
 	for (i = 0; i < o->job->body->steps[at].count; i++, t++) {
-		if (t->phase != AT_REST)
+		if (t->phase != PHASE_PENDING)
 			continue;
 		if (s->now >= t->not_before)
 			waits = true;
@@ -142,7 +142,7 @@
 				      pool->most))
 				candidate_add(s, p, r, pool, o, i);
 			else
-				j->hold = HOLD_ROOM;
+				j->hold = PENDING_CAPACITY;
 		}
 	}
 }
@@ -153,11 +153,11 @@
 	struct job *j;
 
 	TAILQ_FOREACH(j, &s->order, entry) {
-		if (j->fate > FATE_RUNNING)
+		if (j->fate > JOB_STATUS_RUNNING)
 			continue;
 		p->open++;
 		if (job_is_hidden(s, j))
-			j->hold = HOLD_LEASES;
+			j->hold = PENDING_LEASES;
 		else
 			candidates_of(s, p, j);
 	}
@@ -353,15 +353,15 @@
 	size_t chosen = 0, count = c->pool->count;
 	double *merits = xcalloc(count + 1, sizeof(*merits));
 	bool stale = true; /* all merits, not only those of the last choice */
-	enum hold limit;
+	enum pending_reason limit;
 	unsigned i;
 
 	for (i = 0; i < st->count; i++, t++) {
-		if (t->phase != AT_REST || s->now < t->not_before)
+		if (t->phase != PHASE_PENDING || s->now < t->not_before)
 			continue;
 		if (starts_are_full(s))
 			break;
-		limit = limit_hold(s, c->job, st);
+		limit = limit_pending_reason(s, c->job, st);
 		if (limit) {
 			c->job->hold = limit;
 			break;
@@ -373,7 +373,7 @@
 		stale = t->avoid;
 		chosen = merits_best(merits, count);
 		if (chosen == count) {
-			c->job->hold = HOLD_WORKER;
+			c->job->hold = PENDING_CONSTRAINTS;
 			if (step_is_plain(c, st))
 				pool_missed(c->pool, step_room(st));
 			break;
@@ -414,7 +414,7 @@
 
 	for (i = 0; i < st->count; i++) {
 		chosen[i] = NULL;
-		if (first[i].phase == AT_REST &&
+		if (first[i].phase == PHASE_PENDING &&
 		    s->now >= first[i].not_before &&
 		    limit_allows(s, c->job, st))
 			chosen[i] = worker_choose(s, c, &first[i]);
@@ -445,34 +445,36 @@
  * writes of thousands of jobs stand before those of the few that have room,
  * and a successor has to take them all for running somewhere.
  */
-static enum hold candidate_begin(struct sched *s, const struct candidate *c)
+static enum pending_reason candidate_begin(struct sched *s,
+					   const struct candidate *c)
 {
 	const struct job_step *st = &c->job->body->steps[c->step];
 	struct size need = step_room(st);
 	unsigned i;
 
 	if (!size_fits(size_add(c->pool->promised, need), c->pool->room))
-		return HOLD_ROOM;
+		return PENDING_CAPACITY;
 	for (i = 0; i < c->occ->left[c->step]; i++)
 		c->pool->promised = size_add(c->pool->promised, need);
-	return job_begin(s, c->job) ? HOLD_NONE : HOLD_STORE;
+	return job_begin(s, c->job) ? PENDING_NONE : PENDING_STORE;
 }
 
 /* What holds a step that may have room back, all of its tasks. */
-static enum hold candidate_hold(struct sched *s, const struct candidate *c)
+static enum pending_reason candidate_hold(struct sched *s,
+					  const struct candidate *c)
 {
 	const struct job_step *st = &c->job->body->steps[c->step];
-	enum hold limit;
+	enum pending_reason limit;
 
-	limit = limit_hold(s, c->job, st);
+	limit = limit_pending_reason(s, c->job, st);
 	if (limit)
 		return limit;
 	if (!c->job->begun)
 		return candidate_begin(s, c);
 	if (c->advised &&
 	    !advice_ready(s, c->occ, c->step, c->pool->workers, c->pool->count))
-		return HOLD_TICKET;
-	return HOLD_NONE;
+		return PENDING_TICKET;
+	return PENDING_NONE;
 }
 
 /*
@@ -481,18 +483,18 @@
  */
 static void candidate_place(struct sched *s, const struct candidate *c)
 {
-	enum hold hold;
+	enum pending_reason hold;
 
 	if (!size_fits(c->need, c->pool->most) ||
 	    pool_misses(c->pool, c->need)) {
-		if (c->held != HOLD_ROOM)
-			c->job->hold = HOLD_ROOM;
+		if (c->held != PENDING_CAPACITY)
+			c->job->hold = PENDING_CAPACITY;
 		return;
 	}
 	hold = candidate_hold(s, c);
 	if (hold) {
 		/* It has just found room: it waited for something else. */
-		if (hold != HOLD_STORE || !c->job->hold)
+		if (hold != PENDING_STORE || !c->job->hold)
 			c->job->hold = hold;
 		return;
 	}
--- a/sched-pool.c
+++ b/sched-pool.c
@@ -116,7 +116,7 @@
 {
 	if (pool_misses(p, need))
 		return;
-	if (p->missed_count < MISSED_MAX)
+	if (p->missed_count < UNPLACEABLE_MAX)
 		p->missed_count++;
 	p->missed[p->missed_count - 1] = need;
 }
--- a/sched-row.c
+++ b/sched-row.c
@@ -10,13 +10,13 @@
 #include <string.h>
 
 static const char *const fate_names[] = {
-	[FATE_QUEUED] = "queued",	[FATE_RUNNING] = "running",
-	[FATE_COMPLETED] = "completed", [FATE_FAILED] = "failed",
-	[FATE_CANCELLED] = "cancelled",
+	[JOB_STATUS_QUEUED] = "queued",	      [JOB_STATUS_RUNNING] = "running",
+	[JOB_STATUS_COMPLETED] = "completed", [JOB_STATUS_FAILED] = "failed",
+	[JOB_STATUS_CANCELLED] = "cancelled",
 };
 
 /* The word for a job's state. */
-const char *fate_name(enum job_fate f)
+const char *job_status_name(enum job_status f)
 {
 	return fate_names[f];
 }
@@ -166,7 +166,7 @@
 	unsigned i;
 
 	for (i = 0; i < o->task_count; i++)
-		if (o->tasks[i].phase == AT_END)
+		if (o->tasks[i].phase == PHASE_DONE)
 			bits[i / 8] |= (uint8_t)(1U << (i % 8));
 	hex = hex_encode(bits, bytes);
 	j = bstr_json(hex);
@@ -216,7 +216,7 @@
 
 	for (i = 0; i < o->task_count; i++) {
 		t = &o->tasks[i];
-		if (t->phase == AT_END)
+		if (t->phase == PHASE_DONE)
 			continue;
 		snprintf(number, sizeof(number), "%u", i);
 		if (t->fails && !task_step(t)->lasts)
@@ -235,9 +235,9 @@
 	const struct occurrence *o;
 	json_t *row, *occs;
 
-	row = json_pack("{s:s, s:o}", "state", fate_name(j->fate), "tenant",
-			bstr_json(j->tenant));
-	if (j->fate > FATE_RUNNING) {
+	row = json_pack("{s:s, s:o}", "state", job_status_name(j->fate),
+			"tenant", bstr_json(j->tenant));
+	if (j->fate > JOB_STATUS_RUNNING) {
 		json_put_int(row, "ended", j->ended);
 		return json_write(row);
 	}
@@ -250,14 +250,14 @@
 }
 
 /* Read the state in a row of progress. */
-static bool fate_parse(const json_t *row, enum job_fate *fate)
+static bool fate_parse(const json_t *row, enum job_status *fate)
 {
 	const char *word = json_string_value(json_object_get(row, "state"));
 	size_t i;
 
 	for (i = 0; word && i < NELEMS(fate_names); i++) {
 		if (strcmp(word, fate_names[i]) == 0) {
-			*fate = (enum job_fate)i;
+			*fate = (enum job_status)i;
 			return true;
 		}
 	}
@@ -265,7 +265,8 @@
 }
 
 /* What a caller wants to know of a row of progress; tenant is copied. */
-bool progress_peek(bstr text, bstr *tenant, enum job_fate *fate, int64_t *ended)
+bool progress_peek(bstr text, bstr *tenant, enum job_status *fate,
+		   int64_t *ended)
 {
 	json_t *row = json_read(text);
 	bool ok = fate_parse(row, fate);
@@ -297,9 +298,9 @@
 		v = json_object_get(json_object_get(j, "saved"), number);
 		bstr_free(&t->checkpoint);
 		t->checkpoint = json_bstr(v);
-		if (!(bits[i / 8] >> (i % 8) & 1) || t->phase == AT_END)
+		if (!(bits[i / 8] >> (i % 8) & 1) || t->phase == PHASE_DONE)
 			continue;
-		task_phase(t, AT_END);
+		task_phase(t, PHASE_DONE);
 		o->left[t->step]--;
 		o->undone--;
 	}
--- a/sched-state.h
+++ b/sched-state.h
@@ -13,8 +13,8 @@
  * has 2.7 s to notice (1.3), to claim, to load and to renew.  A shorter lease
  * lets the tasks of a dead worker start elsewhere sooner.
  */
-#define BEAT_MS 400
-#define OWNER_SILENT_MS 1300
+#define HEARTBEAT_MS 400
+#define OWNER_TIMEOUT_MS 1300
 #define LEASE_MS 3400
 /*
  * An owner that can't reach the store may have been replaced.  It lets no
@@ -22,31 +22,31 @@
  * successor that can't reach a worker knows when nothing runs there any more.
  * An outage of the store that is shorter than this, less a beat, ends nothing.
  */
-#define UNPROVED_LEASE_MS 6000
+#define UNCONFIRMED_LEASE_MS 6000
 /* A hold waits so long for an end, and so renews at least so often. */
-#define HOLD_WAIT_MS 700
+#define POLL_WAIT_MAX_MS 700
 /* At one without tasks it waits so long that there are so many a second. */
-#define HOLD_IDLE_MAX_MS 1400
-#define IDLE_LOOKS_PER_S 700
+#define POLL_IDLE_WAIT_MAX_MS 1400
+#define IDLE_POLLS_PER_S 700
 /* Between looks at a worker that has unacknowledged ends, or is silent. */
-#define HOLD_PACE_MS 300
+#define POLL_RETRY_MS 300
 /* An exchange with a worker takes at most so long beyond its wait. */
 #define ORDER_TIMEOUT_MS 800
 /*
  * A start is void on the worker after this: one without an answer may be
  * carried out until then and is looked for in the worker's list after it.
  */
-#define START_BY_MS 1200
-#define STOP_AGAIN_MS 600
+#define START_VALID_MS 1200
+#define STOP_RETRY_MS 600
 /* The window of starts under way begins with this, see sched-order.c. */
-#define START_WINDOW_PARTS 8
-#define START_WINDOW (512 * START_WINDOW_PARTS)
+#define START_WINDOW_UNIT 8
+#define START_WINDOW_INITIAL (512 * START_WINDOW_UNIT)
 /* Steady clocks of workers may be slow by 2%. */
-#define CLOCK_SLOW 1.02
+#define CLOCK_DRIFT_FACTOR 1.02
 /* Store exchanges, far above the usual 5 ms; a slow store answers in 350. */
 #define STORE_TIMEOUT_MS 700
-#define STORE_AGAIN_MS 120
-#define STORE_FAILURE_APART_MS 40
+#define STORE_RETRY_MS 120
+#define STORE_FAILURE_GAP_MS 40
 #define FEED_WAIT_MS 1500
 #define OWNER_FEED_WAIT_MS 500
 /* The owner's book of jobs is as old as the feed's latest answer, and counts
@@ -58,44 +58,44 @@
 #define REPLY_MARGIN_MS 120
 #define RETRY_AFTER_S 1
 /* Gauges are set so often; metrics are fetched every 5 s. */
-#define GAUGES_MS 1000
+#define GAUGE_INTERVAL_MS 1000
 /* Ends of many tasks are made durable together: rows and bytes at most.  The
  * store takes 100 entries and 1 MB; two are conditions, one the commit's own.
  */
 #define COMMIT_ROWS_MAX 97
 #define COMMIT_BYTES_MAX (512 * 1024)
-#define COMMIT_PACE_MS 20
+#define COMMIT_INTERVAL_MS 20
 #define PAGE_ROWS 500
 /* Run numbers of one epoch; a restart a second for 2.7 hours stays below. */
 #define RUNS_PER_EPOCH 10000
 /* This process did not run for so long: its beliefs are old. */
-#define SUSPENDED_MS 1000
+#define SUSPENSION_MIN_MS 1000
 /* A worker that did not answer for so long gets nothing new. */
-#define WORKER_QUIET_MS 1300
+#define WORKER_TIMEOUT_MS 1300
 /* Ends by failure in a row, of different jobs, that cast doubt on a worker. */
-#define DOUBT_FAILURES 2
-#define DOUBT_MS 4000
+#define SUSPECT_FAILURES 2
+#define SUSPECT_MS 4000
 /* A task that failed or lapsed waits so long, so that it does not spin. */
-#define TASK_PAUSE_MS 50
+#define TASK_RETRY_DELAY_MS 50
 /*
  * An order without an answer is carried out at most so late.  Its start
  * deadline bounds that, but the deadline was reckoned by the clock of the
  * worker's life that was known: a new life under the same id, whose clock
  * began anew, takes it for one far ahead.
  */
-#define LATE_ORDER_MS 12500
+#define ORDER_LIFETIME_MAX_MS 12500
 /* Beyond the last lease that an earlier owner can have given, for the way of
  * its last beat and of its last order. */
-#define SETTLE_SLACK_MS 300
+#define SETTLE_MARGIN_MS 300
 
 struct job;
 struct worker;
 
 enum run_phase {
-	AT_REST,  /* nowhere */
-	AT_START, /* ordered, the outcome is not known */
-	AT_WORK,  /* its worker has it */
-	AT_END	  /* done */
+	PHASE_PENDING,	/* nowhere */
+	PHASE_STARTING, /* ordered, the outcome is not known */
+	PHASE_RUNNING,	/* its worker has it */
+	PHASE_DONE	/* done */
 };
 
 /* More attempts than any configuration allows need no exact count. */
@@ -107,7 +107,7 @@
 	unsigned step;
 	unsigned index; /* within the step */
 	enum run_phase phase;
-	struct worker *worker; /* AT_START, AT_WORK */
+	struct worker *worker; /* PHASE_STARTING, PHASE_RUNNING */
 	uint64_t run;	       /* where it is */
 	uint64_t top_run;      /* the highest of all */
 	bool asked;	       /* its start is under way */
@@ -163,24 +163,24 @@
 };
 TAILQ_HEAD(occurrence_list, occurrence);
 
-enum job_fate {
-	FATE_QUEUED,
-	FATE_RUNNING,
-	FATE_COMPLETED,
-	FATE_FAILED,
-	FATE_CANCELLED
+enum job_status {
+	JOB_STATUS_QUEUED,
+	JOB_STATUS_RUNNING,
+	JOB_STATUS_COMPLETED,
+	JOB_STATUS_FAILED,
+	JOB_STATUS_CANCELLED
 };
 
 /* What held a job's tasks back when they could not be placed. */
-enum hold {
-	HOLD_NONE,
-	HOLD_LEASES,  /* an earlier owner may have them running */
-	HOLD_ROOM,    /* no worker of the pool has room */
-	HOLD_WORKER,  /* those with room do not suit */
-	HOLD_LIMIT,   /* the organisation's upper limit */
-	HOLD_CEILING, /* the ceiling that the store knows */
-	HOLD_STORE,   /* the store has to know that it begins */
-	HOLD_TICKET   /* advice on the placement */
+enum pending_reason {
+	PENDING_NONE,
+	PENDING_LEASES,	     /* an earlier owner may have them running */
+	PENDING_CAPACITY,    /* no worker of the pool has room */
+	PENDING_CONSTRAINTS, /* those with room do not suit */
+	PENDING_LIMIT,	     /* the organisation's upper limit */
+	PENDING_CEILING,     /* the ceiling that the store knows */
+	PENDING_STORE,	     /* the store has to know that it begins */
+	PENDING_TICKET	     /* advice on the placement */
 };
 
 /*
@@ -219,12 +219,12 @@
 	bool ran_before;   /* an earlier owner had said so */
 	bool ran;	   /* a worker has begun one of its tasks */
 	struct reckoning reckoned;
-	enum hold hold; /* the latest */
-	int64_t due;	/* its objective ends; 0: nothing was placed */
-	enum job_fate fate;
+	enum pending_reason hold; /* the latest */
+	int64_t due; /* its objective ends; 0: nothing was placed */
+	enum job_status fate;
 	int64_t ended; /* wall clock */
 	unsigned next_k;
-	unsigned placed; /* tasks AT_START or AT_WORK */
+	unsigned placed; /* tasks PHASE_STARTING or PHASE_RUNNING */
 	unsigned starts;
 	struct occurrence_list occs;
 	uint64_t dirty_seq;  /* 0: not among the dirty */
@@ -295,7 +295,7 @@
 TAILQ_HEAD(worker_queue, worker);
 
 /* So many needs that found no room are remembered while tasks are placed. */
-#define MISSED_MAX 8
+#define UNPLACEABLE_MAX 8
 
 struct candidate;
 
@@ -310,7 +310,8 @@
 	struct size most;     /* the most room of any, in each resource */
 	struct size room;     /* of all together */
 	struct size promised; /* of it, to jobs that wait for the store */
-	struct size missed[MISSED_MAX]; /* needs that no worker has room for */
+	struct size
+		missed[UNPLACEABLE_MAX]; /* needs that no worker has room for */
 	size_t missed_count;
 	struct candidate **waiting; /* for it, and not looked at yet */
 	struct candidate **waiting_end;
@@ -328,7 +329,7 @@
 	FOR_JOBS_FEED,
 	FOR_PROGRESS_GET,
 	FOR_NOTES_GET,
-	FOR_BEAT,
+	FOR_HEARTBEAT,
 	FOR_CLAIM,
 	FOR_RELEASE,
 	FOR_COMMIT,
@@ -340,13 +341,13 @@
 	FOR_STATE_JOB, /* no progress yet: is there such a job? */
 	FOR_CANCEL_READ_JOB,
 	FOR_CANCEL,
-	FOR_HOLD,
+	FOR_POLL,
 	FOR_START,
 	FOR_STOP,
 	FOR_PACE,
 	FOR_ADVICE,
 	FOR_MACHINES,
-	FOR_UPKEEP,
+	FOR_MAINTENANCE,
 	FOR_MOVE,
 	FOR_WAVE_ROW,
 	PURPOSE_MAX
@@ -412,7 +413,13 @@
 	int64_t again_at;
 };
 
-enum own_state { OWN_NOT, OWN_CLAIMING, OWN_LOADING, OWN_YES, OWN_RELEASING };
+enum own_state {
+	OWN_NONE,
+	OWN_CLAIMING,
+	OWN_LOADING,
+	OWN_OWNER,
+	OWN_RELEASING
+};
 
 struct ownership {
 	enum own_state state;
@@ -662,8 +669,9 @@
 struct job *job_row_read(const char *id, bstr row);
 bstr progress_write(const struct job *j);
 bool progress_apply(struct job *j, bstr row);
-bool progress_peek(bstr row, bstr *tenant, enum job_fate *fate, int64_t *ended);
-const char *fate_name(enum job_fate f);
+bool progress_peek(bstr row, bstr *tenant, enum job_status *fate,
+		   int64_t *ended);
+const char *job_status_name(enum job_status f);
 bstr owner_row_write(const struct ownership *o, bool release);
 bool owner_row_read(bstr row, struct ownership *o);
 bool job_row_tenant(bstr row, bstr *tenant);
@@ -814,7 +822,8 @@
 void usage_found(struct sched *s, const struct task *t);
 json_t *ceilings_write(struct sched *s);
 void ceilings_told(struct sched *s);
-enum hold limit_hold(struct sched *s, struct job *j, const struct job_step *st);
+enum pending_reason limit_pending_reason(struct sched *s, struct job *j,
+					 const struct job_step *st);
 bool limit_allows(struct sched *s, struct job *j, const struct job_step *st);
 void usage_free(struct sched *s);
 
--- a/sched-wave.c
+++ b/sched-wave.c
@@ -137,7 +137,7 @@
 	const json_t *number = json_object_get(row, "wave");
 	struct wave *v;
 
-	if (json_is_integer(number) && s->own.state != OWN_YES) {
+	if (json_is_integer(number) && s->own.state != OWN_OWNER) {
 		v = wave_get(s, (uint64_t)json_integer_value(number));
 		if (r->revision > v->revision)
 			v->revision = r->revision;
@@ -214,9 +214,9 @@
  */
 static bool task_serves(const struct sched *s, const struct task *t)
 {
-	return t->phase == AT_WORK && !t->stopping && t->percent == 100 &&
+	return t->phase == PHASE_RUNNING && !t->stopping && t->percent == 100 &&
 	       !t->worker->taken &&
-	       s->now - t->worker->answered_at < WORKER_QUIET_MS;
+	       s->now - t->worker->answered_at < WORKER_TIMEOUT_MS;
 }
 
 /*
@@ -242,7 +242,8 @@
 {
 	const struct job_step *st = task_step(t);
 
-	return st->lasts && st->may_miss && t->phase == AT_WORK && !t->stopping;
+	return st->lasts && st->may_miss && t->phase == PHASE_RUNNING &&
+	       !t->stopping;
 }
 
 /* May a task be taken away with all others of its step on its worker? */
@@ -320,7 +321,7 @@
 	struct request *rq;
 	struct ask *ask;
 
-	rq = sched_ask(s, FOR_UPKEEP, ASK_UPKEEP,
+	rq = sched_ask(s, FOR_MAINTENANCE, ASK_MAINTENANCE,
 		       own_alone_until(s, s->now + CLOUD_TIMEOUT_MS), &ask);
 	rq->number = v->number;
 	rq->name = bstr_copy(wm->id);
@@ -342,7 +343,7 @@
 	struct machine *m = member_machine(s, wm->id, &w);
 
 	return wm->asked || s->now < wm->away_until ||
-	       (m && m->state == MACHINE_UPKEEP);
+	       (m && m->state == MACHINE_MAINTENANCE);
 }
 
 /* What taking a machine costs now: fewer of it first. */
@@ -695,7 +696,7 @@
 {
 	size_t i;
 
-	if (rq->number != s->own.epoch || s->own.state != OWN_YES)
+	if (rq->number != s->own.epoch || s->own.state != OWN_OWNER)
 		return;
 	s->listing = false;
 	if (a->outcome != OUT_DONE) {
@@ -813,7 +814,7 @@
 	v->dirty = true;
 	v->write_at = s->now;
 	if (a->outcome != OUT_CONFLICT)
-		v->write_at += STORE_AGAIN_MS;
+		v->write_at += STORE_RETRY_MS;
 }
 
 /* An answer about waves or machines. */
@@ -823,7 +824,7 @@
 	case FOR_MACHINES:
 		list_answer(s, rq, a);
 		break;
-	case FOR_UPKEEP:
+	case FOR_MAINTENANCE:
 		upkeep_answer(s, rq, a);
 		break;
 	default:
--- a/sched-worker.c
+++ b/sched-worker.c
@@ -38,7 +38,7 @@
  */
 static bool lease_was_over(const struct worker *w, int64_t at)
 {
-	double elapsed = (double)(at - w->clock_at) / CLOCK_SLOW;
+	double elapsed = (double)(at - w->clock_at) / CLOCK_DRIFT_FACTOR;
 
 	return (double)w->clock + elapsed > (double)w->lease_end;
 }
@@ -47,7 +47,7 @@
 static int64_t lease_until(const struct sched *s)
 {
 	int64_t until = s->now + LEASE_MS;
-	int64_t most = s->own.proved_at + UNPROVED_LEASE_MS;
+	int64_t most = s->own.proved_at + UNCONFIRMED_LEASE_MS;
 
 	return until < most ? until : most;
 }
@@ -55,14 +55,14 @@
 /* Is an answer of it overdue? */
 bool worker_is_quiet(const struct sched *s, const struct worker *w)
 {
-	return s->now - w->answered_at >= WORKER_QUIET_MS &&
+	return s->now - w->answered_at >= WORKER_TIMEOUT_MS &&
 	       s->now >= w->heard_by;
 }
 
 /* Take its answer for overdue. */
 void worker_set_quiet(struct sched *s, struct worker *w)
 {
-	w->answered_at = s->now - WORKER_QUIET_MS;
+	w->answered_at = s->now - WORKER_TIMEOUT_MS;
 	w->heard_by = 0;
 }
 
@@ -155,7 +155,7 @@
  */
 static bool start_may_be_anothers(const struct task *t)
 {
-	return t->phase == AT_START &&
+	return t->phase == PHASE_STARTING &&
 	       (!t->opened_at || t->opened_at > t->worker->alive_at);
 }
 
@@ -174,7 +174,7 @@
 			continue;
 		t->awaited = w->serial;
 		w->awaited = true;
-		task_pause(t, t->begun_at + LATE_ORDER_MS);
+		task_pause(t, t->begun_at + ORDER_LIFETIME_MAX_MS);
 		sched_log(s, LOG_START_AWAITED,
 			  "task=%s.%u.%u.%u run=%llu worker=%.*s wait_ms=%lld",
 			  t->occ->job->id, t->occ->k, t->step, t->index,
@@ -237,7 +237,8 @@
 	 * by the time of its reading here a start that this life has got would
 	 * seem to be from before its birth, and its task would run twice.
 	 */
-	int64_t birth = a->sent_at - (int64_t)((double)a->clock * CLOCK_SLOW) -
+	int64_t birth = a->sent_at -
+			(int64_t)((double)a->clock * CLOCK_DRIFT_FACTOR) -
 			ORDER_TIMEOUT_MS;
 	struct task *t;
 
@@ -246,8 +247,8 @@
 	 * before; what was sent before its birth never reached it.
 	 */
 	TAILQ_FOREACH(t, &w->tasks, on)
-		if (t->phase == AT_START && t->begun_at >= birth)
-			task_pause(t, t->begun_at + LATE_ORDER_MS);
+		if (t->phase == PHASE_STARTING && t->begun_at >= birth)
+			task_pause(t, t->begun_at + ORDER_LIFETIME_MAX_MS);
 	if (w->born)
 		worker_lost(s, w, "restarted");
 	w->born = born;
@@ -293,7 +294,7 @@
 {
 	worker_unsure(s, w);
 	w->other_until = s->now + (int64_t)((double)s->options.lease_max_ms *
-					    CLOCK_SLOW);
+					    CLOCK_DRIFT_FACTOR);
 }
 
 /* Its row was removed. */
@@ -359,7 +360,7 @@
 			  BSTR_ARG(r->worker.address));
 	}
 	worker_update(s, w, r);
-	if (s->own.state == OWN_YES)
+	if (s->own.state == OWN_OWNER)
 		worker_check(s, w);
 }
 
@@ -382,11 +383,11 @@
  */
 static uint32_t idle_wait(const struct sched *s)
 {
-	uint32_t wait = HASH_COUNT(s->workers) * 1000 / IDLE_LOOKS_PER_S;
+	uint32_t wait = HASH_COUNT(s->workers) * 1000 / IDLE_POLLS_PER_S;
 
-	if (wait < HOLD_WAIT_MS)
-		return HOLD_WAIT_MS;
-	return wait < HOLD_IDLE_MAX_MS ? wait : HOLD_IDLE_MAX_MS;
+	if (wait < POLL_WAIT_MAX_MS)
+		return POLL_WAIT_MAX_MS;
+	return wait < POLL_IDLE_WAIT_MAX_MS ? wait : POLL_IDLE_WAIT_MAX_MS;
 }
 
 /* How long a hold may wait for an end. */
@@ -395,7 +396,7 @@
 	if (!w->fenced || !w->clock || !w->sure || w->acked < w->seen ||
 	    w->ends_held)
 		return 0;
-	return TAILQ_EMPTY(&w->tasks) ? idle_wait(s) : HOLD_WAIT_MS;
+	return TAILQ_EMPTY(&w->tasks) ? idle_wait(s) : POLL_WAIT_MAX_MS;
 }
 
 /* Renew a worker's lease and look what runs and has ended there. */
@@ -406,7 +407,7 @@
 	struct ask *ask;
 	struct order *o;
 
-	rq = sched_ask(s, FOR_HOLD, ASK_HOLD, s->now + wait + ORDER_TIMEOUT_MS,
+	rq = sched_ask(s, FOR_POLL, ASK_POLL, s->now + wait + ORDER_TIMEOUT_MS,
 		       &ask);
 	rq->worker = w;
 	w->requests++;
@@ -427,10 +428,11 @@
 			w->lease_end = o->deadline;
 	}
 	w->looking = true;
-	w->look_at = s->now + HOLD_PACE_MS;
+	w->look_at = s->now + POLL_RETRY_MS;
 	w->heard_by = 0;
-	if (wait > HOLD_WAIT_MS)
-		w->heard_by = s->now + wait + WORKER_QUIET_MS - HOLD_WAIT_MS;
+	if (wait > POLL_WAIT_MAX_MS)
+		w->heard_by = s->now + wait + WORKER_TIMEOUT_MS -
+			      POLL_WAIT_MAX_MS;
 	sched_count(s, COUNT_WORKER_EXCHANGES, 1);
 }
 
@@ -443,8 +445,9 @@
  */
 static bool worker_is_over(const struct sched *s, const struct worker *w)
 {
-	int64_t settle = s->own.settle_by + SETTLE_SLACK_MS +
-			 (int64_t)(UNPROVED_LEASE_MS * (CLOCK_SLOW - 1));
+	int64_t settle = s->own.settle_by + SETTLE_MARGIN_MS +
+			 (int64_t)(UNCONFIRMED_LEASE_MS *
+				   (CLOCK_DRIFT_FACTOR - 1));
 
 	if (!worker_is_quiet(s, w) || s->now < w->other_until)
 		return false;
@@ -530,7 +533,7 @@
 {
 	struct worker *w, *next;
 
-	if (s->own.state != OWN_YES)
+	if (s->own.state != OWN_OWNER)
 		return;
 	HASH_ITER(hh, s->workers, w, next)
 		worker_check(s, w);
@@ -567,9 +570,9 @@
 	if (!strcmp(w->doubt_job, t->occ->job->id))
 		return;
 	memcpy(w->doubt_job, t->occ->job->id, sizeof(w->doubt_job));
-	if (++w->doubt < DOUBT_FAILURES)
+	if (++w->doubt < SUSPECT_FAILURES)
 		return;
-	w->doubt_until = s->now + DOUBT_MS;
+	w->doubt_until = s->now + SUSPECT_MS;
 	sched_log(s, LOG_WORKER_SUSPECT, "worker=%.*s failures=%u",
 		  BSTR_ARG(w->id), w->doubt);
 }
@@ -594,14 +597,14 @@
 		return;
 	case END_FAILED:
 		t->avoid = w->serial;
-		task_pause(t, s->now + TASK_PAUSE_MS);
+		task_pause(t, s->now + TASK_RETRY_DELAY_MS);
 		worker_doubt(s, w, t);
 		job_task_failed(s, t, n->run);
 		return;
 	case END_LAPSED:
-	case END_ALONE:
-	case END_BROKEN:
-		task_pause(t, s->now + TASK_PAUSE_MS);
+	case END_GANG_INCOMPLETE:
+	case END_GANG_BROKEN:
+		task_pause(t, s->now + TASK_RETRY_DELAY_MS);
 		return;
 	case END_STOPPED:
 		return;
@@ -621,7 +624,7 @@
 			  "task=%.*s run=%llu worker=%.*s how=%s known=%d",
 			  BSTR_ARG(n->task), (unsigned long long)n->run,
 			  BSTR_ARG(w->id), words[n->how], t != NULL);
-	if (!t || t->phase == AT_END)
+	if (!t || t->phase == PHASE_DONE)
 		return;
 	j->ran = true;
 	if (t->worker == w && t->run == n->run) {
@@ -656,7 +659,7 @@
 	struct job *j;
 	struct task *t = task_find(s, n->task, &j);
 
-	if (!t || n->how != END_DONE || t->phase != AT_START ||
+	if (!t || n->how != END_DONE || t->phase != PHASE_STARTING ||
 	    (t->worker == w && t->run == n->run))
 		return NULL;
 	return t;
@@ -718,9 +721,9 @@
 	 * A run of an earlier owner, or one whose start had no answer: since
 	 * the task is nowhere else, it is the task's.
 	 */
-	if (t && t->phase == AT_REST) {
+	if (t && t->phase == PHASE_PENDING) {
 		task_adopt(s, t, w, r->run);
-		if (j->fate > FATE_RUNNING)
+		if (j->fate > JOB_STATUS_RUNNING)
 			task_stop(s, t);
 	}
 	if (!t || t->worker != w || t->run != r->run) {
@@ -730,8 +733,8 @@
 	}
 	t->list = w->list;
 	j->ran = true;
-	if (t->phase == AT_START)
-		task_phase(t, AT_WORK);
+	if (t->phase == PHASE_STARTING)
+		task_phase(t, PHASE_RUNNING);
 	t->percent = r->percent;
 	t->figure = r->figure;
 	t->acked = CLOCK_NONE; /* seen in a list: its absence counts */
@@ -757,9 +760,9 @@
 		next = TAILQ_NEXT(t, on);
 		if (t->asked || t->list == w->list)
 			continue;
-		if (t->phase == AT_START && a->clock <= t->start_by)
+		if (t->phase == PHASE_STARTING && a->clock <= t->start_by)
 			continue;
-		if (t->phase == AT_WORK && t->acked != CLOCK_NONE &&
+		if (t->phase == PHASE_RUNNING && t->acked != CLOCK_NONE &&
 		    a->clock <= t->acked)
 			continue;
 		sched_log(s, LOG_TASK_MISSING,
@@ -768,7 +771,7 @@
 			  (unsigned long long)t->run, BSTR_ARG(w->id),
 			  t->phase);
 		task_rest(s, t);
-		task_pause(t, s->now + TASK_PAUSE_MS);
+		task_pause(t, s->now + TASK_RETRY_DELAY_MS);
 		s->place = true;
 	}
 }
@@ -842,14 +845,14 @@
 {
 	struct worker *w = rq->worker;
 
-	if (!w || rq->epoch != s->own.epoch || s->own.state != OWN_YES)
+	if (!w || rq->epoch != s->own.epoch || s->own.state != OWN_OWNER)
 		return;
 	w->looking = false;
 	if (a->outcome == OUT_DONE) {
 		hold_take(s, w, rq, a);
 		w->look_at = s->now;
 		if (w->acked < w->seen || w->ends_held)
-			w->look_at += HOLD_PACE_MS;
+			w->look_at += POLL_RETRY_MS;
 		worker_acknowledge(s);
 		if (!w->looking && s->now >= w->look_at && own_acts(s))
 			worker_hold(s, w);
@@ -857,8 +860,8 @@
 		return;
 	}
 	w->sure = false;
-	w->look_at = s->now + HOLD_PACE_MS;
-	if (a->refusal == REFUSAL_FENCE) {
+	w->look_at = s->now + POLL_RETRY_MS;
+	if (a->refusal == REFUSAL_STALE_EPOCH) {
 		own_doubt(s, "fenced");
 	} else if (a->refusal == REFUSAL_OTHER_LIFE) {
 		/* Another worker answers there: this one has ended. */
@@ -867,7 +870,7 @@
 		if (!TAILQ_EMPTY(&w->tasks))
 			worker_lost(s, w, "replaced");
 	} else if (a->outcome == OUT_REFUSED) {
-		w->unwell_until = s->now + HOLD_PACE_MS;
+		w->unwell_until = s->now + POLL_RETRY_MS;
 	}
 	settle_check(s);
 }
--- a/sched.c
+++ b/sched.c
@@ -92,7 +92,7 @@
 {
 	if (a->outcome == OUT_REFUSED || a->outcome == OUT_UNKNOWN) {
 		/* What failed together, such as feeds cut at once, is one. */
-		if (s->now - s->store_failed_at < STORE_FAILURE_APART_MS)
+		if (s->now - s->store_failed_at < STORE_FAILURE_GAP_MS)
 			return;
 		s->store_failed_at = s->now;
 		s->store_failures++;
@@ -116,7 +116,7 @@
 /* Is the purpose an exchange with the store? */
 static bool purpose_is_store(enum purpose p)
 {
-	return p < FOR_HOLD || p == FOR_WAVE_ROW;
+	return p < FOR_POLL || p == FOR_WAVE_ROW;
 }
 
 /* Does an answer to it wait for something to happen? */
@@ -143,7 +143,7 @@
 	case FOR_NOTES_GET:
 		follow_answer(s, rq, a);
 		break;
-	case FOR_BEAT:
+	case FOR_HEARTBEAT:
 	case FOR_CLAIM:
 	case FOR_RELEASE:
 		own_answer(s, rq, a);
@@ -163,7 +163,7 @@
 	case FOR_CANCEL:
 		call_answer(s, rq, a);
 		break;
-	case FOR_HOLD:
+	case FOR_POLL:
 		worker_answer(s, rq, a);
 		break;
 	case FOR_START:
@@ -175,7 +175,7 @@
 		advice_answer(s, rq, a);
 		break;
 	case FOR_MACHINES:
-	case FOR_UPKEEP:
+	case FOR_MAINTENANCE:
 	case FOR_WAVE_ROW:
 		wave_answer(s, rq, a);
 		break;
@@ -218,7 +218,7 @@
 {
 	int64_t gap = s->now - s->seen_at;
 
-	if (s->seen_at && gap > SUSPENDED_MS) {
+	if (s->seen_at && gap > SUSPENSION_MIN_MS) {
 		sched_log(s, LOG_SUSPENDED, "gap_ms=%lld", (long long)gap);
 		own_doubt(s, "suspended");
 		s->slept_at = s->seen_at;
@@ -265,10 +265,10 @@
 		return;
 	s->stop_by = s->now + s->options.grace_ms;
 	s->leave_at = s->stop_by - s->options.grace_ms / 4;
-	if (s->woke_at && s->now - s->woke_at < SUSPENDED_MS)
+	if (s->woke_at && s->now - s->woke_at < SUSPENSION_MIN_MS)
 		s->leave_at -= s->woke_at - s->slept_at;
 	sched_log(s, LOG_STOPPING, "calls=%u owner=%d", HASH_COUNT(s->calls),
-		  s->own.state == OWN_YES);
+		  s->own.state == OWN_OWNER);
 	own_release(s);
 }
 
@@ -286,10 +286,10 @@
 
 	if (s->now < s->gauges_at)
 		return;
-	s->gauges_at = s->now + GAUGES_MS;
+	s->gauges_at = s->now + GAUGE_INTERVAL_MS;
 	for (w = s->workers; w; w = w->hh.next)
 		taking += worker_takes(s, w);
-	sched_gauge(s, COUNT_OWNER, s->own.state == OWN_YES);
+	sched_gauge(s, COUNT_OWNER, s->own.state == OWN_OWNER);
 	sched_gauge(s, COUNT_JOBS_OPEN, HASH_COUNT(s->jobs));
 	sched_gauge(s, COUNT_WORKERS_KNOWN, HASH_COUNT(s->workers));
 	sched_gauge(s, COUNT_WORKERS_TAKING, taking);
@@ -384,7 +384,7 @@
 				  0, false);
 	s->notes = follow_make(TABLE_NOTES, FOR_NOTES_GET, PURPOSE_MAX, 0,
 			       false);
-	s->start_window = START_WINDOW;
+	s->start_window = START_WINDOW_INITIAL;
 	TAILQ_INIT(&s->order);
 	TAILQ_INIT(&s->dirty);
 	TAILQ_INIT(&s->flying);
--- a/scheduler.h
+++ b/scheduler.h
@@ -158,8 +158,8 @@
 	END_FAILED,
 	END_STOPPED,
 	END_LAPSED,
-	END_BROKEN, /* another member of its gang ended */
-	END_ALONE   /* the gang did not come together */
+	END_GANG_BROKEN,    /* another member of its gang ended */
+	END_GANG_INCOMPLETE /* the gang did not come together */
 };
 struct ended {
 	uint64_t number;
@@ -168,7 +168,12 @@
 	enum end_kind how;
 	bstr checkpoint;
 };
-enum machine_state { MACHINE_UP, MACHINE_MOVING, MACHINE_UPKEEP, MACHINE_DOWN };
+enum machine_state {
+	MACHINE_UP,
+	MACHINE_MOVING,
+	MACHINE_MAINTENANCE,
+	MACHINE_DOWN
+};
 struct machine_row {
 	bstr machine;
 	bstr pool;
@@ -187,19 +192,19 @@
 	OUT_CONFLICT, /* a condition did not hold; nothing was done */
 	OUT_REFUSED,  /* nothing was done and nothing will be */
 	OUT_UNKNOWN,  /* it may have been done, or be done later */
-	OUT_GONE      /* the history asked for is not kept any more */
+	OUT_COMPACTED /* the history asked for is not kept any more */
 };
 enum refusal {
 	REFUSAL_NONE,
-	REFUSAL_FENCE,	    /* a later owner has given orders there */
-	REFUSAL_OLD,	    /* a run not higher than one known there */
-	REFUSAL_LATE,	    /* its start deadline had passed */
-	REFUSAL_ROOM,	    /* does not fit */
-	REFUSAL_TICKET,	    /* the placement ticket does not hold */
-	REFUSAL_BUSY,	    /* a machine that is not up, or leaving */
-	REFUSAL_WAVE,	    /* a machine that is not of this wave */
-	REFUSAL_OTHER_LIFE, /* another worker answers at that address */
-	REFUSAL_UNWELL,	    /* overloaded or unhealthy */
+	REFUSAL_STALE_EPOCH, /* a later owner has given orders there */
+	REFUSAL_STALE_RUN,   /* a run not higher than one known there */
+	REFUSAL_LATE,	     /* its start deadline had passed */
+	REFUSAL_CAPACITY,    /* does not fit */
+	REFUSAL_TICKET,	     /* the placement ticket does not hold */
+	REFUSAL_BUSY,	     /* a machine that is not up, or leaving */
+	REFUSAL_WAVE,	     /* a machine that is not of this wave */
+	REFUSAL_OTHER_LIFE,  /* another worker answers at that address */
+	REFUSAL_UNHEALTHY,   /* overloaded or unhealthy */
 	REFUSAL_INVALID,
 	REFUSAL_NOT_SENT
 };
@@ -268,13 +273,13 @@
 	ASK_TX,
 	ASK_GET,
 	ASK_FEED,
-	ASK_HOLD,
+	ASK_POLL,
 	ASK_START,
 	ASK_STOP,
 	ASK_PACE,
 	ASK_ADVICE,
 	ASK_MACHINES,
-	ASK_UPKEEP,
+	ASK_MAINTENANCE,
 	ASK_MOVE
 };
 /*
--- a/tests/prop-sched.cc
+++ b/tests/prop-sched.cc
@@ -131,8 +131,8 @@
 }
 
 /* What workers answer to all starts. */
-static const refusal refusals[] = {REFUSAL_NONE, REFUSAL_UNWELL, REFUSAL_ROOM,
-				   REFUSAL_BUSY};
+static const refusal refusals[] = {REFUSAL_NONE, REFUSAL_UNHEALTHY,
+				   REFUSAL_CAPACITY, REFUSAL_BUSY};
 
 static void act(play &p, const step_of &s)
 {
--- a/tests/support-world-machine.c
+++ b/tests/support-world-machine.c
@@ -105,8 +105,8 @@
 	const struct sched *s = w->vms[vm].sched;
 
 	if (s && ask->kind != ASK_MACHINES && ask->kind != ASK_ADVICE &&
-	    s->own.state == OWN_YES &&
-	    ask->deadline > s->own.proved_at + OWNER_SILENT_MS)
+	    s->own.state == OWN_OWNER &&
+	    ask->deadline > s->own.proved_at + OWNER_TIMEOUT_MS)
 		world_break_promise(
 			w, "an order about a machine may leave late", "");
 }
@@ -144,7 +144,7 @@
 						  ? BSTR_NONE
 						  : world_worker_id(w, i),
 				.state = w->now < w->maintained_until[i]
-						 ? MACHINE_UPKEEP
+						 ? MACHINE_MAINTENANCE
 						 : MACHINE_UP};
 	} else if (fx->ask.kind == ASK_ADVICE) {
 		a->valid_ms = 1000;
@@ -164,7 +164,7 @@
 		world_machine_restart(w, n, 300);
 		if (machine_is_off(w, n))
 			world_unlist(w, n, true);
-	} else if (fx->ask.kind == ASK_UPKEEP) {
+	} else if (fx->ask.kind == ASK_MAINTENANCE) {
 		name = bstr_cstr(fx->ask.order.machine);
 		n = (unsigned)strtoul(name + 2, NULL, 10);
 		free(name);
--- a/tests/support-world-store.c
+++ b/tests/support-world-store.c
@@ -240,7 +240,7 @@
 		rows_newer(w, r->table, r->after, &ev->answer);
 		ev->answer.revision = w->revision;
 		if (r->after < w->floor)
-			ev->answer.outcome = OUT_GONE;
+			ev->answer.outcome = OUT_COMPACTED;
 		store_answer(w, p->vm, p->ask, ev);
 		TAILQ_REMOVE(&w->waiting, p, entry);
 		sched_effect_free(p->ask);
--- a/tests/support-world-worker.c
+++ b/tests/support-world-worker.c
@@ -234,7 +234,7 @@
 		}
 	if (o->run <= run_closed(k, name)) {
 		free(name);
-		return REFUSAL_OLD;
+		return REFUSAL_STALE_RUN;
 	}
 	if (w->advised && (n % 2 || !bstr_eq_str(o->ticket, "ticket"))) {
 		free(name);
@@ -242,7 +242,7 @@
 	}
 	if (w->refusal || (int64_t)(k->run_count + 1) * TASK_CPU > CORES) {
 		free(name);
-		return w->refusal ? w->refusal : REFUSAL_ROOM;
+		return w->refusal ? w->refusal : REFUSAL_CAPACITY;
 	}
 	j = world_job_of(w, name);
 	r = &k->runs[k->run_count++];
@@ -307,7 +307,7 @@
 
 	for (p = TAILQ_FIRST(&w->waiting); p; p = next) {
 		next = TAILQ_NEXT(p, entry);
-		if (p->ask->ask.kind != ASK_HOLD)
+		if (p->ask->ask.kind != ASK_POLL)
 			continue;
 		w->asker_life = p->life;
 		n = address_number(p->ask->ask.order.address);
@@ -339,10 +339,10 @@
 		return REFUSAL_OTHER_LIFE;
 	world_worker_step(w, n);
 	if (o->epoch < k->fence)
-		return REFUSAL_FENCE;
+		return REFUSAL_STALE_EPOCH;
 	k->fence = o->epoch;
 	switch (ask->kind) {
-	case ASK_HOLD:
+	case ASK_POLL:
 		if (o->deadline > world_worker_now(w, n) + LEASE_MAX_MS)
 			k->lease_end = world_worker_now(w, n) + LEASE_MAX_MS;
 		else if (o->deadline > k->lease_end)
@@ -396,14 +396,14 @@
 		return;
 	}
 	refusal = world_order_apply(w, vm, n, &fx->ask);
-	if (refusal == REFUSAL_NONE && fx->ask.kind == ASK_HOLD && o->wait_ms &&
+	if (refusal == REFUSAL_NONE && fx->ask.kind == ASK_POLL && o->wait_ms &&
 	    w->workers[n].last_end <= o->ack_to) {
 		p = world_pending_add(w, &w->waiting, w->now, vm);
 		p->ask = fx;
 		p->give_up_at = w->now + o->wait_ms;
 		return;
 	}
-	if (refusal == REFUSAL_NONE && fx->ask.kind == ASK_HOLD) {
+	if (refusal == REFUSAL_NONE && fx->ask.kind == ASK_POLL) {
 		hold_answer(w, vm, n, fx);
 	} else {
 		ev = world_answer_make(fx, refusal ? OUT_REFUSED : OUT_DONE,
--- a/tests/support-world.c
+++ b/tests/support-world.c
@@ -135,7 +135,7 @@
 		world_store_take(w, vm, fx);
 		break;
 	case ASK_MACHINES:
-	case ASK_UPKEEP:
+	case ASK_MAINTENANCE:
 	case ASK_MOVE:
 	case ASK_ADVICE:
 		world_machine_take(w, vm, fx);
@@ -202,7 +202,7 @@
 				for (k = n = 0; k < j->body->steps[i].count;
 				     k++)
 					n += o->tasks[o->first[i] + k].phase ==
-					     AT_REST;
+					     PHASE_PENDING;
 				if (n != o->resting[i].count)
 					world_break_promise(
 						w, "resting, not counted",
--- a/tests/test-load.c
+++ b/tests/test-load.c
@@ -376,7 +376,7 @@
 		s->starts_flying = 300;
 		for (k = 0; k < window_rows[row].answers; k++) {
 			s->now++;
-			if (s->starts_flying * START_WINDOW_PARTS >
+			if (s->starts_flying * START_WINDOW_UNIT >
 			    s->start_window)
 				s->starts_flying--;
 			start_window_take(s, window_rows[row].ms);
@@ -405,7 +405,7 @@
 
 	world_submit(w, (n + 1) % WORLD_VMS, "00000000000000aa", &wide);
 	for (k = 0; k < 600; k++) {
-		s->start_window = 4 * START_WINDOW_PARTS;
+		s->start_window = 4 * START_WINDOW_UNIT;
 		cr_expect_leq(s->starts_flying, 5);
 		world_run(w, 5);
 	}
@@ -449,7 +449,7 @@
 			if (k == 40)
 				world_submit(w, (n + 1) % WORLD_VMS,
 					     "00000000000000bb", &few);
-			s->start_window = START_WINDOW_PARTS;
+			s->start_window = START_WINDOW_UNIT;
 			world_run(w, 5);
 		}
 		cr_expect_str_eq(world_state(w, "00000000000000bb"),
--- a/tests/test-waiting.c
+++ b/tests/test-waiting.c
@@ -282,12 +282,12 @@
 		unsigned vanish;
 		bool killed;
 	} rows[] = {
-		{"unwell", REFUSAL_UNWELL},
-		{"no room", REFUSAL_ROOM},
+		{"unwell", REFUSAL_UNHEALTHY},
+		{"no room", REFUSAL_CAPACITY},
 		{"busy", REFUSAL_BUSY},
 		{"invalid", REFUSAL_INVALID},
 		{"lost on the way", REFUSAL_NONE, 100},
-		{"unwell, the owner killed", REFUSAL_UNWELL, 0, true},
+		{"unwell, the owner killed", REFUSAL_UNHEALTHY, 0, true},
 		{"lost on the way, the owner killed", REFUSAL_NONE, 100, true},
 	};
 	struct world *w;
