--- a/bamboofront-entryd.c
+++ b/bamboofront-entryd.c
@@ -229,7 +229,7 @@
 	ev = inbox_take(d);
 	for (n = 1; ev; n++) {
 		next = n < EVENTS_PER_ROUND ? inbox_take(d) : NULL;
-		ev->more = next != NULL;
+		ev->more_follow = next != NULL;
 		entry_step(d, ev);
 		ev = next;
 	}
--- a/bench/bench-load.c
+++ b/bench/bench-load.c
@@ -187,7 +187,7 @@
 }
 
 /* Gather an answer. */
-static size_t call_take(char *p, size_t size, size_t n, void *arg)
+static size_t call_receive(char *p, size_t size, size_t n, void *arg)
 {
 	struct call *c = arg;
 
@@ -216,7 +216,7 @@
 {
 	curl_easy_setopt(c->easy, CURLOPT_URL, url);
 	curl_easy_setopt(c->easy, CURLOPT_PRIVATE, c);
-	curl_easy_setopt(c->easy, CURLOPT_WRITEFUNCTION, call_take);
+	curl_easy_setopt(c->easy, CURLOPT_WRITEFUNCTION, call_receive);
 	curl_easy_setopt(c->easy, CURLOPT_WRITEDATA, c);
 	curl_easy_setopt(c->easy, CURLOPT_ERRORBUFFER, c->error);
 	curl_easy_setopt(c->easy, CURLOPT_NOSIGNAL, 1L);
--- a/entry-settings.c
+++ b/entry-settings.c
@@ -174,7 +174,7 @@
 	s->sched.machine_calls_per_s = (unsigned)number_get(
 		j, "machine_calls_per_s", 0, MACHINE_CALLS_MAX,
 		MACHINE_CALLS_DEFAULT, e);
-	s->sched.without = without_get(j, e);
+	s->sched.disabled = without_get(j, e);
 	bounds_get(j, &s->sched, e);
 	s->log_level = level_get(j, e);
 	return !e->count;
--- a/sched-admit.c
+++ b/sched-admit.c
@@ -133,7 +133,7 @@
 	size_t i;
 
 	for (i = 0; i < b->step_count; i++)
-		if (b->steps[i].lasts)
+		if (b->steps[i].long_running)
 			return false;
 	return !b->repeat_count;
 }
--- a/sched-advice.c
+++ b/sched-advice.c
@@ -41,7 +41,7 @@
 {
 	const struct route *r = job_route(s, j);
 
-	return r && r->advised;
+	return r && r->needs_ticket;
 }
 
 /* The ticket of a step for a worker; empty: there is none that holds. */
@@ -70,17 +70,17 @@
 	rq = sched_ask(s, FOR_ADVICE, ASK_ADVICE, s->now + ADVICE_TIMEOUT_MS,
 		       &ask);
 	snprintf(rq->job, sizeof(rq->job), "%s", o->job->id);
-	rq->k = o->k;
+	rq->occurrence = o->number;
 	rq->task = at;
-	ask->order.step = bstr_printf("%s.%u.%u", o->job->id, o->k, at);
+	ask->order.step = bstr_printf("%s.%u.%u", o->job->id, o->number, at);
 	if (count > ADVICE_WORKERS)
 		count = ADVICE_WORKERS;
 	ask->order.workers = xcalloc(count, sizeof(bstr));
 	for (i = 0; i < count; i++)
 		ask->order.workers[ask->order.worker_count++] = bstr_copy(
 			workers[i]->id);
-	o->advice[at].asked = true;
-	s->advice_calls++;
+	o->advice[at].in_flight = true;
+	s->advice_calls_in_flight++;
 }
 
 /* Are there tickets for a step that hold?  If not they are asked for. */
@@ -95,8 +95,8 @@
 	a = &o->advice[at];
 	if (a->count && s->now < a->valid_until - TICKET_MARGIN_MS)
 		return true;
-	if (!a->asked && s->now >= a->again_at && count &&
-	    s->advice_calls < ADVICE_CALLS)
+	if (!a->in_flight && s->now >= a->retry_at && count &&
+	    s->advice_calls_in_flight < ADVICE_CALLS)
 		advice_send(s, o, at, workers, count);
 	return false;
 }
@@ -110,7 +110,7 @@
 	if (!j)
 		return NULL;
 	TAILQ_FOREACH(o, &j->occs, entry)
-		if (o->k == rq->k && o->advice)
+		if (o->number == rq->occurrence && o->advice)
 			return &o->advice[rq->task];
 	return NULL;
 }
@@ -121,16 +121,16 @@
 	struct advice *a = advice_find(s, rq);
 	size_t i;
 
-	if (s->advice_calls)
-		s->advice_calls--;
+	if (s->advice_calls_in_flight)
+		s->advice_calls_in_flight--;
 	if (!a || rq->epoch != s->own.epoch)
 		return;
-	a->asked = false;
-	s->place = true;
+	a->in_flight = false;
+	s->place_due = true;
 	if (ans->outcome != OUT_DONE) {
-		a->again_at = s->now + ADVICE_AGAIN_MS;
+		a->retry_at = s->now + ADVICE_AGAIN_MS;
 		sched_log(s, LOG_ADVICE, "step=%s.%u.%u outcome=%d", rq->job,
-			  rq->k, rq->task, ans->outcome);
+			  rq->occurrence, rq->task, ans->outcome);
 		return;
 	}
 	for (i = 0; i < a->count; i++) {
@@ -144,7 +144,8 @@
 	ans->ticket_count = 0;
 	/* Validity counts from the answer; what is on its way is older. */
 	a->valid_until = s->now + ans->valid_ms;
-	a->again_at = s->now + ADVICE_AGAIN_MS;
+	a->retry_at = s->now + ADVICE_AGAIN_MS;
 	sched_log(s, LOG_ADVICE, "step=%s.%u.%u good=%zu valid_ms=%lld",
-		  rq->job, rq->k, rq->task, a->count, (long long)ans->valid_ms);
+		  rq->job, rq->occurrence, rq->task, a->count,
+		  (long long)ans->valid_ms);
 }
--- a/sched-call.c
+++ b/sched-call.c
@@ -66,7 +66,7 @@
 	c->id = in->id;
 	memcpy(c->job, job, sizeof(c->job));
 	c->tenant = t ? bstr_copy(t->name) : BSTR_NONE;
-	c->open = open;
+	c->no_key = open;
 	c->deadline = in->deadline - REPLY_MARGIN_MS;
 	c->came_at = s->now;
 	HASH_ADD(hh, s->calls, id, sizeof(c->id), c);
@@ -115,7 +115,7 @@
 			.route = r->name,
 			.service = r->service,
 			.body = in->body,
-			.fate = JOB_STATUS_QUEUED};
+			.status = JOB_STATUS_QUEUED};
 
 	TAILQ_INIT(&j.occs);
 	c->row = job_row_write(&j);
@@ -170,10 +170,10 @@
 		call_refuse(s, in->id, 400, COUNT_REFUSED_SPEC, why, id);
 		return;
 	}
-	c = call_new(s, in, id, t, r->open);
+	c = call_new(s, in, id, t, r->no_key);
 	submit_row(s, c, in, r);
-	c->back_s = admission_refuses(s, r, in->body, id);
-	if (c->back_s)
+	c->retry_after_s = admission_refuses(s, r, in->body, id);
+	if (c->retry_after_s)
 		state_send(s, c, FOR_SUBMIT_READ);
 	else
 		submit_send(s, c);
@@ -187,7 +187,7 @@
 	 * What can't be served is refused at once: the store has failed
 	 * before, so nothing of this request has been sent to it.
 	 */
-	if (!sched_store_works(s)) {
+	if (!sched_store_is_up(s)) {
 		call_refuse(s, in->id, 503, COUNT_REFUSED_PLATFORM,
 			    "store-unavailable", id);
 		return;
@@ -197,16 +197,16 @@
 			    id);
 		return;
 	}
-	if (in->kind == VERB_SUBMIT)
+	if (in->verb == VERB_SUBMIT)
 		submit_take(s, in, id, r, t);
 	else
-		state_send(s, call_new(s, in, id, t, r->open),
-			   in->kind == VERB_STATE ? FOR_STATE
+		state_send(s, call_new(s, in, id, t, r->no_key),
+			   in->verb == VERB_STATE ? FOR_STATE
 						  : FOR_CANCEL_READ);
 }
 
 /* Take a caller's request. */
-void call_take(struct sched *s, struct call_in *in)
+void call_receive(struct sched *s, struct call_in *in)
 {
 	const struct route *r;
 	const struct tenant *t;
@@ -227,14 +227,14 @@
 	rest = bstr_ref(in->path.bstr_val + r->prefix.bstr_len,
 			in->path.bstr_len - r->prefix.bstr_len);
 	t = tenant_of_key(s, in->key);
-	if (!t && !r->open) {
+	if (!t && !r->no_key) {
 		if (job_id_read(rest, id))
 			id[JOB_ID_BYTES] = '\0';
 		call_refuse(s, in->id, 401, COUNT_REFUSED_KEY, "key", id);
 		return;
 	}
-	if (!rest.bstr_len && in->kind == VERB_STATE) {
-		count_take(s, in, r);
+	if (!rest.bstr_len && in->verb == VERB_STATE) {
+		count_receive(s, in, r);
 		return;
 	}
 	if (!job_id_read(rest, id)) {
@@ -242,7 +242,7 @@
 			    "-");
 		return;
 	}
-	if (in->kind == VERB_OTHER) {
+	if (in->verb == VERB_OTHER) {
 		call_refuse(s, in->id, 405, COUNT_REFUSED_SPEC, "method", id);
 		return;
 	}
@@ -317,7 +317,7 @@
 	}
 	sched_count(s, COUNT_REFUSED_QUEUE_FULL, 1);
 	fx = reply(s, c->id, 503, "queue-full", c->job);
-	fx->reply.retry_after_s = c->back_s;
+	fx->reply.retry_after_s = c->retry_after_s;
 	call_free(s, c);
 }
 
@@ -379,7 +379,7 @@
 		call_refuse(s, c->id, 500, COUNT_REFUSED_JOB, "row-unreadable",
 			    c->job);
 		call_free(s, c);
-	} else if (!row || (!c->open && !bstr_eq(tenant, c->tenant))) {
+	} else if (!row || (!c->no_key && !bstr_eq(tenant, c->tenant))) {
 		/* Other organisations' jobs are none of the caller's. */
 		reply(s, c->id, 410, "no-such-job", c->job);
 		call_free(s, c);
@@ -392,7 +392,7 @@
 /* Try an exchange of a call once more, or give up. */
 static void call_again(struct sched *s, struct call *c, enum purpose purpose)
 {
-	if (s->now + STORE_RETRY_MS >= c->deadline || !sched_store_works(s)) {
+	if (s->now + STORE_RETRY_MS >= c->deadline || !sched_store_is_up(s)) {
 		call_refuse(s, c->id, purpose == FOR_CANCEL ? 504 : 503,
 			    COUNT_REFUSED_PLATFORM, "store-unavailable",
 			    c->job);
--- a/sched-commit.c
+++ b/sched-commit.c
@@ -25,10 +25,10 @@
 {
 	struct job *j;
 
-	while ((j = TAILQ_LAST(&s->flying, job_queue))) {
-		TAILQ_REMOVE(&s->flying, j, dirty);
-		j->dirty_seq = j->flying_seq;
-		j->flying_seq = j->again_seq = 0;
+	while ((j = TAILQ_LAST(&s->committing_jobs, job_queue))) {
+		TAILQ_REMOVE(&s->committing_jobs, j, dirty);
+		j->dirty_seq = j->commit_seq;
+		j->commit_seq = j->recommit_seq = 0;
 		TAILQ_INSERT_HEAD(&s->dirty, j, dirty);
 	}
 }
@@ -38,8 +38,8 @@
 {
 	struct job *before = TAILQ_LAST(&s->dirty, job_queue);
 
-	j->dirty_seq = j->again_seq;
-	j->again_seq = 0;
+	j->dirty_seq = j->recommit_seq;
+	j->recommit_seq = 0;
 	while (before && before->dirty_seq > j->dirty_seq)
 		before = TAILQ_PREV(before, job_queue, dirty);
 	if (before)
@@ -58,8 +58,8 @@
 	const struct job *first = TAILQ_FIRST(&s->dirty);
 	uint64_t durable = first ? first->dirty_seq - 1 : s->dirty_seq;
 
-	if (s->committing && s->flying_from - 1 < durable)
-		durable = s->flying_from - 1;
+	if (s->commit_in_flight && s->commit_first_seq - 1 < durable)
+		durable = s->commit_first_seq - 1;
 	return durable;
 }
 
@@ -73,8 +73,8 @@
 	unsigned n;
 	bstr row;
 
-	if (s->committing || !own_acts(s) || TAILQ_EMPTY(&s->dirty) ||
-	    s->now < s->commit_at)
+	if (s->commit_in_flight || !own_may_order(s) ||
+	    TAILQ_EMPTY(&s->dirty) || s->now < s->commit_at)
 		return;
 	t = sched_tx(s, FOR_COMMIT, s->now + STORE_TIMEOUT_MS, &rq);
 	tx_expect(t, TABLE_OWNER, bstr_lit("epoch"), s->own.revision);
@@ -84,20 +84,20 @@
 		    (j = TAILQ_FIRST(&s->dirty));
 	     n++) {
 		TAILQ_REMOVE(&s->dirty, j, dirty);
-		TAILQ_INSERT_TAIL(&s->flying, j, dirty);
-		j->flying_seq = j->dirty_seq;
+		TAILQ_INSERT_TAIL(&s->committing_jobs, j, dirty);
+		j->commit_seq = j->dirty_seq;
 		j->dirty_seq = 0;
 		row = progress_write(j);
 		bytes += row.bstr_len;
 		tx_write(t, TABLE_PROGRESS, bstr_lit(j->id), row);
 	}
-	s->committing = true;
-	s->flying_from = TAILQ_FIRST(&s->flying)->flying_seq;
+	s->commit_in_flight = true;
+	s->commit_first_seq = TAILQ_FIRST(&s->committing_jobs)->commit_seq;
 	s->commit_at = s->now + COMMIT_INTERVAL_MS;
 }
 
 /* The row that commits rewrite, as it was read. */
-bool commit_row_take(struct sched *s, const struct row *r)
+bool commit_row_apply(struct sched *s, const struct row *r)
 {
 	if (!bstr_eq_str(r->key, KEY_COMMIT))
 		return false;
@@ -122,10 +122,11 @@
 
 	if (rq->epoch != s->own.epoch || s->own.state != OWN_OWNER)
 		return;
-	s->committing = false;
+	s->commit_in_flight = false;
 	if (a->outcome == OUT_CONFLICT) {
-		if (tx_overtaken(s, a, TABLE_PROGRESS, bstr_lit(KEY_COMMIT),
-				 &s->commit_revision))
+		if (tx_row_was_rewritten(s, a, TABLE_PROGRESS,
+					 bstr_lit(KEY_COMMIT),
+					 &s->commit_revision))
 			commit_again(s, s->now);
 		else
 			own_lose(s, "replaced");
@@ -137,16 +138,16 @@
 	}
 	if (a->revision > s->commit_revision)
 		s->commit_revision = a->revision;
-	while ((j = TAILQ_FIRST(&s->flying))) {
-		TAILQ_REMOVE(&s->flying, j, dirty);
-		j->flying_seq = 0;
+	while ((j = TAILQ_FIRST(&s->committing_jobs))) {
+		TAILQ_REMOVE(&s->committing_jobs, j, dirty);
+		j->commit_seq = 0;
 		rows++;
-		if (j->again_seq)
+		if (j->recommit_seq)
 			commit_once_more(s, j);
-		job_written(s, j);
-		job_settle(s, j);
+		job_mark_durable(s, j);
+		job_retire_if_done(s, j);
 	}
-	load_commit(s, rows, s->now - a->sent_at);
+	load_add_commit(s, rows, s->now - a->sent_at);
 	worker_acknowledge(s);
 }
 
@@ -165,12 +166,12 @@
 		own_lose(s, "replaced");
 		return;
 	}
-	for (r = TAILQ_FIRST(&s->retirees); r; r = next) {
+	for (r = TAILQ_FIRST(&s->retired_order); r; r = next) {
 		next = TAILQ_NEXT(r, entry);
 		if (!r->removing)
 			break;
 		r->removing = false;
-		if (a->outcome == OUT_DONE && s->follows[3].whole)
+		if (a->outcome == OUT_DONE && s->follows[3].complete)
 			job_unretire(s, r);
 	}
 }
--- a/sched-config.c
+++ b/sched-config.c
@@ -19,21 +19,21 @@
  * way while the feed brought a newer row would set a route back otherwise,
  * and callers would see the old rules again.
  */
-void config_take(struct sched *s, struct row *r)
+void config_row_apply(struct sched *s, struct row *r)
 {
 	if (s->config && r->config->version <= s->config->version)
 		return;
 	if (!s->config)
-		own_may_claim(s);
+		own_enable_claim(s);
 	fleet_config_free(s->config);
 	s->config = r->config;
-	s->config_count++;
+	s->config_serial++;
 	r->config = NULL;
 	r->kind = ROW_RAW;
 	if (s->config->route_count)
 		qsort(s->config->routes, s->config->route_count,
 		      sizeof(*s->config->routes), route_cmp);
-	s->place = true;
+	s->place_due = true;
 	sched_log(s, LOG_CONFIG_ADOPTED,
 		  "version=%llu revision=%llu routes=%zu organisations=%zu",
 		  (unsigned long long)s->config->version,
--- a/sched-count.c
+++ b/sched-count.c
@@ -22,7 +22,7 @@
 /* The store's clock now, by its latest answer; 0: it has not told yet. */
 int64_t store_clock(const struct sched *s)
 {
-	return s->store_timed ? s->now + s->store_ahead : 0;
+	return s->store_clock_known ? s->now + s->store_clock_offset : 0;
 }
 
 /*
@@ -30,18 +30,18 @@
  * between sending and now.  An answer that waited here while the VM stood
  * still must not set the clock back: old counts would seem new.
  */
-void store_clock_take(struct sched *s, const struct answer *a)
+void store_clock_update(struct sched *s, const struct answer *a)
 {
 	int64_t least = a->store_clock - s->now;
 	int64_t most = a->store_clock - a->sent_at;
 
 	if (!a->store_clock)
 		return;
-	if (!s->store_timed || s->store_ahead > most)
-		s->store_ahead = most;
-	if (s->store_ahead < least)
-		s->store_ahead = least;
-	s->store_timed = true;
+	if (!s->store_clock_known || s->store_clock_offset > most)
+		s->store_clock_offset = most;
+	if (s->store_clock_offset < least)
+		s->store_clock_offset = least;
+	s->store_clock_known = true;
 }
 
 /* The waiting jobs by queue, for a beat. */
@@ -69,12 +69,12 @@
 {
 	struct waiting_count *w, *next;
 
-	HASH_ITER(hh, s->waiting, w, next) {
-		HASH_DEL(s->waiting, w);
+	HASH_ITER(hh, s->waiting_counts, w, next) {
+		HASH_DEL(s->waiting_counts, w);
 		bstr_free(&w->route);
 		free(w);
 	}
-	s->waiting_told_at = 0;
+	s->waiting_as_of = 0;
 }
 
 /* Take over the counts of a beat, of the jobs as they were at a time. */
@@ -85,12 +85,12 @@
 	json_t *v;
 
 	counts_free(s);
-	s->waiting_told_at = told_at;
+	s->waiting_as_of = told_at;
 	json_object_foreach((json_t *)counts, route, v) {
 		w = xcalloc(1, sizeof(*w));
 		w->route = bstr_new(route);
 		w->count = (uint64_t)json_integer_value(v);
-		HASH_ADD_KEYPTR(hh, s->waiting, w->route.bstr_val,
+		HASH_ADD_KEYPTR(hh, s->waiting_counts, w->route.bstr_val,
 				w->route.bstr_len, w);
 	}
 }
@@ -100,25 +100,25 @@
  * still reads them does not know: what it has read so far would be told as
  * all there is, and callers would hear that none waits.
  */
-int64_t book_told_at(const struct sched *s)
+int64_t job_list_as_of(const struct sched *s)
 {
-	return s->own.state == OWN_OWNER ? s->follows[3].told_at : 0;
+	return s->own.state == OWN_OWNER ? s->follows[3].current_as_of : 0;
 }
 
 /* What this VM knows of a queue: the owner's book, or its last beat. */
 static struct known_count count_known(const struct sched *s, bstr route)
 {
-	struct known_count k = {.told_at = s->waiting_told_at};
+	struct known_count k = {.told_at = s->waiting_as_of};
 	struct waiting_count *w;
 	const struct job *j;
 
 	if (s->own.state != OWN_OWNER) {
-		HASH_FIND_BSTR(s->waiting, route, w);
+		HASH_FIND_BSTR(s->waiting_counts, route, w);
 		k.waiting = w ? w->count : 0;
 		return k;
 	}
 	k.own = true;
-	k.told_at = book_told_at(s);
+	k.told_at = job_list_as_of(s);
 	TAILQ_FOREACH(j, &s->order, entry)
 		k.waiting += job_waits(j) && bstr_eq(j->route, route);
 	return k;
@@ -133,10 +133,10 @@
 }
 
 /* The age of what this VM would tell a caller now. */
-int64_t counts_age(const struct sched *s)
+int64_t counts_age_ms(const struct sched *s)
 {
-	return count_age(s, s->own.state == OWN_OWNER ? book_told_at(s)
-						      : s->waiting_told_at);
+	return count_age(s, s->own.state == OWN_OWNER ? job_list_as_of(s)
+						      : s->waiting_as_of);
 }
 
 /*
@@ -145,8 +145,8 @@
  * jobs are accepted elsewhere: a caller would be told that none waits while
  * many do.  Such a VM says that it can't tell; others can, or soon will.
  */
-void count_take(struct sched *s, const struct call_in *in,
-		const struct route *r)
+void count_receive(struct sched *s, const struct call_in *in,
+		   const struct route *r)
 {
 	struct known_count k = count_known(s, r->name);
 	int64_t age = count_age(s, k.told_at);
--- a/sched-data.c
+++ b/sched-data.c
@@ -24,9 +24,9 @@
 	if (!b)
 		return;
 	for (i = 0; i < b->step_count; i++) {
-		free(b->steps[i].after);
-		bstr_free(&b->steps[i].label);
-		bstr_free(&b->steps[i].rack);
+		free(b->steps[i].prerequisites);
+		bstr_free(&b->steps[i].required_label);
+		bstr_free(&b->steps[i].data_rack);
 		bstr_free(&b->steps[i].image);
 	}
 	free(b->steps);
@@ -158,15 +158,15 @@
 {
 	size_t i;
 
-	for (i = 0; i < t->expect_count; i++)
-		bstr_free(&t->expect[i].key);
+	for (i = 0; i < t->condition_count; i++)
+		bstr_free(&t->conditions[i].key);
 	for (i = 0; i < t->write_count; i++) {
 		bstr_free(&t->writes[i].key);
 		bstr_free(&t->writes[i].value);
 	}
 	for (i = 0; i < t->remove_count; i++)
 		bstr_free(&t->removes[i].key);
-	free(t->expect);
+	free(t->conditions);
 	free(t->writes);
 	free(t->removes);
 }
--- a/sched-due.c
+++ b/sched-due.c
@@ -11,29 +11,32 @@
  * Reckon the longest chains of expected times from each step to the end of its
  * job, unless that was done lately.  Steps come after those they wait for.
  */
-void job_reckon(struct sched *s, struct job *j)
+void job_estimate_update(struct sched *s, struct job *j)
 {
 	const struct job_body *b = j->body;
-	struct reckoning *r = &j->reckoned;
+	struct job_estimate *r = &j->estimate;
 	int64_t rest[STEPS_MAX] = {0};
 	size_t i, k;
 
-	if (s->now < r->until)
+	if (s->now < r->valid_until)
 		return;
-	r->until = s->now + RECKON_MS;
-	if (!r->chain) {
-		r->chain = xcalloc(b->step_count, sizeof(*r->chain));
-		r->expected = xcalloc(b->step_count, sizeof(*r->expected));
+	r->valid_until = s->now + RECKON_MS;
+	if (!r->remaining_ms) {
+		r->remaining_ms = xcalloc(b->step_count,
+					  sizeof(*r->remaining_ms));
+		r->step_ms = xcalloc(b->step_count, sizeof(*r->step_ms));
 	}
-	r->longest = 0;
+	r->longest_ms = 0;
 	for (i = b->step_count; i-- > 0;) {
-		r->expected[i] = step_expected_ms(s, j, (unsigned)i);
-		r->chain[i] = rest[i] + r->expected[i];
-		if (r->chain[i] > r->longest)
-			r->longest = r->chain[i];
-		for (k = 0; k < b->steps[i].after_count; k++)
-			if (rest[b->steps[i].after[k]] < r->chain[i])
-				rest[b->steps[i].after[k]] = r->chain[i];
+		r->step_ms[i] = step_expected_ms(s, j, (unsigned)i);
+		r->remaining_ms[i] = rest[i] + r->step_ms[i];
+		if (r->remaining_ms[i] > r->longest_ms)
+			r->longest_ms = r->remaining_ms[i];
+		for (k = 0; k < b->steps[i].prerequisite_count; k++)
+			if (rest[b->steps[i].prerequisites[k]] <
+			    r->remaining_ms[i])
+				rest[b->steps[i].prerequisites[k]] =
+					r->remaining_ms[i];
 	}
 }
 
@@ -45,7 +48,7 @@
 
 	if (!b->repeat_count)
 		return o->job->arrived;
-	return s->now - (s->wall - b->first_at - o->k * b->interval_ms);
+	return s->now - (s->wall - b->first_at - o->number * b->interval_ms);
 }
 
 /* How long a job may take, from its time on, by its longest chain. */
@@ -61,7 +64,7 @@
 /* The same of a job that has been reckoned. */
 int64_t job_objective_ms(const struct sched *s, struct job *j)
 {
-	return objective_ms(s, j, j->reckoned.longest);
+	return objective_ms(s, j, j->estimate.longest_ms);
 }
 
 /* When the objective of an occurrence ends, by its longest chain. */
--- a/sched-follow.c
+++ b/sched-follow.c
@@ -42,10 +42,10 @@
 /* How long beyond its wait is a feed's answer waited for? */
 static uint32_t feed_patience(const struct follow *f)
 {
-	if (f->patience_ms < FEED_TIMEOUT_MS)
+	if (f->feed_timeout_ms < FEED_TIMEOUT_MS)
 		return FEED_TIMEOUT_MS;
-	return f->patience_ms < FEED_PATIENCE_MAX_MS ? f->patience_ms
-						     : FEED_PATIENCE_MAX_MS;
+	return f->feed_timeout_ms < FEED_PATIENCE_MAX_MS ? f->feed_timeout_ms
+							 : FEED_PATIENCE_MAX_MS;
 }
 
 /* A feed's answer has come, or not: how long the next one is waited for. */
@@ -56,9 +56,9 @@
 	if (f->table != TABLE_JOBS)
 		return;
 	if (came)
-		f->patience_ms = beyond > 0 ? 2 * (uint32_t)beyond : 0;
+		f->feed_timeout_ms = beyond > 0 ? 2 * (uint32_t)beyond : 0;
 	else if (s->store_ok_at > f->asked_at)
-		f->patience_ms = 2 * feed_patience(f);
+		f->feed_timeout_ms = 2 * feed_patience(f);
 }
 
 /* How many parts of a table are read. */
@@ -72,13 +72,13 @@
 {
 	unsigned i;
 
-	f->whole = f->fed = false;
-	f->reading++;
+	f->complete = f->feed_answered = false;
+	f->reading_serial++;
 	f->revision = 0;
 	for (i = 0; i < JOB_PARTS; i++) {
-		bstr_free(&f->reads[i].from);
-		f->reads[i].whole = f->reads[i].open = false;
-		f->reads[i].first = 0;
+		bstr_free(&f->reads[i].next_key);
+		f->reads[i].complete = f->reads[i].in_flight = false;
+		f->reads[i].first_revision = 0;
 	}
 }
 
@@ -89,16 +89,16 @@
 	struct ask *ask;
 
 	/* Just after a whole reading it tells at once what came meanwhile. */
-	uint32_t wait_ms = f->fed ? f->wait_ms : 0;
+	uint32_t wait_ms = f->feed_answered ? f->wait_ms : 0;
 
-	rq = sched_ask(s, f->feed, ASK_FEED,
+	rq = sched_ask(s, f->feed_purpose, ASK_FEED,
 		       s->now + wait_ms + feed_patience(f), &ask);
 	f->asked_at = s->now;
-	rq->number = f->reading;
+	rq->number = f->reading_serial;
 	ask->range.table = f->table;
 	ask->range.after = f->revision;
 	ask->range.wait_ms = wait_ms;
-	f->open = true;
+	f->feed_in_flight = true;
 	sched_count(s, COUNT_TABLE_READS, 1);
 }
 
@@ -108,14 +108,15 @@
 	struct request *rq;
 	struct ask *ask;
 
-	rq = sched_ask(s, f->get, ASK_GET, s->now + STORE_TIMEOUT_MS, &ask);
-	rq->number = f->reading;
-	rq->k = i;
+	rq = sched_ask(s, f->read_purpose, ASK_GET, s->now + STORE_TIMEOUT_MS,
+		       &ask);
+	rq->number = f->reading_serial;
+	rq->occurrence = i;
 	ask->range.table = f->table;
 	ask->range.part = f->parts ? i + 1 : 0;
 	ask->range.limit = PAGE_ROWS;
-	ask->range.from = bstr_copy(f->reads[i].from);
-	f->reads[i].open = true;
+	ask->range.from = bstr_copy(f->reads[i].next_key);
+	f->reads[i].in_flight = true;
 	sched_count(s, COUNT_TABLE_READS, 1);
 }
 
@@ -124,17 +125,17 @@
 {
 	unsigned i, open = 0;
 
-	if (!f->wanted || s->now < f->again_at)
+	if (!f->wanted || s->now < f->retry_at)
 		return;
-	if (f->whole) {
-		if (!f->open && f->feed != PURPOSE_MAX)
+	if (f->complete) {
+		if (!f->feed_in_flight && f->feed_purpose != PURPOSE_MAX)
 			feed_ask(s, f);
 		return;
 	}
 	for (i = 0; i < follow_parts(f); i++)
-		open += f->reads[i].open;
+		open += f->reads[i].in_flight;
 	for (i = 0; i < follow_parts(f) && open < READS_AT_ONCE; i++) {
-		if (f->reads[i].open || f->reads[i].whole)
+		if (f->reads[i].in_flight || f->reads[i].complete)
 			continue;
 		page_ask(s, f, i);
 		open++;
@@ -158,24 +159,24 @@
 	switch (r->table) {
 	case TABLE_OPERATOR:
 		if (r->kind == ROW_CONFIG)
-			config_take(s, r);
+			config_row_apply(s, r);
 		else if (r->kind == ROW_WAVE)
-			wave_row_take(s, r);
+			wave_row_apply(s, r);
 		break;
 	case TABLE_WORKERS:
-		worker_row_take(s, r);
+		worker_row_apply(s, r);
 		break;
 	case TABLE_JOBS:
-		job_row_take(s, r);
+		job_row_apply(s, r);
 		break;
 	case TABLE_PROGRESS:
-		progress_row_take(s, r);
+		progress_row_apply(s, r);
 		break;
 	case TABLE_OWNER:
-		own_row_take(s, r);
+		own_row_apply(s, r);
 		break;
 	case TABLE_NOTES:
-		note_row_take(s, r);
+		note_row_apply(s, r);
 		break;
 	case TABLE_STATUS:
 	case TABLE_MAX:
@@ -189,7 +190,8 @@
 	size_t i;
 
 	for (i = 0; i < NELEMS(s->follows); i++)
-		if (s->follows[i].get == p || s->follows[i].feed == p)
+		if (s->follows[i].read_purpose == p ||
+		    s->follows[i].feed_purpose == p)
 			return &s->follows[i];
 	return p == FOR_NOTES_GET ? &s->notes : &s->progress;
 }
@@ -204,8 +206,8 @@
 	memcpy(next.bstr_val, last.bstr_val, last.bstr_len);
 	/* A byte 1 is above "just this key" and below every longer one used. */
 	next.bstr_val[last.bstr_len] = 1;
-	bstr_free(&p->from);
-	p->from = next;
+	bstr_free(&p->next_key);
+	p->next_key = next;
 }
 
 /*
@@ -217,71 +219,71 @@
 	unsigned i;
 
 	for (i = 0; i < follow_parts(f); i++)
-		if (!f->reads[i].whole)
+		if (!f->reads[i].complete)
 			return;
-	f->whole = true;
-	f->revision = f->reads[0].first;
+	f->complete = true;
+	f->revision = f->reads[0].first_revision;
 	for (i = 0; i < follow_parts(f); i++) {
-		if (f->reads[i].first < f->revision)
-			f->revision = f->reads[i].first;
-		bstr_free(&f->reads[i].from);
+		if (f->reads[i].first_revision < f->revision)
+			f->revision = f->reads[i].first_revision;
+		bstr_free(&f->reads[i].next_key);
 	}
 	if (f->table == TABLE_WORKERS)
-		worker_sweep(s);
+		workers_unlist_missing(s);
 	if (f->table == TABLE_OWNER && !s->own.known) {
 		s->own.known = true;
-		s->own.heard_at = s->now;
+		s->own.silent_since = s->now;
 	}
-	own_loaded(s);
+	own_table_loaded(s);
 }
 
 /* Take a page. */
 static void page_take(struct sched *s, struct follow *f, struct part_read *p,
 		      const struct answer *a)
 {
-	s->own.read_at = s->now;
-	if (!p->first)
-		p->first = a->revision;
+	s->own.load_progress_at = s->now;
+	if (!p->first_revision)
+		p->first_revision = a->revision;
 	if (a->more && a->row_count) {
 		page_next(p, a);
 		return;
 	}
-	p->whole = true;
+	p->complete = true;
 	follow_whole(s, f);
 }
 
 /* Note how far the feed is. */
 static void feed_take(struct sched *s, struct follow *f, const struct answer *a)
 {
-	f->fed = true;
+	f->feed_answered = true;
 	if (a->revision > f->revision)
 		f->revision = a->revision;
 	/* One that is as long as a page may be cut off: more follows. */
 	if (a->row_count < PAGE_ROWS && !a->more)
-		f->told_at = a->store_clock;
+		f->current_as_of = a->store_clock;
 	if (f->table == TABLE_WORKERS)
-		f->again_at = s->now + WORKERS_FEED_APART_MS;
-	if (f->table == TABLE_OWNER && own_claims_late(s))
-		f->again_at = s->now + OWNER_FEED_APART_MS;
+		f->retry_at = s->now + WORKERS_FEED_APART_MS;
+	if (f->table == TABLE_OWNER && own_defers_claim(s))
+		f->retry_at = s->now + OWNER_FEED_APART_MS;
 }
 
 /* Take a page or a feed's answer. */
 void follow_answer(struct sched *s, struct request *rq, struct answer *a)
 {
 	struct follow *f = follow_of(s, rq->purpose);
-	bool fed = rq->purpose == f->feed;
+	bool fed = rq->purpose == f->feed_purpose;
 	size_t i;
 
 	if (fed)
-		f->open = false;
+		f->feed_in_flight = false;
 	/*
 	 * Also of a table that is not wanted now: this answer is dropped, and
 	 * an owner that wants it again has to ask, or it would read for ever.
 	 */
-	if (!fed && rq->number == f->reading)
-		f->reads[rq->k].open = false;
+	if (!fed && rq->number == f->reading_serial)
+		f->reads[rq->occurrence].in_flight = false;
 	/* Of a reading that was begun anew meanwhile: that one goes on. */
-	if (rq->number != f->reading || !f->wanted) {
+	if (rq->number != f->reading_serial || !f->wanted) {
 		follow_go(s, f);
 		return;
 	}
@@ -295,19 +297,19 @@
 	if (fed)
 		feed_patience_take(s, f, a->outcome == OUT_DONE);
 	if (a->outcome != OUT_DONE) {
-		f->again_at = s->now + STORE_RETRY_MS;
+		f->retry_at = s->now + STORE_RETRY_MS;
 		return;
 	}
 	for (i = 0; i < a->row_count; i++)
 		row_dispatch(s, &a->rows[i]);
 	if (f->table == TABLE_OWNER)
-		own_answered(s);
+		own_reset_silence(s);
 	/* A row may have ended this VM's ownership, and with it the follow. */
-	if (rq->number != f->reading)
+	if (rq->number != f->reading_serial)
 		return;
 	if (fed)
 		feed_take(s, f, a);
 	if (!fed)
-		page_take(s, f, &f->reads[rq->k], a);
+		page_take(s, f, &f->reads[rq->occurrence], a);
 	follow_go(s, f);
 }
--- a/sched-job.c
+++ b/sched-job.c
@@ -32,33 +32,33 @@
 /* The name of a task on its worker: ID.K.STEP.INDEX. */
 bstr task_name(const struct task *t)
 {
-	return bstr_printf("%s.%u.%u.%u", t->occ->job->id, t->occ->k, t->step,
-			   t->index);
+	return bstr_printf("%s.%u.%u.%u", t->occ->job->id, t->occ->number,
+			   t->step, t->index);
 }
 
 /* Find what a job refers to in the configuration in force. */
 static void job_configure(const struct sched *s, struct job *j)
 {
-	if (j->reckoned.config == s->config_count)
+	if (j->estimate.config_serial == s->config_serial)
 		return;
-	j->reckoned.route = route_named(s, j->route);
-	j->reckoned.tenant = tenant_named(s, j->tenant);
-	j->reckoned.pool = NULL; /* the queue may lead to another one */
-	j->reckoned.config = s->config_count;
+	j->estimate.route = route_named(s, j->route);
+	j->estimate.tenant = tenant_named(s, j->tenant);
+	j->estimate.pool = NULL; /* the queue may lead to another one */
+	j->estimate.config_serial = s->config_serial;
 }
 
 /* A job's queue in the configuration in force; NULL: it is not there. */
 const struct route *job_route(const struct sched *s, struct job *j)
 {
 	job_configure(s, j);
-	return j->reckoned.route;
+	return j->estimate.route;
 }
 
 /* A job's organisation there; NULL: it is not there. */
 const struct tenant *job_tenant(const struct sched *s, struct job *j)
 {
 	job_configure(s, j);
-	return j->reckoned.tenant;
+	return j->estimate.tenant;
 }
 
 /* The service whose workers run a job now. */
@@ -92,11 +92,11 @@
 		open++;
 		for (i = 0; i < o->task_count; i++)
 			if (o->tasks[i].phase == PHASE_DONE ||
-			    o->tasks[i].fails ||
+			    o->tasks[i].failure_count ||
 			    o->tasks[i].checkpoint.bstr_len)
 				return true;
 	}
-	return j->next_k > open;
+	return j->next_occurrence > open;
 }
 
 /*
@@ -107,7 +107,7 @@
  */
 bool job_waits(const struct job *j)
 {
-	return j->fate <= JOB_STATUS_RUNNING && !j->ran;
+	return j->status <= JOB_STATUS_RUNNING && !j->run_seen;
 }
 
 /*
@@ -119,29 +119,30 @@
  */
 bool job_begin(struct sched *s, struct job *j)
 {
-	if (j->begun)
+	if (j->start_durable)
 		return true;
-	if (j->fate == JOB_STATUS_QUEUED) {
-		s->load.begins++;
-		j->fate = JOB_STATUS_RUNNING;
-		job_touch(s, j);
+	if (j->status == JOB_STATUS_QUEUED) {
+		s->load.job_starts++;
+		j->status = JOB_STATUS_RUNNING;
+		job_mark_dirty(s, j);
 	}
 	return false;
 }
 
 /* A job's progress as it is has been written. */
-void job_written(struct sched *s, struct job *j)
+void job_mark_durable(struct sched *s, struct job *j)
 {
-	if (j->begun || j->dirty_seq || j->fate != JOB_STATUS_RUNNING)
+	if (j->start_durable || j->dirty_seq || j->status != JOB_STATUS_RUNNING)
 		return;
-	j->begun = true;
-	s->place = true;
+	j->start_durable = true;
+	s->place_due = true;
 }
 
-/* A task goes on to another phase; its step's resting tasks are counted. */
+/* A task goes on to another phase; its step's pending tasks are counted.
+ */
 void task_phase(struct task *t, enum run_phase phase)
 {
-	struct resting *r = &t->occ->resting[t->step];
+	struct pending_tasks *r = &t->occ->pending_tasks[t->step];
 
 	if (t->phase == PHASE_PENDING)
 		r->count--;
@@ -153,17 +154,18 @@
 /* A task is not placed before a time. */
 void task_pause(struct task *t, int64_t until)
 {
-	struct resting *r = &t->occ->resting[t->step];
+	struct pending_tasks *r = &t->occ->pending_tasks[t->step];
 
 	t->not_before = until;
-	if (until > r->pause_until)
-		r->pause_until = until;
+	if (until > r->retry_at_max)
+		r->retry_at_max = until;
 }
 
-/* Since when has a resting task been ready?  0: it is not. */
+/* Since when has a pending task been ready?  0: it is not. */
 int64_t task_ready_at(const struct task *t)
 {
-	return t->ready_at ? t->ready_at : t->occ->resting[t->step].ready_at;
+	return t->ready_at ? t->ready_at
+			   : t->occ->pending_tasks[t->step].ready_at;
 }
 
 /* Make the tasks of an occurrence. */
@@ -176,25 +178,26 @@
 	unsigned n;
 
 	o->job = j;
-	o->k = k;
-	o->left = xcalloc(b->step_count, sizeof(*o->left));
-	o->resting = xcalloc(b->step_count, sizeof(*o->resting));
-	o->first = xcalloc(b->step_count, sizeof(*o->first));
+	o->number = k;
+	o->unfinished_in_step = xcalloc(b->step_count,
+					sizeof(*o->unfinished_in_step));
+	o->pending_tasks = xcalloc(b->step_count, sizeof(*o->pending_tasks));
+	o->first_task = xcalloc(b->step_count, sizeof(*o->first_task));
 	for (i = 0; i < b->step_count; i++) {
-		o->first[i] = o->task_count;
-		o->left[i] = b->steps[i].count;
-		o->resting[i].count = b->steps[i].count;
+		o->first_task[i] = o->task_count;
+		o->unfinished_in_step[i] = b->steps[i].count;
+		o->pending_tasks[i].count = b->steps[i].count;
 		o->task_count += b->steps[i].count;
 	}
-	o->undone = o->task_count;
+	o->unfinished = o->task_count;
 	o->tasks = xcalloc(o->task_count, sizeof(*o->tasks));
 	for (i = 0; i < b->step_count; i++) {
 		for (n = 0; n < b->steps[i].count; n++) {
-			t = &o->tasks[o->first[i] + n];
+			t = &o->tasks[o->first_task[i] + n];
 			t->occ = o;
 			t->step = (unsigned)i;
 			t->index = n;
-			t->pace = 100;
+			t->pace_percent = 100;
 		}
 	}
 	TAILQ_INSERT_TAIL(&j->occs, o, entry);
@@ -209,9 +212,9 @@
 	for (i = 0; i < o->task_count; i++)
 		bstr_free(&o->tasks[i].checkpoint);
 	free(o->tasks);
-	free(o->left);
-	free(o->resting);
-	free(o->first);
+	free(o->unfinished_in_step);
+	free(o->pending_tasks);
+	free(o->first_task);
 	free(o);
 }
 
@@ -224,7 +227,7 @@
 	TAILQ_FOREACH(o, &j->occs, entry) {
 		for (i = 0; i < o->task_count; i++)
 			if (o->tasks[i].worker)
-				task_rest(s, &o->tasks[i]);
+				task_unplace(s, &o->tasks[i]);
 	}
 }
 
@@ -236,8 +239,8 @@
 	job_detach(s, j);
 	if (j->dirty_seq)
 		TAILQ_REMOVE(&s->dirty, j, dirty);
-	else if (j->flying_seq)
-		TAILQ_REMOVE(&s->flying, j, dirty);
+	else if (j->commit_seq)
+		TAILQ_REMOVE(&s->committing_jobs, j, dirty);
 	TAILQ_REMOVE(&s->order, j, entry);
 	HASH_DEL(s->jobs, j);
 	while ((o = TAILQ_FIRST(&j->occs))) {
@@ -248,8 +251,8 @@
 	bstr_free(&j->route);
 	bstr_free(&j->service);
 	job_body_free(j->body);
-	free(j->reckoned.expected);
-	free(j->reckoned.chain);
+	free(j->estimate.step_ms);
+	free(j->estimate.remaining_ms);
 	free(j);
 }
 
@@ -259,20 +262,20 @@
 	const struct job_step *st = &o->job->body->steps[at];
 	size_t i;
 
-	for (i = 0; i < st->after_count; i++)
-		if (o->left[st->after[i]])
+	for (i = 0; i < st->prerequisite_count; i++)
+		if (o->unfinished_in_step[st->prerequisites[i]])
 			return false;
 	return true;
 }
 
 /* A job's progress has changed and is to be written. */
-void job_touch(struct sched *s, struct job *j)
+void job_mark_dirty(struct sched *s, struct job *j)
 {
-	if (j->dirty_seq || j->again_seq)
+	if (j->dirty_seq || j->recommit_seq)
 		return;
 	/* In the commit under way: it is written once more after that. */
-	if (j->flying_seq) {
-		j->again_seq = ++s->dirty_seq;
+	if (j->commit_seq) {
+		j->recommit_seq = ++s->dirty_seq;
 		return;
 	}
 	j->dirty_seq = ++s->dirty_seq;
@@ -291,13 +294,13 @@
 	memcpy(r->id, id, JOB_ID_BYTES);
 	r->ended = ended ? ended : s->wall;
 	HASH_ADD(hh, s->retired, id, JOB_ID_BYTES, r);
-	TAILQ_INSERT_TAIL(&s->retirees, r, entry);
+	TAILQ_INSERT_TAIL(&s->retired_order, r, entry);
 }
 
 /* Forget a final job. */
 void job_unretire(struct sched *s, struct retired *r)
 {
-	TAILQ_REMOVE(&s->retirees, r, entry);
+	TAILQ_REMOVE(&s->retired_order, r, entry);
 	if (s->retired)
 		HASH_DEL(s->retired, r);
 	free(r);
@@ -319,9 +322,9 @@
 /* Give a job its final state. */
 static void job_finish(struct sched *s, struct job *j, enum job_status fate)
 {
-	if (j->fate > JOB_STATUS_RUNNING)
+	if (j->status > JOB_STATUS_RUNNING)
 		return;
-	j->fate = fate;
+	j->status = fate;
 	j->ended = s->wall;
 	sched_count(s,
 		    fate == JOB_STATUS_COMPLETED ? COUNT_JOBS_DONE
@@ -336,8 +339,8 @@
 	if (!j->inherited)
 		sched_observe(s, HISTOGRAM_JOB, s->now - j->arrived);
 	job_stop(s, j);
-	job_touch(s, j);
-	s->place = true;
+	job_mark_dirty(s, j);
+	s->place_due = true;
 }
 
 /*
@@ -351,9 +354,9 @@
 }
 
 /* A final job whose state is durable and that runs nowhere is forgotten. */
-void job_settle(struct sched *s, struct job *j)
+void job_retire_if_done(struct sched *s, struct job *j)
 {
-	if (j->fate <= JOB_STATUS_RUNNING || j->dirty_seq || j->flying_seq ||
+	if (j->status <= JOB_STATUS_RUNNING || j->dirty_seq || j->commit_seq ||
 	    j->placed || job_may_show_up(s, j))
 		return;
 	job_retire(s, j->id, j->ended);
@@ -365,7 +368,7 @@
 {
 	unsigned times = j->body->repeat_count ? j->body->repeat_count : 1;
 
-	return j->next_k >= times && TAILQ_EMPTY(&j->occs);
+	return j->next_occurrence >= times && TAILQ_EMPTY(&j->occs);
 }
 
 /* Make the occurrences that are due. */
@@ -374,23 +377,24 @@
 	const struct job_body *b = j->body;
 	int64_t due;
 
-	if (j->fate > JOB_STATUS_RUNNING)
+	if (j->status > JOB_STATUS_RUNNING)
 		return;
 	if (!b->repeat_count) {
-		if (!j->next_k) {
+		if (!j->next_occurrence) {
 			job_make_occurrence(j, 0);
-			j->next_k = 1;
-			s->place = true;
+			j->next_occurrence = 1;
+			s->place_due = true;
 		}
 		return;
 	}
-	while (j->next_k < b->repeat_count) {
-		due = b->first_at + (int64_t)j->next_k * b->interval_ms;
+	while (j->next_occurrence < b->repeat_count) {
+		due = b->first_at +
+		      (int64_t)j->next_occurrence * b->interval_ms;
 		if (s->wall < due + DUE_SLACK_MS)
 			return;
-		job_make_occurrence(j, j->next_k++);
-		s->place = true;
-		job_touch(s, j);
+		job_make_occurrence(j, j->next_occurrence++);
+		s->place_due = true;
+		job_mark_dirty(s, j);
 	}
 }
 
@@ -410,14 +414,14 @@
 {
 	struct job *j = sched_job_find(s, id);
 
-	if (!j || j->fate > JOB_STATUS_RUNNING)
+	if (!j || j->status > JOB_STATUS_RUNNING)
 		return;
 	sched_log(s, LOG_JOB_CANCEL, "job=%s placed=%u", id, j->placed);
 	job_finish(s, j, JOB_STATUS_CANCELLED);
 }
 
 /* A row of a job, or of its cancel. */
-void job_row_take(struct sched *s, struct row *r)
+void job_row_apply(struct sched *s, struct row *r)
 {
 	char id[JOB_ID_BYTES + 1] = "";
 	struct retired *done;
@@ -448,7 +452,7 @@
 }
 
 /* A row of progress, read at a takeover after the jobs' rows. */
-void progress_row_take(struct sched *s, struct row *r)
+void progress_row_apply(struct sched *s, struct row *r)
 {
 	char id[JOB_ID_BYTES + 1] = "";
 	enum job_status fate;
@@ -456,7 +460,7 @@
 	int64_t ended;
 	bstr tenant;
 
-	if (r->removed || commit_row_take(s, r) || r->kind == ROW_BAD ||
+	if (r->removed || commit_row_apply(s, r) || r->kind == ROW_BAD ||
 	    r->key.bstr_len != JOB_ID_BYTES)
 		return;
 	memcpy(id, r->key.bstr_val, JOB_ID_BYTES);
@@ -469,18 +473,18 @@
 	if (fate > JOB_STATUS_RUNNING) {
 		job_retire(s, id, ended);
 		if (j && j->inherited) {
-			j->fate = fate;
+			j->status = fate;
 			j->ended = ended;
 		}
 		return;
 	}
-	if (j && j->inherited && TAILQ_EMPTY(&j->occs) && !j->next_k &&
-	    j->fate <= JOB_STATUS_RUNNING) {
+	if (j && j->inherited && TAILQ_EMPTY(&j->occs) && !j->next_occurrence &&
+	    j->status <= JOB_STATUS_RUNNING) {
 		progress_apply(j, r->value);
-		j->ran = progress_has_run(j);
+		j->run_seen = progress_has_run(j);
 	}
-	if (j && j->inherited && j->fate == JOB_STATUS_RUNNING)
-		j->begun = j->ran_before = true;
+	if (j && j->inherited && j->status == JOB_STATUS_RUNNING)
+		j->start_durable = j->start_was_durable = true;
 }
 
 /* A task has ended as done. */
@@ -492,10 +496,10 @@
 	if (t->phase == PHASE_DONE)
 		return;
 	task_phase(t, PHASE_DONE);
-	o->left[t->step]--;
-	o->undone--;
-	job_touch(s, j);
-	if (o->undone)
+	o->unfinished_in_step[t->step]--;
+	o->unfinished--;
+	job_mark_dirty(s, j);
+	if (o->unfinished)
 		return;
 	TAILQ_REMOVE(&j->occs, o, entry);
 	occurrence_free(o);
@@ -518,9 +522,9 @@
 	unsigned i, n = 0;
 
 	if (!task_step(t)->gang)
-		return t->fails;
+		return t->failure_count;
 	for (i = 0; i < task_step(t)->count; i++)
-		n += o->tasks[o->first[t->step] + i].fails;
+		n += o->tasks[o->first_task[t->step] + i].failure_count;
 	return n;
 }
 
@@ -529,8 +533,8 @@
 {
 	unsigned i;
 
-	for (i = 0; i < t->fails && i < FAILED_RUNS_MAX; i++)
-		if (t->failed[i] == run)
+	for (i = 0; i < t->failure_count && i < FAILED_RUNS_MAX; i++)
+		if (t->failed_runs[i] == run)
 			return true;
 	return false;
 }
@@ -546,11 +550,11 @@
 
 	if (failure_is_known(t, run))
 		return;
-	if (t->fails < FAILED_RUNS_MAX)
-		t->failed[t->fails] = run;
-	t->fails++;
-	job_touch(s, j);
-	if (task_step(t)->lasts)
+	if (t->failure_count < FAILED_RUNS_MAX)
+		t->failed_runs[t->failure_count] = run;
+	t->failure_count++;
+	job_mark_dirty(s, j);
+	if (task_step(t)->long_running)
 		return;
 	if (task_failures(t) >= job_attempts(s, j))
 		job_finish(s, j, JOB_STATUS_FAILED);
@@ -562,7 +566,7 @@
 	struct occurrence *o;
 
 	TAILQ_FOREACH(o, &j->occs, entry)
-		if (o->k == k)
+		if (o->number == k)
 			return o;
 	return NULL;
 }
@@ -578,14 +582,14 @@
 
 	if (k >= times)
 		return;
-	if (j->fate > JOB_STATUS_RUNNING) {
+	if (j->status > JOB_STATUS_RUNNING) {
 		if (job_may_show_up(s, j) && !occurrence_find(j, k))
 			job_make_occurrence(j, k);
 		return;
 	}
-	while (j->next_k <= k) {
-		job_make_occurrence(j, j->next_k++);
-		job_touch(s, j);
+	while (j->next_occurrence <= k) {
+		job_make_occurrence(j, j->next_occurrence++);
+		job_mark_dirty(s, j);
 	}
 }
 
@@ -632,7 +636,7 @@
 		return NULL;
 	job_catch_up(s, *job, k);
 	o = occurrence_find(*job, k);
-	return o ? &o->tasks[o->first[number] + index] : NULL;
+	return o ? &o->tasks[o->first_task[number] + index] : NULL;
 }
 
 /*
@@ -648,7 +652,7 @@
 	unsigned n = 0;
 	bstr key;
 
-	TAILQ_FOREACH(r, &s->retirees, entry) {
+	TAILQ_FOREACH(r, &s->retired_order, entry) {
 		if (n++ == SWEEP_JOBS_MAX || r->removing ||
 		    s->wall - r->ended <= s->options.keep_ms)
 			break;
@@ -677,10 +681,10 @@
 		return;
 	for (j = TAILQ_FIRST(&s->order); j; j = next) {
 		next = TAILQ_NEXT(j, entry);
-		if (!j->next_k || j->body->repeat_count)
+		if (!j->next_occurrence || j->body->repeat_count)
 			job_due(s, j);
-		job_settle(s, j);
+		job_retire_if_done(s, j);
 	}
-	if (s->now >= s->sweep_at && own_acts(s))
+	if (s->now >= s->sweep_at && own_may_order(s))
 		job_sweep(s);
 }
--- a/sched-learn.c
+++ b/sched-learn.c
@@ -17,32 +17,32 @@
 /* Older runs fade, so that the mean follows a change within some hundred. */
 #define COUNT_MAX 300
 
-/* The lesson of a route. */
-static struct lesson *lesson_of(struct sched *s, bstr route)
+/* The learnt_time of a route. */
+static struct learnt_time *lesson_of(struct sched *s, bstr route)
 {
-	struct lesson *l;
+	struct learnt_time *l;
 
-	HASH_FIND_BSTR(s->lessons, route, l);
+	HASH_FIND_BSTR(s->learnt_times, route, l);
 	if (l)
 		return l;
 	l = xcalloc(1, sizeof(*l));
 	l->route = bstr_copy(route);
-	HASH_ADD_BSTR(s->lessons, route, l);
+	HASH_ADD_BSTR(s->learnt_times, route, l);
 	return l;
 }
 
 /* A run has ended as done: it took from its start until now. */
-void learn_run(struct sched *s, const struct task *t)
+void learn_run_time(struct sched *s, const struct task *t)
 {
-	struct lesson *l = lesson_of(s, t->occ->job->route);
-	double ms = (double)(s->now - t->begun_at);
+	struct learnt_time *l = lesson_of(s, t->occ->job->route);
+	double ms = (double)(s->now - t->started_at);
 
 	/* Lasting work has no time; a resumed run shows only its rest. */
-	if (task_step(t)->lasts || t->checkpoint.bstr_len || ms < 1)
+	if (task_step(t)->long_running || t->checkpoint.bstr_len || ms < 1)
 		return;
-	if (l->count < COUNT_MAX)
-		l->count++;
-	l->log_ms += (log(ms) - l->log_ms) / l->count;
+	if (l->weight < COUNT_MAX)
+		l->weight++;
+	l->mean_log_ms += (log(ms) - l->mean_log_ms) / l->weight;
 }
 
 /* How long a task of a step is expected to take. */
@@ -50,21 +50,21 @@
 {
 	const struct job_step *st = &j->body->steps[at];
 	double declared = st->estimated_ms ? st->estimated_ms : 1;
-	struct lesson *l = lesson_of(s, j->route);
+	struct learnt_time *l = lesson_of(s, j->route);
 
-	if (l->count < 1 || !policy_on(s, POLICY_LEARNING))
+	if (l->weight < 1 || !policy_is_enabled(s, POLICY_LEARNING))
 		return (int64_t)declared;
 	return (int64_t)exp(DECLARED_SHARE * log(declared) +
-			    (1 - DECLARED_SHARE) * l->log_ms);
+			    (1 - DECLARED_SHARE) * l->mean_log_ms);
 }
 
 /* Free the lessons. */
-void lessons_free(struct sched *s)
+void learnt_times_free(struct sched *s)
 {
-	struct lesson *l, *next;
+	struct learnt_time *l, *next;
 
-	HASH_ITER(hh, s->lessons, l, next) {
-		HASH_DEL(s->lessons, l);
+	HASH_ITER(hh, s->learnt_times, l, next) {
+		HASH_DEL(s->learnt_times, l);
 		bstr_free(&l->route);
 		free(l);
 	}
--- a/sched-limit.c
+++ b/sched-limit.c
@@ -35,9 +35,9 @@
 /* The account of a job's organisation. */
 struct usage *job_usage(struct sched *s, struct job *j)
 {
-	if (!j->reckoned.usage)
-		j->reckoned.usage = usage_of(s, j->tenant);
-	return j->reckoned.usage;
+	if (!j->estimate.usage)
+		j->estimate.usage = usage_of(s, j->tenant);
+	return j->estimate.usage;
 }
 
 /* Count a run, or count it no more. */
@@ -50,11 +50,11 @@
 }
 
 /* A run of before was found: it is part of what the old ceiling allowed. */
-void usage_found(struct sched *s, const struct task *t)
+void usage_add_found(struct sched *s, const struct task *t)
 {
 	struct usage *u = job_usage(s, t->occ->job);
 
-	u->found = size_add(u->found, task_step(t)->need);
+	u->inherited_found = size_add(u->inherited_found, task_step(t)->need);
 }
 
 /*
@@ -85,10 +85,11 @@
 	const json_t *row = json_object_get(s->own.ceilings, name);
 
 	free(name);
-	u->told = (struct size){json_integer_value(json_array_get(row, 0)),
-				json_integer_value(json_array_get(row, 1)),
-				json_integer_value(json_array_get(row, 2))};
-	u->told_read = true;
+	u->inherited_ceiling = (struct size){
+		json_integer_value(json_array_get(row, 0)),
+		json_integer_value(json_array_get(row, 1)),
+		json_integer_value(json_array_get(row, 2))};
+	u->inherited_known = true;
 }
 
 /* What an earlier owner may have running that was not found yet. */
@@ -98,9 +99,9 @@
 
 	if (s->settled)
 		return hidden;
-	if (!u->told_read)
+	if (!u->inherited_known)
 		usage_inherit(s, u);
-	hidden = size_sub(u->told, u->found);
+	hidden = size_sub(u->inherited_ceiling, u->inherited_found);
 	return size_sub(hidden, size_min(hidden, zero));
 }
 
@@ -138,15 +139,15 @@
 		t = tenant_named(s, u->tenant);
 		if (!t)
 			continue;
-		u->next = (struct size){
+		u->next_ceiling = (struct size){
 			ceiling_one(u->used.cpu, u->wanted.cpu, t->maximum.cpu),
 			ceiling_one(u->used.memory, u->wanted.memory,
 				    t->maximum.memory),
 			ceiling_one(u->used.gpus, u->wanted.gpus,
 				    t->maximum.gpus)};
-		u->ceiling = size_min(u->ceiling, u->next);
-		u->telling = true;
-		told = size_add(u->next, usage_hidden(s, u));
+		u->ceiling = size_min(u->ceiling, u->next_ceiling);
+		u->ceiling_in_flight = true;
+		told = size_add(u->next_ceiling, usage_hidden(s, u));
 		name = bstr_cstr(u->tenant);
 		json_object_set_new(row, name,
 				    json_pack("[I, I, I]", (json_int_t)told.cpu,
@@ -158,16 +159,16 @@
 }
 
 /* The store knows the ceilings of the last beat. */
-void ceilings_told(struct sched *s)
+void ceilings_published(struct sched *s)
 {
 	struct usage *u;
 
 	for (u = s->usage; u; u = u->hh.next) {
-		if (!u->telling)
+		if (!u->ceiling_in_flight)
 			continue;
-		u->telling = false;
-		u->ceiling = u->next;
-		s->place = true;
+		u->ceiling_in_flight = false;
+		u->ceiling = u->next_ceiling;
+		s->place_due = true;
 	}
 }
 
@@ -202,7 +203,7 @@
 		return PENDING_NONE;
 	/* Have the next beat raise it. */
 	u->wanted = st->need;
-	s->own.beat_at = s->now;
+	s->own.heartbeat_at = s->now;
 	return PENDING_CEILING;
 }
 
--- a/sched-load.c
+++ b/sched-load.c
@@ -9,25 +9,26 @@
 #define LOAD_TOLD_MS 1000
 
 /* A worker has answered a look; how long was it since the one before? */
-void load_hold(struct sched *s, const struct worker *w, const struct answer *a)
+void load_add_poll(struct sched *s, const struct worker *w,
+		   const struct answer *a)
 {
 	int64_t gap = s->now - w->answered_at;
 
-	s->load.holds++;
+	s->load.polls++;
 	s->load.ends += (unsigned)a->ended_count;
 	if (w->fenced && !TAILQ_EMPTY(&w->tasks)) {
-		s->load.gaps++;
-		s->load.gap_ms += gap;
+		s->load.poll_gaps++;
+		s->load.poll_gap_ms += gap;
 	}
 }
 
 /* A commit of so many rows has been answered. */
-void load_commit(struct sched *s, unsigned rows, int64_t ms)
+void load_add_commit(struct sched *s, unsigned rows, int64_t ms)
 {
 	s->load.commits++;
 	s->load.rows += rows;
-	if (ms > s->load.commit_ms)
-		s->load.commit_ms = ms;
+	if (ms > s->load.commit_ms_max)
+		s->load.commit_ms_max = ms;
 }
 
 /* Jobs whose progress is to be written. */
@@ -46,7 +47,7 @@
 {
 	struct load *l = &s->load;
 
-	if (s->now < l->tell_at)
+	if (s->now < l->log_at)
 		return;
 	if (s->own.state == OWN_OWNER && (l->starts || l->ends))
 		sched_log(s, LOG_OWNER_LOAD,
@@ -54,11 +55,14 @@
 			  "holds=%u "
 			  "gap_ms=%lld ends=%u commits=%u rows=%u "
 			  "commit_ms=%lld unwritten=%u flying=%u window=%u",
-			  HASH_COUNT(s->jobs), l->looks, l->begins, l->starts,
-			  l->slow, l->holds,
-			  (long long)(l->gaps ? l->gap_ms / l->gaps : 0),
-			  l->ends, l->commits, l->rows, (long long)l->commit_ms,
-			  dirty_jobs(s), l->most_flying,
+			  HASH_COUNT(s->jobs), l->place_passes, l->job_starts,
+			  l->starts, l->slow_starts, l->polls,
+			  (long long)(l->poll_gaps
+					      ? l->poll_gap_ms / l->poll_gaps
+					      : 0),
+			  l->ends, l->commits, l->rows,
+			  (long long)l->commit_ms_max, dirty_jobs(s),
+			  l->starts_in_flight_max,
 			  s->start_window / START_WINDOW_UNIT);
-	*l = (struct load){.tell_at = s->now + LOAD_TOLD_MS};
+	*l = (struct load){.log_at = s->now + LOAD_TOLD_MS};
 }
--- a/sched-move.c
+++ b/sched-move.c
@@ -111,7 +111,7 @@
 
 	HASH_ITER(hh, s->workers, w, next) {
 		p = balance_find(b, w->row.service);
-		if (!p || !(worker_is_well(s, w) || worker_may_answer(s, w)))
+		if (!p || !(worker_is_healthy(s, w) || worker_may_answer(s, w)))
 			continue;
 		p->workers++;
 		p->largest = size_most(p->largest, w->row.capacity);
@@ -119,8 +119,9 @@
 		p->used += (double)w->used.cpu;
 		if (w->fenced && TAILQ_EMPTY(&w->tasks))
 			p->empty++;
-		TAILQ_FOREACH(t, &w->tasks, on)
-			if (task_step(t)->lasts && !task_step(t)->fills)
+		TAILQ_FOREACH(t, &w->tasks, worker_entry)
+			if (task_step(t)->long_running &&
+			    !task_step(t)->best_effort)
 				p->lasting += (double)task_step(t)->need.cpu;
 	}
 }
@@ -133,22 +134,22 @@
 	double one;
 	unsigned i;
 
-	job_reckon(s, o->job);
+	job_estimate_update(s, o->job);
 	for (i = 0; i < o->job->body->step_count; i++, st++) {
-		if (st->lasts || st->fills)
+		if (st->long_running || st->best_effort)
 			continue;
 		one = (double)st->need.cpu *
-		      (double)o->job->reckoned.expected[i];
-		p->work += one * o->left[i];
+		      (double)o->job->estimate.step_ms[i];
+		p->work += one * o->unfinished_in_step[i];
 		if (step_ready(o, i))
-			p->waiting += one * o->resting[i].count;
+			p->waiting += one * o->pending_tasks[i].count;
 	}
 }
 
 /* Is it room alone that a job's tasks wait for? */
 static bool job_queues(const struct job *j)
 {
-	switch (j->hold) {
+	switch (j->pending_reason) {
 	case PENDING_LIMIT:
 	case PENDING_CEILING:
 	case PENDING_CONSTRAINTS:
@@ -169,9 +170,11 @@
 	unsigned i;
 
 	for (i = 0; i < j->body->step_count; i++, st++)
-		if (!st->lasts && !st->fills && size_fits(st->need, p->largest))
+		if (!st->long_running && !st->best_effort &&
+		    size_fits(st->need, p->largest))
 			queued += (double)st->need.cpu *
-				  (double)j->reckoned.expected[i] * o->left[i];
+				  (double)j->estimate.step_ms[i] *
+				  o->unfinished_in_step[i];
 	if (queued <= 0)
 		return;
 	p->queued += queued;
@@ -187,9 +190,9 @@
 	unsigned i, k, n = 0;
 
 	for (i = 0; i < o->job->body->step_count; i++, st++) {
-		if (!st->lasts || !o->resting[i].count)
+		if (!st->long_running || !o->pending_tasks[i].count)
 			continue;
-		t = &o->tasks[o->first[i]];
+		t = &o->tasks[o->first_task[i]];
 		for (k = 0; k < st->count; k++, t++)
 			if (t->phase == PHASE_PENDING && task_ready_at(t) &&
 			    s->now - task_ready_at(t) > STRANDED_MS)
@@ -206,7 +209,7 @@
 	struct job *j;
 
 	TAILQ_FOREACH(j, &s->order, entry) {
-		if (j->fate > JOB_STATUS_RUNNING)
+		if (j->status > JOB_STATUS_RUNNING)
 			continue;
 		p = balance_find(b, job_service(s, j));
 		if (!p)
@@ -272,13 +275,13 @@
 	const struct service *pool = service_named(s, m->pool);
 
 	if (m->state != MACHINE_UP || s->now < m->moving_until ||
-	    s->now < m->again_at)
+	    s->now < m->retry_at)
 		return false;
 	if (pool && pool->standby)
 		return true;
 	return w && w->fenced && TAILQ_EMPTY(&w->tasks) &&
 	       worker_ends_durable(w) && w->listed && !w->row.draining &&
-	       !w->leaving && s->now - w->idle_at >= since;
+	       !w->takedown_pending && s->now - w->idle_since >= since;
 }
 
 /* Move a machine. */
@@ -291,7 +294,7 @@
 	struct ask *ask;
 
 	rq = sched_ask(s, FOR_MOVE, ASK_MOVE,
-		       own_alone_until(s, s->now + MOVE_TIMEOUT_MS), &ask);
+		       own_exclusive_until(s, s->now + MOVE_TIMEOUT_MS), &ask);
 	rq->name = bstr_copy(m->id);
 	ask->order.machine = bstr_copy(m->id);
 	ask->order.pool = bstr_copy(to->service->name);
@@ -300,7 +303,7 @@
 	bstr_set(&m->moving_to, to->service->name);
 	m->moving_until = s->now + MOVE_TIMEOUT_MS + s->options.move_ms;
 	if (w)
-		w->leaving = true;
+		w->takedown_pending = true;
 	sched_log(s, LOG_MACHINE_MOVED,
 		  "machine=%.*s worker=%.*s from=%.*s to=%.*s why=%s",
 		  BSTR_ARG(m->id), BSTR_ARG(m->worker), BSTR_ARG(m->pool),
@@ -397,7 +400,7 @@
 /* Bring machines to the pool that needs them most. */
 static unsigned moves_in(struct sched *s, struct balances *b, double one)
 {
-	double lent = policy_on(s, POLICY_LENDING) ? LENT_SHARE : 0;
+	double lent = policy_is_enabled(s, POLICY_LENDING) ? LENT_SHARE : 0;
 	unsigned n, most = moves_at_once(s);
 	struct balance *worst;
 	struct idle *list, *spare;
@@ -442,7 +445,7 @@
 {
 	struct machine *m, *next;
 	struct balance *from, *standby = NULL, *to;
-	int64_t stay = policy_on(s, POLICY_IDLE_STAY) ? IDLE_MS : 0;
+	int64_t stay = policy_is_enabled(s, POLICY_IDLE_STAY) ? IDLE_MS : 0;
 	unsigned n = 0, most = moves_at_once(s);
 	size_t i;
 
@@ -483,7 +486,7 @@
 static unsigned home_size(const struct sched *s, bstr pool)
 {
 	char *name = bstr_cstr(pool);
-	json_int_t n = json_integer_value(json_object_get(s->homes, name));
+	json_int_t n = json_integer_value(json_object_get(s->home_sizes, name));
 
 	free(name);
 	return (unsigned)n;
@@ -503,9 +506,9 @@
 	const struct balance *p;
 	size_t i;
 
-	if (s->now < s->told_at)
+	if (s->now < s->pool_log_at)
 		return;
-	s->told_at = s->now + POOL_TOLD_MS;
+	s->pool_log_at = s->now + POOL_TOLD_MS;
 	for (i = 0; i < b->count; i++) {
 		p = &b->list[i];
 		if (!p->routed)
@@ -533,7 +536,8 @@
 	admissions_free(s);
 	for (i = 0; i < b->count; i++) {
 		p = &b->list[i];
-		if (p->routed && p->jobs && policy_on(s, POLICY_ADMISSION))
+		if (p->routed && p->jobs &&
+		    policy_is_enabled(s, POLICY_ADMISSION))
 			admission_set(s, p->service->name, queue_ms(p, one),
 				      p->objectives / p->jobs);
 	}
@@ -544,25 +548,25 @@
 {
 	size_t i;
 
-	drains_free(s);
-	s->drains = xcalloc(b->count + 1, sizeof(*s->drains));
-	s->drain_count = b->count;
+	backlogs_free(s);
+	s->backlogs = xcalloc(b->count + 1, sizeof(*s->backlogs));
+	s->backlog_count = b->count;
 	for (i = 0; i < b->count; i++) {
-		s->drains[i].pool = bstr_copy(b->list[i].service->name);
-		s->drains[i].ms = drain_ms(&b->list[i], one);
+		s->backlogs[i].pool = bstr_copy(b->list[i].service->name);
+		s->backlogs[i].duration_ms = drain_ms(&b->list[i], one);
 	}
 }
 
 /* Forget it. */
-void drains_free(struct sched *s)
+void backlogs_free(struct sched *s)
 {
 	size_t i;
 
-	for (i = 0; i < s->drain_count; i++)
-		bstr_free(&s->drains[i].pool);
-	free(s->drains);
-	s->drains = NULL;
-	s->drain_count = 0;
+	for (i = 0; i < s->backlog_count; i++)
+		bstr_free(&s->backlogs[i].pool);
+	free(s->backlogs);
+	s->backlogs = NULL;
+	s->backlog_count = 0;
 }
 
 /*
@@ -573,11 +577,11 @@
 {
 	size_t i;
 
-	if (!s->drains)
+	if (!s->backlogs)
 		return true;
-	for (i = 0; i < s->drain_count; i++)
-		if (bstr_eq(s->drains[i].pool, pool))
-			return s->drains[i].ms > DRAIN_LOW_MS;
+	for (i = 0; i < s->backlog_count; i++)
+		if (bstr_eq(s->backlogs[i].pool, pool))
+			return s->backlogs[i].duration_ms > DRAIN_LOW_MS;
 	return false;
 }
 
@@ -592,8 +596,8 @@
 	double one;
 	size_t i;
 
-	if (!own_alone(s) || !s->list_whole || !s->homes_told || !s->config ||
-	    s->now < s->move_at)
+	if (!own_is_exclusive(s) || !s->list_complete ||
+	    !s->home_sizes_durable || !s->config || s->now < s->move_at)
 		return;
 	s->move_at = s->now + MOVE_EVERY_MS;
 	b.count = s->config->service_count;
@@ -611,7 +615,7 @@
 	balances_log(s, &b, one);
 	drains_keep(s, &b, one);
 	admissions_make(s, &b, one);
-	if (!policy_on(s, POLICY_MOVES) || !moves_in(s, &b, one))
+	if (!policy_is_enabled(s, POLICY_MOVES) || !moves_in(s, &b, one))
 		moves_out(s, &b, one);
 	free(b.list);
 }
@@ -631,16 +635,16 @@
 		m->state = MACHINE_MOVING;
 		if (w) {
 			worker_lost(s, w, "moved");
-			worker_gone(s, w);
+			worker_set_gone(s, w);
 			w->listed = false;
 		}
 		return;
 	}
-	m->again_at = s->now + MOVE_AGAIN_MS;
+	m->retry_at = s->now + MOVE_AGAIN_MS;
 	/* Without an answer it may have been moved, or be moved later. */
 	if (a->outcome == OUT_UNKNOWN)
 		return;
 	m->moving_until = 0;
 	if (w)
-		w->leaving = false;
+		w->takedown_pending = false;
 }
--- a/sched-note.c
+++ b/sched-note.c
@@ -16,7 +16,7 @@
  */
 static bool worker_is_bare(const struct worker *w)
 {
-	return w->gone || (w->leaving && TAILQ_EMPTY(&w->tasks));
+	return w->gone || (w->takedown_pending && TAILQ_EMPTY(&w->tasks));
 }
 
 /*
@@ -28,9 +28,9 @@
  * hold.  True: the note is to be written.  Not while the owner loads: what the
  * one before it noted may not have been read.
  */
-bool workers_note(struct sched *s)
+bool workers_note_is_due(struct sched *s)
 {
-	bool due = s->now >= s->note_at, any = due && s->note_names_freed;
+	bool due = s->now >= s->note_at, any = due && s->note_has_gone_worker;
 	struct worker *w, *next;
 
 	if (s->own.state != OWN_OWNER)
@@ -38,28 +38,28 @@
 	HASH_ITER(hh, s->workers, w, next)
 		any = any || (worker_is_bare(w) ? due && w->noted : !w->noted);
 	HASH_ITER(hh, s->workers, w, next) {
-		w->noting = any && !worker_is_bare(w);
+		w->note_in_flight = any && !worker_is_bare(w);
 		/* If it stays, it is noted anew before it gets work. */
 		if (any && worker_is_bare(w))
 			w->noted = false;
 	}
 	if (any) {
 		s->note_at = s->now + NOTE_AGAIN_MS;
-		s->note_names_freed = false;
+		s->note_has_gone_worker = false;
 	}
 	return any;
 }
 
 /* What was to be noted is. */
-void workers_noted(struct sched *s)
+void workers_note_written(struct sched *s)
 {
 	struct worker *w, *next;
 
 	HASH_ITER(hh, s->workers, w, next) {
-		if (!w->noting || w->noted)
+		if (!w->note_in_flight || w->noted)
 			continue;
 		w->noted = true;
-		s->place = true;
+		s->place_due = true;
 	}
 }
 
--- a/sched-order.c
+++ b/sched-order.c
@@ -15,11 +15,11 @@
 #define ROOM_AGAIN_MS 100
 
 /* What a step's task takes of a worker; one that fills uses only idle cores. */
-struct size step_room(const struct job_step *st)
+struct size step_need(const struct job_step *st)
 {
 	struct size need = st->need;
 
-	if (st->fills)
+	if (st->best_effort)
 		need.cpu = 0;
 	return need;
 }
@@ -40,25 +40,25 @@
  * opened anew, which costs more processor, and it never gets out of that.  With
  * the window it orders what it can, and the rest waits to be ordered.
  */
-bool starts_are_full(const struct sched *s)
+bool start_window_is_full(const struct sched *s)
 {
-	return s->starts_flying * START_WINDOW_UNIT >= s->start_window;
+	return s->starts_in_flight * START_WINDOW_UNIT >= s->start_window;
 }
 
 /* A start was answered by its worker: it took so long with all that waited. */
-void start_window_take(struct sched *s, int64_t ms)
+void start_window_update(struct sched *s, int64_t ms)
 {
-	s->load.slow += ms > START_SLOW_MS;
+	s->load.slow_starts += ms > START_SLOW_MS;
 	if (ms <= START_SLOW_MS) {
 		if (s->start_window < WINDOW_MOST)
 			s->start_window++;
 		return;
 	}
-	if (s->now < s->window_cut_at + WINDOW_CUT_MS)
+	if (s->now < s->start_window_cut_at + WINDOW_CUT_MS)
 		return;
-	s->window_cut_at = s->now;
-	if (s->start_window > s->starts_flying * START_WINDOW_UNIT)
-		s->start_window = s->starts_flying * START_WINDOW_UNIT;
+	s->start_window_cut_at = s->now;
+	if (s->start_window > s->starts_in_flight * START_WINDOW_UNIT)
+		s->start_window = s->starts_in_flight * START_WINDOW_UNIT;
 	s->start_window -= s->start_window / 4;
 	if (s->start_window < WINDOW_LEAST)
 		s->start_window = WINDOW_LEAST;
@@ -72,16 +72,16 @@
 
 	t->worker = w;
 	t->run = run;
-	t->list = 0;
-	if (run > t->top_run)
-		t->top_run = run;
+	t->last_list = 0;
+	if (run > t->highest_run)
+		t->highest_run = run;
 	t->stopping = false;
-	t->pace = 100;
+	t->pace_percent = 100;
 	t->percent = 0;
-	t->figure = 0;
-	t->begun_at = s->now;
-	TAILQ_INSERT_TAIL(&w->tasks, t, on);
-	w->used = size_add(w->used, step_room(task_step(t)));
+	t->load_figure = 0;
+	t->started_at = s->now;
+	TAILQ_INSERT_TAIL(&w->tasks, t, worker_entry);
+	w->used = size_add(w->used, step_need(task_step(t)));
 	usage_add(s, t, 1);
 	j->placed++;
 	if (!j->starts++ && !j->inherited)
@@ -89,23 +89,23 @@
 }
 
 /* A task is nowhere now. */
-void task_rest(struct sched *s, struct task *t)
+void task_unplace(struct sched *s, struct task *t)
 {
 	struct worker *w = t->worker;
 
 	if (!w)
 		return;
-	TAILQ_REMOVE(&w->tasks, t, on);
-	w->used = size_sub(w->used, step_room(task_step(t)));
-	w->idle_at = s->now;
+	TAILQ_REMOVE(&w->tasks, t, worker_entry);
+	w->used = size_sub(w->used, step_need(task_step(t)));
+	w->idle_since = s->now;
 	usage_add(s, t, -1);
 	t->worker = NULL;
-	t->asked = t->stopping = false;
+	t->start_in_flight = t->stopping = false;
 	if (t->phase != PHASE_DONE)
 		task_phase(t, PHASE_PENDING);
 	t->ready_at = s->now;
 	t->occ->job->placed--;
-	s->place = true;
+	s->place_due = true;
 }
 
 /* Set up an order to a worker. */
@@ -148,35 +148,36 @@
 
 	task_place(s, t, w, run);
 	task_phase(t, PHASE_STARTING);
-	t->asked = true;
-	t->opened_at = 0;
-	t->awaited = 0;
+	t->start_in_flight = true;
+	t->connected_at = 0;
+	t->awaited_worker = 0;
 	t->start_by = worker_clock(s, w) + START_VALID_MS;
 	if (t->start_by > w->lease_end)
 		w->lease_end = t->start_by;
 	o = order_ask(s, FOR_START, ASK_START, w, &rq);
 	memcpy(rq->job, j->id, sizeof(rq->job));
-	rq->k = t->occ->k;
+	rq->occurrence = t->occ->number;
 	rq->task = (unsigned)(t - t->occ->tasks);
 	rq->run = run;
 	o->task = task_name(t);
 	o->run = run;
 	o->deadline = t->start_by;
 	o->payload = bstr_copy(j->body->payload);
-	if (policy_on(s, POLICY_CHECKPOINTS))
+	if (policy_is_enabled(s, POLICY_CHECKPOINTS))
 		o->checkpoint = bstr_copy(t->checkpoint);
 	o->ticket = bstr_copy(advice_ticket(s, t->occ, t->step, w));
 	s->load.starts++;
-	s->starts_flying++;
-	if (s->starts_flying > s->load.most_flying)
-		s->load.most_flying = s->starts_flying;
+	s->starts_in_flight++;
+	if (s->starts_in_flight > s->load.starts_in_flight_max)
+		s->load.starts_in_flight_max = s->starts_in_flight;
 	sched_count(s, COUNT_STARTS, 1);
 	sched_log(s, LOG_TASK_START,
 		  "task=%.*s run=%llu worker=%.*s waited_ms=%lld hold=%s "
 		  "epoch=%llu",
 		  BSTR_ARG(o->task), (unsigned long long)run, BSTR_ARG(w->id),
 		  (long long)(task_ready_at(t) ? s->now - task_ready_at(t) : 0),
-		  hold_word(j->hold), (unsigned long long)s->own.epoch);
+		  hold_word(j->pending_reason),
+		  (unsigned long long)s->own.epoch);
 }
 
 /* A worker runs a task that an earlier owner started: keep it. */
@@ -184,11 +185,11 @@
 {
 	task_place(s, t, w, run);
 	if (!s->settled)
-		usage_found(s, t);
+		usage_add_found(s, t);
 	task_phase(t, PHASE_RUNNING);
-	t->occ->job->ran = true;
+	t->occ->job->run_seen = true;
 	sched_log(s, LOG_TASK_ADOPTED, "task=%s.%u.%u.%u run=%llu worker=%.*s",
-		  t->occ->job->id, t->occ->k, t->step, t->index,
+		  t->occ->job->id, t->occ->number, t->step, t->index,
 		  (unsigned long long)run, BSTR_ARG(w->id));
 }
 
@@ -201,8 +202,8 @@
 	if (!t->worker)
 		return;
 	t->stopping = true;
-	t->stop_at = s->now + STOP_RETRY_MS;
-	if (!own_acts(s))
+	t->stop_retry_at = s->now + STOP_RETRY_MS;
+	if (!own_may_order(s))
 		return;
 	o = order_ask(s, FOR_STOP, ASK_STOP, t->worker, &rq);
 	o->task = task_name(t);
@@ -215,7 +216,7 @@
 	struct request *rq;
 	struct order *o;
 
-	if (!own_acts(s))
+	if (!own_may_order(s))
 		return;
 	o = order_ask(s, FOR_STOP, ASK_STOP, w, &rq);
 	o->task = bstr_copy(task);
@@ -230,9 +231,9 @@
 	struct request *rq;
 	struct order *o;
 
-	t->pace = percent;
+	t->pace_percent = percent;
 	t->paced_at = s->now;
-	if (!own_acts(s))
+	if (!own_may_order(s))
 		return;
 	o = order_ask(s, FOR_PACE, ASK_PACE, t->worker, &rq);
 	o->task = task_name(t);
@@ -251,7 +252,7 @@
 
 	if (!j)
 		return NULL;
-	o = occurrence_find(j, rq->k);
+	o = occurrence_find(j, rq->occurrence);
 	if (!o)
 		return NULL;
 	t = &o->tasks[rq->task];
@@ -281,15 +282,15 @@
 	sched_log(s, LOG_TASK_REFUSED,
 		  "task=%s.%u.%u.%u run=%llu worker=%.*s "
 		  "reason=%s",
-		  t->occ->job->id, t->occ->k, t->step, t->index,
+		  t->occ->job->id, t->occ->number, t->step, t->index,
 		  (unsigned long long)t->run, BSTR_ARG(w->id), words[why]);
-	task_rest(s, t);
+	task_unplace(s, t);
 	switch (why) {
 	case REFUSAL_STALE_EPOCH:
-		own_doubt(s, "fenced");
+		own_require_check(s, "fenced");
 		break;
 	case REFUSAL_CAPACITY:
-		w->unwell_until = s->now + ROOM_AGAIN_MS;
+		w->unhealthy_until = s->now + ROOM_AGAIN_MS;
 		break;
 	case REFUSAL_TICKET:
 		/* The tickets do not hold any more: ask again. */
@@ -302,7 +303,7 @@
 	case REFUSAL_OTHER_LIFE:
 	case REFUSAL_UNHEALTHY:
 	case REFUSAL_NOT_SENT:
-		w->unwell_until = s->now + UNWELL_MS;
+		w->unhealthy_until = s->now + UNWELL_MS;
 		break;
 	default:
 		break;
@@ -327,41 +328,41 @@
 	struct task *t;
 
 	if (rq->purpose == FOR_START) {
-		s->starts_flying--;
+		s->starts_in_flight--;
 		if (a->clock)
-			start_window_take(s, s->now - a->sent_at);
+			start_window_update(s, s->now - a->sent_at);
 	}
 	if (!w || rq->epoch != s->own.epoch)
 		return;
 	if (a->refusal == REFUSAL_STALE_EPOCH && rq->purpose != FOR_START)
-		own_doubt(s, "fenced");
+		own_require_check(s, "fenced");
 	if (rq->purpose != FOR_START)
 		return;
 	/* Its clock began anew: it is another life than the one known. */
 	if (clock_is_anothers(w, a))
-		worker_other_life(s, w);
+		worker_expect_later_life(s, w);
 	else if (a->outcome == OUT_UNKNOWN || a->refusal == REFUSAL_NOT_SENT)
-		worker_unsure(s, w);
+		worker_suspect_restart(s, w);
 	sched_observe(s, HISTOGRAM_START_CALL, s->now - a->sent_at);
 	t = start_task(s, rq);
 	if (!t)
 		return;
-	t->asked = false;
+	t->start_in_flight = false;
 	switch (a->outcome) {
 	case OUT_DONE:
-		t->occ->job->ran = true;
+		t->occ->job->run_seen = true;
 		if (t->phase == PHASE_STARTING) {
 			task_phase(t, PHASE_RUNNING);
-			t->acked = a->clock;
+			t->started_at_worker = a->clock;
 		}
 		break;
 	case OUT_UNKNOWN:
-		t->opened_at = a->opened_at;
-		w->unwell_until = s->now + UNWELL_MS;
+		t->connected_at = a->connected_at;
+		w->unhealthy_until = s->now + UNWELL_MS;
 		sched_log(s, LOG_TASK_UNSURE,
 			  "task=%s.%u.%u.%u run=%llu "
 			  "worker=%.*s start_by=%lld",
-			  rq->job, rq->k, t->step, t->index,
+			  rq->job, rq->occurrence, t->step, t->index,
 			  (unsigned long long)t->run, BSTR_ARG(w->id),
 			  (long long)t->start_by);
 		break;
--- a/sched-own.c
+++ b/sched-own.c
@@ -41,10 +41,10 @@
  * May this VM start tasks now?  An owner that has not proved its ownership
  * for a while starts nothing whose lease it could not renew.
  */
-bool own_starts(const struct sched *s)
+bool own_may_start(const struct sched *s)
 {
-	return own_acts(s) &&
-	       s->now - s->own.proved_at < UNCONFIRMED_LEASE_MS - LEASE_MS;
+	return own_may_order(s) &&
+	       s->now - s->own.confirmed_at < UNCONFIRMED_LEASE_MS - LEASE_MS;
 }
 
 /*
@@ -53,10 +53,11 @@
  * nobody may check that for machines, so none is moved or taken down by an
  * owner whose latest proof is nearly as old.
  */
-bool own_alone(const struct sched *s)
+bool own_is_exclusive(const struct sched *s)
 {
-	return own_acts(s) && s->now - s->own.proved_at <
-				      OWNER_TIMEOUT_MS - OWN_ALONE_MARGIN_MS;
+	return own_may_order(s) &&
+	       s->now - s->own.confirmed_at <
+		       OWNER_TIMEOUT_MS - OWN_ALONE_MARGIN_MS;
 }
 
 /*
@@ -65,17 +66,17 @@
  * processor: after this another VM may own and have called for the machine.
  * The client sends nothing after the deadline.
  */
-int64_t own_alone_until(const struct sched *s, int64_t deadline)
+int64_t own_exclusive_until(const struct sched *s, int64_t deadline)
 {
-	int64_t most = s->own.proved_at + OWNER_TIMEOUT_MS;
+	int64_t most = s->own.confirmed_at + OWNER_TIMEOUT_MS;
 
 	return deadline < most ? deadline : most;
 }
 
 /* May this VM give orders now? */
-bool own_acts(const struct sched *s)
+bool own_may_order(const struct sched *s)
 {
-	return s->own.state == OWN_OWNER && !s->own.doubtful;
+	return s->own.state == OWN_OWNER && !s->own.check_required;
 }
 
 /* Is this process the holder that the row names? */
@@ -83,15 +84,16 @@
 {
 	return s->own.holder.bstr_len &&
 	       bstr_eq(s->own.holder, s->options.vm) &&
-	       s->own.life == s->options.seed;
+	       s->own.holder_seed == s->options.seed;
 }
 
 /* Forget the pools' sizes: another owner may be the first to note them. */
 static void homes_forget(struct sched *s)
 {
-	json_decref(s->homes);
-	s->homes = NULL;
-	s->homes_dirty = s->homes_telling = s->homes_told = false;
+	json_decref(s->home_sizes);
+	s->home_sizes = NULL;
+	s->home_sizes_dirty = s->home_sizes_in_flight = s->home_sizes_durable =
+		false;
 }
 
 /* Forget all that only the owner knows. */
@@ -102,16 +104,16 @@
 
 	while ((j = TAILQ_FIRST(&s->order)))
 		sched_job_free(s, j);
-	while ((r = TAILQ_FIRST(&s->retirees)))
+	while ((r = TAILQ_FIRST(&s->retired_order)))
 		job_unretire(s, r);
 	sched_workers_free(s);
-	wave_forget(s);
+	waves_reset_owner_state(s);
 	usage_free(s);
 	homes_forget(s);
-	drains_free(s);
+	backlogs_free(s);
 	s->dirty_seq = 0;
-	s->committing = false;
-	s->advice_calls = 0;
+	s->commit_in_flight = false;
+	s->advice_calls_in_flight = 0;
 	s->settled = false;
 	s->follows[2].wanted = s->follows[3].wanted = false;
 	s->progress.wanted = s->notes.wanted = false;
@@ -119,7 +121,7 @@
 	follow_restart(&s->follows[3]);
 	follow_restart(&s->progress);
 	follow_restart(&s->notes);
-	s->follows[3].told_at = 0;
+	s->follows[3].current_as_of = 0;
 }
 
 /* This VM is not the owner any more. */
@@ -131,23 +133,23 @@
 		sched_log(s, LOG_OWNER_LOST, "epoch=%llu why=%s",
 			  (unsigned long long)s->own.epoch, why);
 	s->own.state = OWN_NONE;
-	s->own.doubtful = false;
-	s->own.heard_at = s->now;
-	s->own.silent = 0;
+	s->own.check_required = false;
+	s->own.silent_since = s->now;
+	s->own.answers_without_beat = 0;
 	/* The row that named this process is not the newest any more. */
-	s->own.life = 0;
+	s->own.holder_seed = 0;
 	own_forget(s);
 }
 
 /* Give no order until the store has confirmed the ownership. */
-void own_doubt(struct sched *s, const char *why)
+void own_require_check(struct sched *s, const char *why)
 {
-	s->own.heard_at = s->now;
-	s->own.silent = 0;
-	if (s->own.state == OWN_NONE || s->own.doubtful)
+	s->own.silent_since = s->now;
+	s->own.answers_without_beat = 0;
+	if (s->own.state == OWN_NONE || s->own.check_required)
 		return;
-	s->own.doubtful = true;
-	s->own.beat_at = s->now;
+	s->own.check_required = true;
+	s->own.heartbeat_at = s->now;
 	sched_log(s, LOG_OWNER_DOUBT, "epoch=%llu why=%s",
 		  (unsigned long long)s->own.epoch, why);
 }
@@ -159,8 +161,8 @@
  */
 static void own_heard(struct sched *s)
 {
-	s->own.heard_at = s->own.sign_at = s->now;
-	s->own.silent = 0;
+	s->own.silent_since = s->own.last_sign_at = s->now;
+	s->own.answers_without_beat = 0;
 }
 
 /* The row of the owner: it may name another, or nobody. */
@@ -180,7 +182,7 @@
 			  BSTR_ARG(s->own.holder),
 			  (unsigned long long)r->revision);
 	if (own_is_self(s)) {
-		s->own.doubtful = false;
+		s->own.check_required = false;
 		return;
 	}
 	if (s->own.state == OWN_OWNER || s->own.state == OWN_LOADING)
@@ -188,7 +190,7 @@
 }
 
 /* A row of the ownership's table. */
-void own_row_take(struct sched *s, struct row *r)
+void own_row_apply(struct sched *s, struct row *r)
 {
 	uint64_t epoch;
 
@@ -200,18 +202,19 @@
 	}
 	if (!bstr_eq_str(r->key, KEY_BEAT))
 		return;
-	if (s->own.state != OWN_OWNER && beat_row_read(s, r->value, &epoch) &&
-	    r->revision > s->own.beat_revision)
+	if (s->own.state != OWN_OWNER &&
+	    heartbeat_row_read(s, r->value, &epoch) &&
+	    r->revision > s->own.heartbeat_revision)
 		own_heard(s);
-	if (r->revision > s->own.beat_revision)
-		s->own.beat_revision = r->revision;
+	if (r->revision > s->own.heartbeat_revision)
+		s->own.heartbeat_revision = r->revision;
 }
 
 /*
  * What the owners before wrote for their successor.  It is long, and would be
  * sent to every VM with each change if it stood beside the beat.
  */
-void note_row_take(struct sched *s, struct row *r)
+void note_row_apply(struct sched *s, struct row *r)
 {
 	if (r->removed || r->kind == ROW_BAD || s->own.state == OWN_OWNER)
 		return;
@@ -220,31 +223,31 @@
 		return;
 	}
 	if (!bstr_eq_str(r->key, KEY_HOMES)) {
-		wave_status_take(s, r);
+		wave_status_apply(s, r);
 		return;
 	}
-	if (!s->homes) {
-		s->homes = json_read(r->value);
-		s->homes_told = s->homes != NULL;
+	if (!s->home_sizes) {
+		s->home_sizes = json_read(r->value);
+		s->home_sizes_durable = s->home_sizes != NULL;
 	}
 }
 
 /* The store has answered about the ownership: silence counts from here. */
-void own_answered(struct sched *s)
+void own_reset_silence(struct sched *s)
 {
-	if (s->now - s->own.heard_at >= OWNER_FEED_WAIT_MS)
-		s->own.silent++;
+	if (s->now - s->own.silent_since >= OWNER_FEED_WAIT_MS)
+		s->own.answers_without_beat++;
 }
 
 /*
  * The store serves this VM again.  The owner could not beat either, perhaps:
  * its silence counts from here.
  */
-void own_store_back(struct sched *s)
+void own_store_recovered(struct sched *s)
 {
-	s->own.heard_at = s->now;
-	s->own.silent = 0;
-	s->place = true;
+	s->own.silent_since = s->now;
+	s->own.answers_without_beat = 0;
+	s->place_due = true;
 }
 
 /*
@@ -253,14 +256,14 @@
  * once otherwise, and a small one would own that can't place as fast as work
  * comes.
  */
-void own_may_claim(struct sched *s)
+void own_enable_claim(struct sched *s)
 {
-	s->own.heard_at = s->now;
-	s->own.silent = 0;
+	s->own.silent_since = s->now;
+	s->own.answers_without_beat = 0;
 }
 
 /* Does this VM leave it to larger ones to claim first? */
-bool own_claims_late(const struct sched *s)
+bool own_defers_claim(const struct sched *s)
 {
 	return s->options.cpu_share < CLAIM_CORES;
 }
@@ -268,7 +271,7 @@
 /* How long a small VM leaves to larger ones. */
 static int64_t claim_small(const struct sched *s)
 {
-	return own_claims_late(s) ? CLAIM_SMALL_MS : 0;
+	return own_defers_claim(s) ? CLAIM_SMALL_MS : 0;
 }
 
 /* How long after others this VM claims. */
@@ -279,7 +282,7 @@
 	if (!s->own.holder.bstr_len)
 		delay /= 4; /* given up by plan: nobody has to be sure */
 	/* Those that could not read what they needed come last, in turns. */
-	return delay + claim_small(s) + s->own.unread * CLAIM_SMALL_MS;
+	return delay + claim_small(s) + s->own.load_timeouts * CLAIM_SMALL_MS;
 }
 
 /*
@@ -295,16 +298,16 @@
 	 * Without a configuration no limit would hold and a task's first
 	 * failure would be its last.  Others claim, or this VM once it has it.
 	 */
-	if (!s->own.known || !s->config || !sched_store_works(s) || s->stop_by)
+	if (!s->own.known || !s->config || !sched_store_is_up(s) || s->stop_by)
 		return false;
 	if (!s->own.holder.bstr_len)
-		return s->now - s->own.heard_at >= spread;
+		return s->now - s->own.silent_since >= spread;
 	/* An earlier life of this VM owned it, and is over. */
-	if (bstr_eq(s->own.holder, s->options.vm) && s->own.life &&
-	    s->own.life != s->options.seed && !own_claims_late(s))
+	if (bstr_eq(s->own.holder, s->options.vm) && s->own.holder_seed &&
+	    s->own.holder_seed != s->options.seed && !own_defers_claim(s))
 		return true;
-	return s->now - s->own.heard_at >= OWNER_TIMEOUT_MS + spread &&
-	       s->own.silent >= 2;
+	return s->now - s->own.silent_since >= OWNER_TIMEOUT_MS + spread &&
+	       s->own.answers_without_beat >= 2;
 }
 
 /*
@@ -316,7 +319,7 @@
 {
 	struct ownership next = {.epoch = s->own.epoch + 1,
 				 .holder = s->options.vm,
-				 .life = s->options.seed};
+				 .holder_seed = s->options.seed};
 	bstr key = bstr_lit(KEY_EPOCH);
 	struct request *rq;
 	struct tx *t;
@@ -324,21 +327,22 @@
 	sched_log(s, LOG_OWNER_CLAIM,
 		  "epoch=%llu old=%.*s silent_ms=%lld revision=%llu",
 		  (unsigned long long)next.epoch, BSTR_ARG(s->own.holder),
-		  (long long)(s->now - s->own.heard_at),
+		  (long long)(s->now - s->own.silent_since),
 		  (unsigned long long)s->own.revision);
 	t = sched_tx(s, FOR_CLAIM, s->now + STORE_TIMEOUT_MS, &rq);
 	tx_expect(t, TABLE_OWNER, key, s->own.revision);
-	tx_expect(t, TABLE_OWNER, bstr_lit(KEY_BEAT), s->own.beat_revision);
+	tx_expect(t, TABLE_OWNER, bstr_lit(KEY_BEAT),
+		  s->own.heartbeat_revision);
 	tx_write(t, TABLE_OWNER, key, owner_row_write(&next, false));
 	rq->number = next.epoch;
 	s->own.claimed_at = s->now;
-	s->own.old_heard_at = s->own.sign_at;
+	s->own.previous_sign_at = s->own.last_sign_at;
 	/*
 	 * One that gave up before it was settled had found no trace of leases
 	 * that an owner before it may go on renewing out of our reach: they
 	 * count as if nobody had given up, or their tasks would run twice.
 	 */
-	s->own.old_released = !s->own.holder.bstr_len && s->own.settled;
+	s->own.previous_released = !s->own.holder.bstr_len && s->own.settled;
 	s->own.state = OWN_CLAIMING;
 }
 
@@ -349,16 +353,16 @@
 	s->own.epoch = epoch;
 	if (revision > s->own.revision)
 		s->own.revision = revision;
-	s->own.life = s->options.seed;
+	s->own.holder_seed = s->options.seed;
 	bstr_set(&s->own.holder, s->options.vm);
-	s->own.proved_at = s->own.claimed_at;
-	s->own.owned_at = s->own.read_at = s->now;
-	s->own.settle_by = s->own.old_heard_at +
-			   (s->own.old_released ? LEASE_MS
-						: UNCONFIRMED_LEASE_MS);
-	s->own.beat_at = s->now;
-	s->own.beating = false;
-	s->own.doubtful = false;
+	s->own.confirmed_at = s->own.claimed_at;
+	s->own.owned_at = s->own.load_progress_at = s->now;
+	s->own.settle_by = s->own.previous_sign_at +
+			   (s->own.previous_released ? LEASE_MS
+						     : UNCONFIRMED_LEASE_MS);
+	s->own.heartbeat_at = s->now;
+	s->own.heartbeat_in_flight = false;
+	s->own.check_required = false;
 	own_forget(s);
 	s->follows[2].wanted = s->follows[3].wanted = true;
 	s->notes.wanted = true;
@@ -371,20 +375,21 @@
 }
 
 /* A table was read whole; with all of them the owner begins to work. */
-void own_loaded(struct sched *s)
+void own_table_loaded(struct sched *s)
 {
 	if (s->own.state != OWN_LOADING)
 		return;
 	/* Progress is of jobs that are in the book: read after the jobs. */
-	s->progress.wanted = s->follows[3].whole;
-	if (!s->follows[1].whole || !s->follows[2].whole ||
-	    !s->follows[3].whole || !s->progress.whole || !s->notes.whole)
+	s->progress.wanted = s->follows[3].complete;
+	if (!s->follows[1].complete || !s->follows[2].complete ||
+	    !s->follows[3].complete || !s->progress.complete ||
+	    !s->notes.complete)
 		return;
 	workers_inherit(s);
 	s->own.state = OWN_OWNER;
 	s->own.ready_at = s->now;
-	s->own.unread = 0;
-	s->place = true;
+	s->own.load_timeouts = 0;
+	s->place_due = true;
 	sched_observe(s, HISTOGRAM_TAKEOVER, s->now - s->own.claimed_at);
 	sched_log(s, LOG_OWNER_READY, "epoch=%llu jobs=%u workers=%u ms=%lld",
 		  (unsigned long long)s->own.epoch, HASH_COUNT(s->jobs),
@@ -410,8 +415,8 @@
 	 * of the feed tells, and names this process if the claim was done.
 	 */
 	s->own.state = OWN_NONE;
-	s->own.heard_at = s->now;
-	s->own.silent = 0;
+	s->own.silent_since = s->now;
+	s->own.answers_without_beat = 0;
 }
 
 /* The outcome of a beat. */
@@ -420,37 +425,40 @@
 	/* One of an earlier ownership proves nothing, nor disproves. */
 	if (rq->number != s->own.epoch)
 		return;
-	s->own.beating = false;
+	s->own.heartbeat_in_flight = false;
 	if (s->own.state != OWN_OWNER && s->own.state != OWN_LOADING)
 		return;
 	switch (a->outcome) {
 	case OUT_DONE:
-		s->own.doubtful = false;
-		s->own.heard_at = s->now;
-		s->own.proved_at = s->own.beat_sent;
-		if (a->revision > s->own.beat_revision)
-			s->own.beat_revision = a->revision;
-		workers_noted(s);
-		ceilings_told(s);
-		s->homes_told = s->homes_told || s->homes_telling;
+		s->own.check_required = false;
+		s->own.silent_since = s->now;
+		s->own.confirmed_at = s->own.heartbeat_sent_at;
+		if (a->revision > s->own.heartbeat_revision)
+			s->own.heartbeat_revision = a->revision;
+		workers_note_written(s);
+		ceilings_published(s);
+		s->home_sizes_durable = s->home_sizes_durable ||
+					s->home_sizes_in_flight;
 		break;
 	case OUT_CONFLICT:
 		/*
 		 * By what this beat had demanded: the feed may have told of
 		 * the earlier one that was carried out meanwhile.
 		 */
-		s->own.beat_revision = rq->revision;
-		if (!tx_overtaken(s, a, TABLE_OWNER, bstr_lit(KEY_BEAT),
-				  &s->own.beat_revision)) {
+		s->own.heartbeat_revision = rq->revision;
+		if (!tx_row_was_rewritten(s, a, TABLE_OWNER, bstr_lit(KEY_BEAT),
+					  &s->own.heartbeat_revision)) {
 			own_lose(s, "replaced");
 			break;
 		}
-		s->own.beat_at = s->now;
-		s->homes_dirty = s->homes_dirty || s->homes_telling;
+		s->own.heartbeat_at = s->now;
+		s->home_sizes_dirty = s->home_sizes_dirty ||
+				      s->home_sizes_in_flight;
 		break;
 	default:
-		s->own.beat_at = s->now + STORE_RETRY_MS;
-		s->homes_dirty = s->homes_dirty || s->homes_telling;
+		s->own.heartbeat_at = s->now + STORE_RETRY_MS;
+		s->home_sizes_dirty = s->home_sizes_dirty ||
+				      s->home_sizes_in_flight;
 		break;
 	}
 }
@@ -481,30 +489,30 @@
 	struct request *rq;
 	struct tx *t;
 
-	s->own.beat_seq++;
+	s->own.heartbeat_seq++;
 	t = sched_tx(s, FOR_HEARTBEAT, s->now + STORE_TIMEOUT_MS, &rq);
 	rq->number = s->own.epoch;
-	rq->revision = s->own.beat_revision;
+	rq->revision = s->own.heartbeat_revision;
 	tx_expect(t, TABLE_OWNER, bstr_lit(KEY_EPOCH), s->own.revision);
 	tx_expect(t, TABLE_OWNER, bstr_lit(KEY_BEAT), rq->revision);
-	tx_write(t, TABLE_OWNER, bstr_lit(KEY_BEAT), beat_row_write(s));
-	if (workers_note(s))
+	tx_write(t, TABLE_OWNER, bstr_lit(KEY_BEAT), heartbeat_row_write(s));
+	if (workers_note_is_due(s))
 		tx_write(t, TABLE_NOTES, bstr_lit(KEY_WORKERS),
 			 workers_row_write(s));
-	if (s->homes_dirty)
+	if (s->home_sizes_dirty)
 		tx_write(t, TABLE_NOTES, bstr_lit(KEY_HOMES),
-			 json_write(json_incref(s->homes)));
-	s->homes_telling = s->homes_dirty;
-	s->homes_dirty = false;
+			 json_write(json_incref(s->home_sizes)));
+	s->home_sizes_in_flight = s->home_sizes_dirty;
+	s->home_sizes_dirty = false;
 	sched_log(s, LOG_OWNER_BEAT,
 		  "epoch=%llu seq=%llu read=%d jobs=%u age_ms=%lld",
 		  (unsigned long long)s->own.epoch,
-		  (unsigned long long)s->own.beat_seq,
+		  (unsigned long long)s->own.heartbeat_seq,
 		  s->own.state == OWN_OWNER, HASH_COUNT(s->jobs),
-		  (long long)counts_age(s));
-	s->own.beating = true;
-	s->own.beat_sent = s->now;
-	s->own.beat_at = s->now + HEARTBEAT_MS;
+		  (long long)counts_age_ms(s));
+	s->own.heartbeat_in_flight = true;
+	s->own.heartbeat_sent_at = s->now;
+	s->own.heartbeat_at = s->now + HEARTBEAT_MS;
 }
 
 /*
@@ -513,7 +521,7 @@
  */
 static bool own_beat_loads(const struct sched *s)
 {
-	return s->own.state == OWN_LOADING && s->follows[1].whole &&
+	return s->own.state == OWN_LOADING && s->follows[1].complete &&
 	       s->now - s->own.owned_at >= HEARTBEAT_MS;
 }
 
@@ -523,10 +531,10 @@
  * pages of a long book one after the other would seem silent, be replaced, and
  * its successor as well.
  */
-void own_beat_due(struct sched *s)
+void own_heartbeat_if_due(struct sched *s)
 {
 	if ((s->own.state == OWN_OWNER || own_beat_loads(s)) &&
-	    !s->own.beating && s->now >= s->own.beat_at)
+	    !s->own.heartbeat_in_flight && s->now >= s->own.heartbeat_at)
 		own_beat(s);
 }
 
@@ -558,8 +566,8 @@
 /* Is it the store's readings that fail, and not the store? */
 static bool own_cannot_read(const struct sched *s)
 {
-	return s->now - s->own.read_at >= LOAD_SILENT_MS &&
-	       s->now - s->own.proved_at < OWNER_TIMEOUT_MS;
+	return s->now - s->own.load_progress_at >= LOAD_SILENT_MS &&
+	       s->now - s->own.confirmed_at < OWNER_TIMEOUT_MS;
 }
 
 /* Look at the clock. */
@@ -573,15 +581,15 @@
 			own_claim(s);
 		break;
 	case OWN_LOADING:
-		own_beat_due(s);
+		own_heartbeat_if_due(s);
 		if (own_cannot_read(s)) {
-			if (s->own.unread < UNREAD_MAX)
-				s->own.unread++;
+			if (s->own.load_timeouts < UNREAD_MAX)
+				s->own.load_timeouts++;
 			own_release(s);
 		}
 		break;
 	case OWN_OWNER:
-		own_beat_due(s);
+		own_heartbeat_if_due(s);
 		break;
 	case OWN_CLAIMING:
 	case OWN_RELEASING:
--- a/sched-pace.c
+++ b/sched-pace.c
@@ -19,10 +19,12 @@
 	const struct task *t;
 	double worst = 0, share;
 
-	TAILQ_FOREACH(t, &w->tasks, on) {
-		if (!task_step(t)->target_ms || t->phase != PHASE_RUNNING)
+	TAILQ_FOREACH(t, &w->tasks, worker_entry) {
+		if (!task_step(t)->target_latency_ms ||
+		    t->phase != PHASE_RUNNING)
 			continue;
-		share = (double)t->figure / task_step(t)->target_ms;
+		share = (double)t->load_figure /
+			task_step(t)->target_latency_ms;
 		if (share > worst)
 			worst = share;
 	}
@@ -30,25 +32,25 @@
 }
 
 /* Slow or release what fills on a worker. */
-void pace_worker(struct sched *s, struct worker *w)
+void pace_worker_tasks(struct sched *s, struct worker *w)
 {
 	double tail = worker_tail(w);
 	struct task *t;
 
-	if (!policy_on(s, POLICY_PACING))
+	if (!policy_is_enabled(s, POLICY_PACING))
 		return;
-	TAILQ_FOREACH(t, &w->tasks, on) {
-		if (!task_step(t)->fills || t->phase != PHASE_RUNNING ||
+	TAILQ_FOREACH(t, &w->tasks, worker_entry) {
+		if (!task_step(t)->best_effort || t->phase != PHASE_RUNNING ||
 		    t->stopping)
 			continue;
-		if (tail > TAIL_HIGH && t->pace &&
+		if (tail > TAIL_HIGH && t->pace_percent &&
 		    s->now - t->paced_at >= PACE_DOWN_MS)
-			task_pace(s, t, tail > 1 ? 0 : t->pace / 2);
-		else if (tail < TAIL_LOW && t->pace < 100 &&
+			task_pace(s, t, tail > 1 ? 0 : t->pace_percent / 2);
+		else if (tail < TAIL_LOW && t->pace_percent < 100 &&
 			 s->now - t->paced_at >= PACE_UP_MS)
 			task_pace(s, t,
-				  t->pace + PACE_UP_STEP > 100
+				  t->pace_percent + PACE_UP_STEP > 100
 					  ? 100
-					  : t->pace + PACE_UP_STEP);
+					  : t->pace_percent + PACE_UP_STEP);
 	}
 }
--- a/sched-place.c
+++ b/sched-place.c
@@ -58,8 +58,8 @@
 /* Does a step have a task that waits to be placed now? */
 static bool step_waits(struct sched *s, const struct occurrence *o, unsigned at)
 {
-	const struct task *t = &o->tasks[o->first[at]];
-	struct resting *r = &o->resting[at];
+	const struct task *t = &o->tasks[o->first_task[at]];
+	struct pending_tasks *r = &o->pending_tasks[at];
 	bool waits = false;
 	unsigned i;
 
@@ -67,7 +67,7 @@
 		return false;
 	if (!r->ready_at)
 		r->ready_at = s->now;
-	if (s->now >= r->pause_until)
+	if (s->now >= r->retry_at_max)
 		return true;
 	for (i = 0; i < o->job->body->steps[at].count; i++, t++) {
 		if (t->phase != PHASE_PENDING)
@@ -75,7 +75,7 @@
 		if (s->now >= t->not_before)
 			waits = true;
 		else
-			s->pauses = true;
+			s->has_delayed_tasks = true;
 	}
 	return waits;
 }
@@ -86,10 +86,10 @@
 			  struct occurrence *o, unsigned at)
 {
 	const struct job_step *st = &o->job->body->steps[at];
-	const struct reckoning *k = &o->job->reckoned;
+	const struct job_estimate *k = &o->job->estimate;
 	struct candidate *c;
 
-	job_reckon(s, o->job);
+	job_estimate_update(s, o->job);
 	if (p->count == p->room) {
 		p->room = p->room ? p->room * 2 : 64;
 		p->list = xrealloc(p->list, p->room, sizeof(*p->list));
@@ -99,25 +99,25 @@
 				.occ = o,
 				.pool = pool,
 				.step = at,
-				.need = step_room(st),
-				.held = o->job->hold};
-	c->advised = r && r->advised;
-	c->rank = st->lasts ? 0 : 1 + (r ? r->priority : 0);
-	c->due = occurrence_due_at(s, o, k->longest);
+				.need = step_need(st),
+				.held = o->job->pending_reason};
+	c->advised = r && r->needs_ticket;
+	c->rank = st->long_running ? 0 : 1 + (r ? r->priority : 0);
+	c->due = occurrence_due_at(s, o, k->longest_ms);
 	if (!o->job->due)
 		o->job->due = c->due;
-	c->late = !st->lasts && s->now + k->chain[at] > c->due &&
-		  policy_on(s, POLICY_LATE_LAST);
+	c->late = !st->long_running && s->now + k->remaining_ms[at] > c->due &&
+		  policy_is_enabled(s, POLICY_LATE_LAST);
 	if (c->late)
-		c->due = k->longest;
-	else if (!policy_on(s, POLICY_DUE_ORDER))
+		c->due = k->longest_ms;
+	else if (!policy_is_enabled(s, POLICY_DUE_ORDER))
 		c->due = o->job->arrived;
 }
 
 /* May tasks of a job be somewhere that is not known yet? */
 static bool job_is_hidden(struct sched *s, struct job *j)
 {
-	return j->inherited && j->ran_before && !s->settled &&
+	return j->inherited && j->start_was_durable && !s->settled &&
 	       !job_is_settled(s, j);
 }
 
@@ -137,12 +137,12 @@
 		for (i = 0; i < j->body->step_count; i++) {
 			if (!step_waits(s, o, i))
 				continue;
-			s->waits = true;
-			if (size_fits(step_room(&j->body->steps[i]),
-				      pool->most))
+			s->has_pending_tasks = true;
+			if (size_fits(step_need(&j->body->steps[i]),
+				      pool->max_room))
 				candidate_add(s, p, r, pool, o, i);
 			else
-				j->hold = PENDING_CAPACITY;
+				j->pending_reason = PENDING_CAPACITY;
 		}
 	}
 }
@@ -153,11 +153,11 @@
 	struct job *j;
 
 	TAILQ_FOREACH(j, &s->order, entry) {
-		if (j->fate > JOB_STATUS_RUNNING)
+		if (j->status > JOB_STATUS_RUNNING)
 			continue;
 		p->open++;
 		if (job_is_hidden(s, j))
-			j->hold = PENDING_LEASES;
+			j->pending_reason = PENDING_LEASES;
 		else
 			candidates_of(s, p, j);
 	}
@@ -194,13 +194,13 @@
 }
 
 /* How many tasks of a step are on a worker? */
-unsigned step_on(const struct worker *w, const struct occurrence *o,
-		 unsigned at)
+unsigned step_tasks_on_worker(const struct worker *w,
+			      const struct occurrence *o, unsigned at)
 {
 	const struct task *t;
 	unsigned n = 0;
 
-	TAILQ_FOREACH(t, &w->tasks, on)
+	TAILQ_FOREACH(t, &w->tasks, worker_entry)
 		if (t->occ == o && t->step == at)
 			n++;
 	return n;
@@ -223,8 +223,8 @@
 	const struct task *t;
 	unsigned n = 0;
 
-	TAILQ_FOREACH(t, &w->tasks, on)
-		if (task_step(t)->lasts)
+	TAILQ_FOREACH(t, &w->tasks, worker_entry)
+		if (task_step(t)->long_running)
 			n++;
 	return n;
 }
@@ -238,7 +238,8 @@
 
 	for (i = 0; i < pool->count; i++)
 		if (bstr_eq(pool->workers[i]->rack, rack))
-			n += step_on(pool->workers[i], t->occ, t->step);
+			n += step_tasks_on_worker(pool->workers[i], t->occ,
+						  t->step);
 	return n;
 }
 
@@ -247,15 +248,17 @@
 			   const struct worker *w, const struct task *t)
 {
 	const struct job_step *st = task_step(t);
-	struct size room = worker_room(w);
+	struct size room = worker_free_room(w);
 	double merit, idle;
 	bool apart;
 
-	if (!size_fits(step_room(st), room) || !label_fits(w, st->label))
+	if (!size_fits(step_need(st), room) ||
+	    !label_fits(w, st->required_label))
 		return -1;
-	if (st->apart && step_on(w, t->occ, t->step) >= st->apart)
+	if (st->max_per_worker &&
+	    step_tasks_on_worker(w, t->occ, t->step) >= st->max_per_worker)
 		return -1;
-	if (s->now < w->doubt_until && policy_on(s, POLICY_DOUBT))
+	if (s->now < w->suspect_until && policy_is_enabled(s, POLICY_DOUBT))
 		return -1;
 	if (c->advised && !advice_ticket(s, t->occ, t->step, w).bstr_len)
 		return -1;
@@ -263,25 +266,26 @@
 	 * What fills idle cores wants many of them; what serves its own users
 	 * is disturbed by the load of others beside it.
 	 */
-	apart = st->fills || st->target_ms ||
-		(st->lasts && !policy_on(s, POLICY_TOGETHER));
+	apart = st->best_effort || st->target_latency_ms ||
+		(st->long_running && !policy_is_enabled(s, POLICY_TOGETHER));
 	idle = (double)room.cpu / (double)(w->row.capacity.cpu + 1);
 	merit = MERIT_FULL * (apart ? idle : 1 - idle);
-	if (!policy_on(s, POLICY_FULLEST))
+	if (!policy_is_enabled(s, POLICY_FULLEST))
 		merit = MERIT_FULL * idle;
 	if (merit < 0)
 		merit = 0;
-	if (st->rack.bstr_len && bstr_eq(st->rack, w->rack))
+	if (st->data_rack.bstr_len && bstr_eq(st->data_rack, w->rack))
 		merit += MERIT_RACK;
-	if (t->avoid != w->serial || !policy_on(s, POLICY_AVOID))
+	if (t->avoided_worker != w->serial ||
+	    !policy_is_enabled(s, POLICY_AVOID))
 		merit += MERIT_NOT_AVOID;
-	if (st->tight)
+	if (st->locality_sensitive)
 		merit += MERIT_SIBLINGS * rack_siblings(c->pool, w->rack, t);
-	if (st->lasts)
+	if (st->long_running)
 		merit += MERIT_LASTING * (apart ? 16 - (double)lasting_on(w)
 						: (double)lasting_on(w)) +
-			 MERIT_SPREAD *
-				 (4 - (double)step_on(w, t->occ, t->step));
+			 MERIT_SPREAD * (4 - (double)step_tasks_on_worker(
+						     w, t->occ, t->step));
 	return merit > 0 ? merit : 0;
 }
 
@@ -309,13 +313,14 @@
 {
 	uint64_t base = (s->own.epoch - 1) * RUNS_PER_EPOCH;
 
-	return (t->top_run > base ? t->top_run : base) + 1;
+	return (t->highest_run > base ? t->highest_run : base) + 1;
 }
 
 /* May each worker with room for a step's task have it? */
 static bool step_is_plain(const struct candidate *c, const struct job_step *st)
 {
-	return !st->label.bstr_len && !st->apart && !c->advised;
+	return !st->required_label.bstr_len && !st->max_per_worker &&
+	       !c->advised;
 }
 
 /* Reckon how well some workers of a pool suit a task. */
@@ -349,7 +354,7 @@
 static void step_place(struct sched *s, const struct candidate *c)
 {
 	const struct job_step *st = &c->job->body->steps[c->step];
-	struct task *t = &c->occ->tasks[c->occ->first[c->step]];
+	struct task *t = &c->occ->tasks[c->occ->first_task[c->step]];
 	size_t chosen = 0, count = c->pool->count;
 	double *merits = xcalloc(count + 1, sizeof(*merits));
 	bool stale = true; /* all merits, not only those of the last choice */
@@ -359,23 +364,23 @@
 	for (i = 0; i < st->count; i++, t++) {
 		if (t->phase != PHASE_PENDING || s->now < t->not_before)
 			continue;
-		if (starts_are_full(s))
+		if (start_window_is_full(s))
 			break;
 		limit = limit_pending_reason(s, c->job, st);
 		if (limit) {
-			c->job->hold = limit;
+			c->job->pending_reason = limit;
 			break;
 		}
-		if (stale || st->tight || t->avoid)
+		if (stale || st->locality_sensitive || t->avoided_worker)
 			merits_reckon(s, c, t, merits, 0, count);
 		else
 			merits_reckon(s, c, t, merits, chosen, chosen + 1);
-		stale = t->avoid;
+		stale = t->avoided_worker;
 		chosen = merits_best(merits, count);
 		if (chosen == count) {
-			c->job->hold = PENDING_CONSTRAINTS;
+			c->job->pending_reason = PENDING_CONSTRAINTS;
 			if (step_is_plain(c, st))
-				pool_missed(c->pool, step_room(st));
+				pool_note_full(c->pool, step_need(st));
 			break;
 		}
 		sched_task_start(s, t, c->pool->workers[chosen],
@@ -405,7 +410,7 @@
 static void gang_place(struct sched *s, const struct candidate *c)
 {
 	const struct job_step *st = &c->job->body->steps[c->step];
-	struct task *first = &c->occ->tasks[c->occ->first[c->step]];
+	struct task *first = &c->occ->tasks[c->occ->first_task[c->step]];
 	struct usage *u = job_usage(s, c->job);
 	struct worker **chosen = xcalloc(st->count, sizeof(struct worker *));
 	bstr checkpoint = BSTR_NONE;
@@ -449,12 +454,12 @@
 					   const struct candidate *c)
 {
 	const struct job_step *st = &c->job->body->steps[c->step];
-	struct size need = step_room(st);
+	struct size need = step_need(st);
 	unsigned i;
 
-	if (!size_fits(size_add(c->pool->promised, need), c->pool->room))
+	if (!size_fits(size_add(c->pool->promised, need), c->pool->total_room))
 		return PENDING_CAPACITY;
-	for (i = 0; i < c->occ->left[c->step]; i++)
+	for (i = 0; i < c->occ->unfinished_in_step[c->step]; i++)
 		c->pool->promised = size_add(c->pool->promised, need);
 	return job_begin(s, c->job) ? PENDING_NONE : PENDING_STORE;
 }
@@ -469,7 +474,7 @@
 	limit = limit_pending_reason(s, c->job, st);
 	if (limit)
 		return limit;
-	if (!c->job->begun)
+	if (!c->job->start_durable)
 		return candidate_begin(s, c);
 	if (c->advised &&
 	    !advice_ready(s, c->occ, c->step, c->pool->workers, c->pool->count))
@@ -485,17 +490,17 @@
 {
 	enum pending_reason hold;
 
-	if (!size_fits(c->need, c->pool->most) ||
-	    pool_misses(c->pool, c->need)) {
+	if (!size_fits(c->need, c->pool->max_room) ||
+	    pool_is_known_full(c->pool, c->need)) {
 		if (c->held != PENDING_CAPACITY)
-			c->job->hold = PENDING_CAPACITY;
+			c->job->pending_reason = PENDING_CAPACITY;
 		return;
 	}
 	hold = candidate_hold(s, c);
 	if (hold) {
 		/* It has just found room: it waited for something else. */
-		if (hold != PENDING_STORE || !c->job->hold)
-			c->job->hold = hold;
+		if (hold != PENDING_STORE || !c->job->pending_reason)
+			c->job->pending_reason = hold;
 		return;
 	}
 	if (c->job->body->steps[c->step].gang)
@@ -534,7 +539,7 @@
 	size_t i;
 
 	for (i = 0; i < p->turn_count; i++)
-		if (p->turns[i]->turn > s->turn)
+		if (p->turns[i]->order_index > s->last_pool_index)
 			return i;
 	return 0;
 }
@@ -550,9 +555,9 @@
 	size_t i = turn_first(s, p);
 	struct pool *pool;
 
-	while (p->turn_count && !starts_are_full(s)) {
+	while (p->turn_count && !start_window_is_full(s)) {
 		pool = p->turns[i];
-		s->turn = pool->turn;
+		s->last_pool_index = pool->order_index;
 		candidate_place(s, *pool->waiting++);
 		if (pool->waiting < pool->waiting_end)
 			i++;
@@ -570,11 +575,11 @@
 	struct placing p = {0};
 
 	/* What can't be placed now is looked at again when it can. */
-	if (!own_starts(s) || starts_are_full(s))
+	if (!own_may_start(s) || start_window_is_full(s))
 		return;
-	s->place = s->pauses = s->waits = false;
-	s->load.looks++;
-	pools_make(s);
+	s->place_due = s->has_delayed_tasks = s->has_pending_tasks = false;
+	s->load.place_passes++;
+	pools_refresh(s);
 	candidates_make(s, &p);
 	s->place_at = s->now + HASH_COUNT(s->workers) / WORKERS_PER_MS;
 	if (p.open > JOBS_MANY)
@@ -583,12 +588,12 @@
 	 * What waits may wait for a pause to end, or for a worker to be well
 	 * again, which no event tells: it is looked at again with the clock.
 	 */
-	s->waits = s->waits || s->pauses;
+	s->has_pending_tasks = s->has_pending_tasks || s->has_delayed_tasks;
 	candidates_sort(&p);
 	turns_make(s, &p);
 	candidates_place(s, &p);
 	/* The answers that make room for more come by themselves. */
-	s->place = s->place || starts_are_full(s);
+	s->place_due = s->place_due || start_window_is_full(s);
 	free(p.turns);
 	free(p.order);
 	free(p.list);
--- a/sched-policy.c
+++ b/sched-policy.c
@@ -6,9 +6,9 @@
 #include <string.h>
 
 /* Is a mechanism in use? */
-bool policy_on(const struct sched *s, enum policy p)
+bool policy_is_enabled(const struct sched *s, enum policy p)
 {
-	return !(s->options.without & (1U << p));
+	return !(s->options.disabled & (1U << p));
 }
 
 /* The mechanism of a word in the settings; POLICY_MAX: there is none. */
--- a/sched-pool.c
+++ b/sched-pool.c
@@ -16,8 +16,8 @@
 		return p;
 	p = xcalloc(1, sizeof(*p));
 	p->service = bstr_copy(service);
-	p->turn = HASH_COUNT(s->pools) + 1;
-	p->most = (struct size){-1, -1, -1};
+	p->order_index = HASH_COUNT(s->pools) + 1;
+	p->max_room = (struct size){-1, -1, -1};
 	HASH_ADD_BSTR(s->pools, service, p);
 	return p;
 }
@@ -27,16 +27,16 @@
 {
 	bstr service = job_service(s, j);
 
-	if (!j->reckoned.pool)
-		j->reckoned.pool = pool_of(s, service);
-	return j->reckoned.pool;
+	if (!j->estimate.pool)
+		j->estimate.pool = pool_of(s, service);
+	return j->estimate.pool;
 }
 
 /* Is it known which runs of earlier owners a worker has, or had? */
 static bool worker_is_known(const struct worker *w)
 {
 	return !w->inherited || w->gone ||
-	       (w->fenced && !w->ends_cut && !w->ends_held);
+	       (w->fenced && !w->ends_truncated && !w->ends_held);
 }
 
 /* A worker counts no more. */
@@ -77,7 +77,7 @@
 }
 
 /* What is free on a worker. */
-struct size worker_room(const struct worker *w)
+struct size worker_free_room(const struct worker *w)
 {
 	return size_sub(w->row.capacity, w->used);
 }
@@ -88,12 +88,12 @@
 	struct size r;
 	size_t i;
 
-	p->most = (struct size){-1, -1, -1};
-	p->room = (struct size){0, 0, 0};
+	p->max_room = (struct size){-1, -1, -1};
+	p->total_room = (struct size){0, 0, 0};
 	for (i = 0; i < p->count; i++) {
-		r = worker_room(p->workers[i]);
-		p->room = size_add(p->room, r);
-		p->most = size_most(p->most, r);
+		r = worker_free_room(p->workers[i]);
+		p->total_room = size_add(p->total_room, r);
+		p->max_room = size_most(p->max_room, r);
 	}
 }
 
@@ -101,24 +101,24 @@
  * Is it known that no worker has room for a need?  Room only shrinks while
  * tasks are placed, so what found none rules out all that want as much.
  */
-bool pool_misses(const struct pool *p, struct size need)
+bool pool_is_known_full(const struct pool *p, struct size need)
 {
 	size_t i;
 
-	for (i = 0; i < p->missed_count; i++)
-		if (size_fits(p->missed[i], need))
+	for (i = 0; i < p->unplaceable_count; i++)
+		if (size_fits(p->unplaceable[i], need))
 			return true;
 	return false;
 }
 
 /* No worker of a pool had room for a need. */
-void pool_missed(struct pool *p, struct size need)
+void pool_note_full(struct pool *p, struct size need)
 {
-	if (pool_misses(p, need))
+	if (pool_is_known_full(p, need))
 		return;
-	if (p->missed_count < UNPLACEABLE_MAX)
-		p->missed_count++;
-	p->missed[p->missed_count - 1] = need;
+	if (p->unplaceable_count < UNPLACEABLE_MAX)
+		p->unplaceable_count++;
+	p->unplaceable[p->unplaceable_count - 1] = need;
 }
 
 /* Add a worker to those of its pool that may get work. */
@@ -133,17 +133,17 @@
 }
 
 /* Find the workers that may get work now, for a look at what waits. */
-void pools_make(struct sched *s)
+void pools_refresh(struct sched *s)
 {
 	struct worker *w, *next;
 	struct pool *p;
 
 	for (p = s->pools; p; p = p->hh.next) {
-		p->count = p->missed_count = 0;
+		p->count = p->unplaceable_count = 0;
 		p->promised = (struct size){0, 0, 0};
 	}
 	HASH_ITER(hh, s->workers, w, next)
-		if (worker_takes(s, w))
+		if (worker_is_eligible(s, w))
 			pool_add(w->pool, w);
 	for (p = s->pools; p; p = p->hh.next)
 		pool_measure(p);
--- a/sched-row.c
+++ b/sched-row.c
@@ -45,21 +45,22 @@
 	json_put_int(j, "memory", st->need.memory);
 	json_put_int(j, "gpus", st->need.gpus);
 	json_put_int(j, "estimated_ms", st->estimated_ms);
-	for (i = 0; i < st->after_count; i++)
-		json_array_append_new(after, json_integer(st->after[i]));
+	for (i = 0; i < st->prerequisite_count; i++)
+		json_array_append_new(after,
+				      json_integer(st->prerequisites[i]));
 	json_object_set_new(j, "after", after);
 	set_flag(j, "checkpoints", st->checkpoints);
 	set_flag(j, "gang", st->gang);
-	set_flag(j, "tight", st->tight);
+	set_flag(j, "tight", st->locality_sensitive);
 	set_flag(j, "speculative", st->speculative);
-	set_flag(j, "lasts", st->lasts);
-	set_flag(j, "fills", st->fills);
-	json_put_text(j, "label", st->label);
-	json_put_text(j, "rack", st->rack);
+	set_flag(j, "lasts", st->long_running);
+	set_flag(j, "fills", st->best_effort);
+	json_put_text(j, "label", st->required_label);
+	json_put_text(j, "rack", st->data_rack);
 	json_put_text(j, "image", st->image);
-	json_put_int(j, "apart", st->apart);
-	json_put_int(j, "target_ms", st->target_ms);
-	json_put_int(j, "may_miss", st->may_miss);
+	json_put_int(j, "apart", st->max_per_worker);
+	json_put_int(j, "target_ms", st->target_latency_ms);
+	json_put_int(j, "may_miss", st->max_unavailable);
 	return j;
 }
 
@@ -75,21 +76,23 @@
 	st->need.memory = int_of(j, "memory");
 	st->need.gpus = int_of(j, "gpus");
 	st->estimated_ms = (uint32_t)int_of(j, "estimated_ms");
-	st->after = xcalloc(json_array_size(after) + 1, sizeof(*st->after));
+	st->prerequisites = xcalloc(json_array_size(after) + 1,
+				    sizeof(*st->prerequisites));
 	json_array_foreach(after, i, v)
-		st->after[st->after_count++] = (unsigned)json_integer_value(v);
+		st->prerequisites[st->prerequisite_count++] = (unsigned)
+			json_integer_value(v);
 	st->checkpoints = json_is_true(json_object_get(j, "checkpoints"));
 	st->gang = json_is_true(json_object_get(j, "gang"));
-	st->tight = json_is_true(json_object_get(j, "tight"));
+	st->locality_sensitive = json_is_true(json_object_get(j, "tight"));
 	st->speculative = json_is_true(json_object_get(j, "speculative"));
-	st->lasts = json_is_true(json_object_get(j, "lasts"));
-	st->fills = json_is_true(json_object_get(j, "fills"));
-	st->label = json_bstr(json_object_get(j, "label"));
-	st->rack = json_bstr(json_object_get(j, "rack"));
+	st->long_running = json_is_true(json_object_get(j, "lasts"));
+	st->best_effort = json_is_true(json_object_get(j, "fills"));
+	st->required_label = json_bstr(json_object_get(j, "label"));
+	st->data_rack = json_bstr(json_object_get(j, "rack"));
 	st->image = json_bstr(json_object_get(j, "image"));
-	st->apart = (unsigned)int_of(j, "apart");
-	st->target_ms = (uint32_t)int_of(j, "target_ms");
-	st->may_miss = (unsigned)int_of(j, "may_miss");
+	st->max_per_worker = (unsigned)int_of(j, "apart");
+	st->target_latency_ms = (uint32_t)int_of(j, "target_ms");
+	st->max_unavailable = (unsigned)int_of(j, "may_miss");
 }
 
 /* The row of a job as it was accepted. */
@@ -184,9 +187,9 @@
 	json_t *runs = json_array();
 	unsigned i;
 
-	for (i = 0; i < t->fails && i < FAILED_RUNS_MAX; i++)
-		json_array_append_new(runs,
-				      json_integer((json_int_t)t->failed[i]));
+	for (i = 0; i < t->failure_count && i < FAILED_RUNS_MAX; i++)
+		json_array_append_new(
+			runs, json_integer((json_int_t)t->failed_runs[i]));
 	return runs;
 }
 
@@ -197,12 +200,13 @@
 	json_t *v;
 
 	json_array_foreach(runs, i, v) {
-		if (t->fails == FAILED_RUNS_MAX)
+		if (t->failure_count == FAILED_RUNS_MAX)
 			return;
-		t->failed[t->fails] = (uint64_t)json_integer_value(v);
-		if (t->failed[t->fails] > t->top_run)
-			t->top_run = t->failed[t->fails];
-		t->fails++;
+		t->failed_runs[t->failure_count] = (uint64_t)json_integer_value(
+			v);
+		if (t->failed_runs[t->failure_count] > t->highest_run)
+			t->highest_run = t->failed_runs[t->failure_count];
+		t->failure_count++;
 	}
 }
 
@@ -219,14 +223,14 @@
 		if (t->phase == PHASE_DONE)
 			continue;
 		snprintf(number, sizeof(number), "%u", i);
-		if (t->fails && !task_step(t)->lasts)
+		if (t->failure_count && !task_step(t)->long_running)
 			json_object_set_new(fails, number, fails_write(t));
 		if (t->checkpoint.bstr_len)
 			json_object_set_new(saved, number,
 					    bstr_json(t->checkpoint));
 	}
-	return json_pack("{s:I, s:o, s:o, s:o}", "k", (json_int_t)o->k, "done",
-			 done_write(o), "fails", fails, "saved", saved);
+	return json_pack("{s:I, s:o, s:o, s:o}", "k", (json_int_t)o->number,
+			 "done", done_write(o), "fails", fails, "saved", saved);
 }
 
 /* The row of a job's progress. */
@@ -235,16 +239,16 @@
 	const struct occurrence *o;
 	json_t *row, *occs;
 
-	row = json_pack("{s:s, s:o}", "state", job_status_name(j->fate),
+	row = json_pack("{s:s, s:o}", "state", job_status_name(j->status),
 			"tenant", bstr_json(j->tenant));
-	if (j->fate > JOB_STATUS_RUNNING) {
+	if (j->status > JOB_STATUS_RUNNING) {
 		json_put_int(row, "ended", j->ended);
 		return json_write(row);
 	}
 	occs = json_array();
 	TAILQ_FOREACH(o, &j->occs, entry)
 		json_array_append_new(occs, occurrence_write(o));
-	json_put_int(row, "next", j->next_k);
+	json_put_int(row, "next", j->next_occurrence);
 	json_object_set_new(row, "times", occs);
 	return json_write(row);
 }
@@ -301,8 +305,8 @@
 		if (!(bits[i / 8] >> (i % 8) & 1) || t->phase == PHASE_DONE)
 			continue;
 		task_phase(t, PHASE_DONE);
-		o->left[t->step]--;
-		o->undone--;
+		o->unfinished_in_step[t->step]--;
+		o->unfinished--;
 	}
 	bstr_free(&hex);
 	free(bits);
@@ -315,7 +319,7 @@
 	const json_t *occs = json_object_get(row, "times");
 	size_t i;
 
-	if (!fate_parse(row, &j->fate)) {
+	if (!fate_parse(row, &j->status)) {
 		json_decref(row);
 		return false;
 	}
@@ -324,7 +328,7 @@
 		job_make_occurrence(j, (unsigned)int_of(v, "k"));
 		occurrence_parse(TAILQ_LAST(&j->occs, occurrence_list), v);
 	}
-	j->next_k = (unsigned)int_of(row, "next");
+	j->next_occurrence = (unsigned)int_of(row, "next");
 	json_decref(row);
 	return true;
 }
@@ -332,10 +336,10 @@
 /* The row that says who owns the scheduling; released: nobody. */
 bstr owner_row_write(const struct ownership *o, bool release)
 {
-	return json_write(
-		json_pack("{s:I, s:o, s:I, s:b}", "epoch", (json_int_t)o->epoch,
-			  "vm", bstr_json(release ? BSTR_NONE : o->holder),
-			  "life", (json_int_t)o->life, "settled", o->settled));
+	return json_write(json_pack(
+		"{s:I, s:o, s:I, s:b}", "epoch", (json_int_t)o->epoch, "vm",
+		bstr_json(release ? BSTR_NONE : o->holder), "life",
+		(json_int_t)o->holder_seed, "settled", o->settled));
 }
 
 /* Read it. */
@@ -346,7 +350,7 @@
 
 	if (ok) {
 		o->epoch = (uint64_t)int_of(row, "epoch");
-		o->life = (uint64_t)int_of(row, "life");
+		o->holder_seed = (uint64_t)int_of(row, "life");
 		bstr_free(&o->holder);
 		o->holder = json_bstr(json_object_get(row, "vm"));
 		o->settled = json_is_true(json_object_get(row, "settled"));
@@ -356,18 +360,18 @@
 }
 
 /* The owner's beat, with the waiting jobs of each queue. */
-bstr beat_row_write(struct sched *s)
+bstr heartbeat_row_write(struct sched *s)
 {
 	return json_write(json_pack(
 		"{s:I, s:I, s:I, s:o, s:o, s:o}", "epoch",
-		(json_int_t)s->own.epoch, "seq", (json_int_t)s->own.beat_seq,
-		"told_at", (json_int_t)book_told_at(s), "waiting",
-		counts_write(s), "ceilings", ceilings_write(s), "admit",
-		admissions_write(s)));
+		(json_int_t)s->own.epoch, "seq",
+		(json_int_t)s->own.heartbeat_seq, "told_at",
+		(json_int_t)job_list_as_of(s), "waiting", counts_write(s),
+		"ceilings", ceilings_write(s), "admit", admissions_write(s)));
 }
 
 /* Read a beat: its epoch, and the counts. */
-bool beat_row_read(struct sched *s, bstr text, uint64_t *epoch)
+bool heartbeat_row_read(struct sched *s, bstr text, uint64_t *epoch)
 {
 	json_t *row = json_read(text);
 
--- a/sched-tx.c
+++ b/sched-tx.c
@@ -31,9 +31,9 @@
 /* Demand that a row still has a revision. */
 void tx_expect(struct tx *t, enum table table, bstr key, uint64_t revision)
 {
-	t->expect = xrealloc(t->expect, t->expect_count + 1,
-			     sizeof(*t->expect));
-	t->expect[t->expect_count++] = (struct tx_expect){
+	t->conditions = xrealloc(t->conditions, t->condition_count + 1,
+				 sizeof(*t->conditions));
+	t->conditions[t->condition_count++] = (struct tx_expect){
 		.table = table,
 		.part = row_part(table, key),
 		.key = bstr_copy(key),
@@ -46,8 +46,8 @@
  * without an answer has been carried out after all: the answer tells the
  * revision of the row, and what was to be written is written again.
  */
-bool tx_overtaken(const struct sched *s, const struct answer *a,
-		  enum table table, bstr key, uint64_t *revision)
+bool tx_row_was_rewritten(const struct sched *s, const struct answer *a,
+			  enum table table, bstr key, uint64_t *revision)
 {
 	uint64_t before = *revision;
 	bool owner = false;
--- a/sched-wave.c
+++ b/sched-wave.c
@@ -83,14 +83,15 @@
 		v->machines[i].worker = json_bstr(
 			json_object_get(note, "worker"));
 		v->machines[i].noted = true;
-		v->machines[i].maybe = theirs || v->machines[i].maybe;
+		v->machines[i].call_outcome_unknown =
+			theirs || v->machines[i].call_outcome_unknown;
 		if (json_is_true(json_object_get(note, "done")))
 			v->machines[i].done = true;
 	}
 }
 
 /* The operator asks for a wave. */
-void wave_row_take(struct sched *s, struct row *r)
+void wave_row_apply(struct sched *s, struct row *r)
 {
 	struct wave_row *row = &r->wave;
 	struct wave *v;
@@ -99,10 +100,10 @@
 	if (r->removed)
 		return;
 	v = wave_get(s, row->number);
-	if (v->wanted)
+	if (v->requested)
 		return;
-	v->wanted = true;
-	v->maximum = row->maximum;
+	v->requested = true;
+	v->max_unavailable = row->max_unavailable;
 	v->finish_at = s->now + row->finish_by_s * 1000;
 	v->count = row->machine_count;
 	v->machines = xcalloc(v->count + 1, sizeof(*v->machines));
@@ -112,7 +113,8 @@
 	wave_merge(v, true);
 	sched_log(s, LOG_WAVE_SEEN,
 		  "wave=%" PRIu64 " machines=%zu maximum=%u finish_by_s=%lld",
-		  v->number, v->count, v->maximum, (long long)row->finish_by_s);
+		  v->number, v->count, v->max_unavailable,
+		  (long long)row->finish_by_s);
 }
 
 /*
@@ -123,15 +125,15 @@
  */
 static int64_t wave_finish_at(const struct sched *s, const struct wave *v)
 {
-	int64_t noted = v->finish_noted - s->store_ahead;
+	int64_t noted = v->finish_at_store - s->store_clock_offset;
 
-	if (v->finish_noted && s->store_timed && noted < v->finish_at)
+	if (v->finish_at_store && s->store_clock_known && noted < v->finish_at)
 		return noted;
 	return v->finish_at;
 }
 
 /* What an owner noted of a wave. */
-void wave_status_take(struct sched *s, struct row *r)
+void wave_status_apply(struct sched *s, struct row *r)
 {
 	json_t *row = json_read(r->value);
 	const json_t *number = json_object_get(row, "wave");
@@ -144,8 +146,8 @@
 		json_decref(v->notes);
 		v->notes = json_incref(json_object_get(row, "machines"));
 		wave_merge(v, true);
-		v->told = true;
-		v->finish_noted = json_integer_value(
+		v->start_published = true;
+		v->finish_at_store = json_integer_value(
 			json_object_get(row, "finish"));
 		if (json_is_true(json_object_get(row, "completed"))) {
 			v->completed = true;
@@ -168,11 +170,11 @@
 		bstr_free(&m->moving_to);
 		free(m);
 	}
-	s->list_whole = false;
+	s->list_complete = false;
 }
 
 /* Forget what only the owner knows; what the operator asks for stays. */
-void wave_forget(struct sched *s)
+void waves_reset_owner_state(struct sched *s)
 {
 	struct wave *v, *next;
 	size_t i;
@@ -181,11 +183,12 @@
 		v->writing = false;
 		v->dirty = !v->completed;
 		for (i = 0; i < v->count; i++) {
-			v->machines[i].asked = v->machines[i].marked = false;
-			v->machines[i].again_at = 0;
+			v->machines[i].call_in_flight =
+				v->machines[i].draining = false;
+			v->machines[i].retry_at = 0;
 		}
 	}
-	s->listing = false;
+	s->list_in_flight = false;
 	machines_free(s);
 }
 
@@ -215,7 +218,7 @@
 static bool task_serves(const struct sched *s, const struct task *t)
 {
 	return t->phase == PHASE_RUNNING && !t->stopping && t->percent == 100 &&
-	       !t->worker->taken &&
+	       !t->worker->takedown_in_flight &&
 	       s->now - t->worker->answered_at < WORKER_TIMEOUT_MS;
 }
 
@@ -227,7 +230,7 @@
 			    bool here)
 {
 	const struct job_step *st = task_step(t);
-	const struct task *o = &t->occ->tasks[t->occ->first[t->step]];
+	const struct task *o = &t->occ->tasks[t->occ->first_task[t->step]];
 	unsigned i, away = 0;
 
 	for (i = 0; i < st->count; i++, o++)
@@ -242,24 +245,25 @@
 {
 	const struct job_step *st = task_step(t);
 
-	return st->lasts && st->may_miss && t->phase == PHASE_RUNNING &&
-	       !t->stopping;
+	return st->long_running && st->max_unavailable &&
+	       t->phase == PHASE_RUNNING && !t->stopping;
 }
 
 /* May a task be taken away with all others of its step on its worker? */
 static bool task_may_miss(const struct sched *s, const struct task *t)
 {
 	return !task_is_spared(t) ||
-	       others_away(s, t, false) + step_on(t->worker, t->occ, t->step) <=
-		       task_step(t)->may_miss;
+	       others_away(s, t, false) + step_tasks_on_worker(
+						  t->worker, t->occ, t->step) <=
+		       task_step(t)->max_unavailable;
 }
 
 /* May a worker be taken away now, by the lasting tasks on it? */
-bool wave_may_take(struct sched *s, const struct worker *w)
+bool wave_may_take_worker(struct sched *s, const struct worker *w)
 {
 	const struct task *t;
 
-	TAILQ_FOREACH(t, &w->tasks, on)
+	TAILQ_FOREACH(t, &w->tasks, worker_entry)
 		if (!task_may_miss(s, t))
 			return false;
 	return true;
@@ -274,13 +278,13 @@
 	struct task *t;
 	unsigned on;
 
-	TAILQ_FOREACH(t, &w->tasks, on) {
+	TAILQ_FOREACH(t, &w->tasks, worker_entry) {
 		if (!task_is_spared(t) || t->stopping)
 			continue;
-		on = step_on(w, t->occ, t->step);
-		if (on <= task_step(t)->may_miss)
+		on = step_tasks_on_worker(w, t->occ, t->step);
+		if (on <= task_step(t)->max_unavailable)
 			continue;
-		if (others_away(s, t, true) < task_step(t)->may_miss) {
+		if (others_away(s, t, true) < task_step(t)->max_unavailable) {
 			task_stop(s, t);
 			return;
 		}
@@ -293,8 +297,8 @@
 	const struct task *t;
 	unsigned n = 0;
 
-	TAILQ_FOREACH(t, &w->tasks, on)
-		if (!task_step(t)->lasts)
+	TAILQ_FOREACH(t, &w->tasks, worker_entry)
+		if (!task_step(t)->long_running)
 			n++;
 	return n;
 }
@@ -322,16 +326,16 @@
 	struct ask *ask;
 
 	rq = sched_ask(s, FOR_MAINTENANCE, ASK_MAINTENANCE,
-		       own_alone_until(s, s->now + CLOUD_TIMEOUT_MS), &ask);
+		       own_exclusive_until(s, s->now + CLOUD_TIMEOUT_MS), &ask);
 	rq->number = v->number;
 	rq->name = bstr_copy(wm->id);
 	ask->order.machine = bstr_copy(wm->id);
 	ask->order.wave = v->number;
 	ask->order.holder = bstr_copy(s->options.vm);
 	ask->order.epoch = s->own.epoch;
-	wm->asked = true;
-	wm->sure = m && bstr_eq(m->worker, wm->worker);
-	wm->away_until = s->now + CLOUD_TIMEOUT_MS;
+	wm->call_in_flight = true;
+	wm->call_is_for_noted_life = m && bstr_eq(m->worker, wm->worker);
+	wm->down_until = s->now + CLOUD_TIMEOUT_MS;
 	sched_log(s, LOG_WAVE_MACHINE, "wave=%" PRIu64 " machine=%.*s step=ask",
 		  v->number, BSTR_ARG(wm->id));
 }
@@ -342,7 +346,7 @@
 	struct worker *w;
 	struct machine *m = member_machine(s, wm->id, &w);
 
-	return wm->asked || s->now < wm->away_until ||
+	return wm->call_in_flight || s->now < wm->down_until ||
 	       (m && m->state == MACHINE_MAINTENANCE);
 }
 
@@ -356,7 +360,7 @@
 	member_machine(s, wm->id, &w);
 	if (!w)
 		return 0;
-	TAILQ_FOREACH(t, &w->tasks, on) {
+	TAILQ_FOREACH(t, &w->tasks, worker_entry) {
 		cost += (double)task_step(t)->need.cpu;
 		if (!task_may_miss(s, t))
 			cost += 1e9;
@@ -379,9 +383,10 @@
 /* Is there time to wait for calmer moments? */
 static bool wave_can_wait(const struct sched *s, const struct wave *v)
 {
-	unsigned steps = (wave_left(v) + v->maximum - 1) / v->maximum;
+	unsigned steps = (wave_left(v) + v->max_unavailable - 1) /
+			 v->max_unavailable;
 
-	if (!policy_on(s, POLICY_WAVE_CALM))
+	if (!policy_is_enabled(s, POLICY_WAVE_CALM))
 		return false;
 	return s->now + (int64_t)steps * WAVE_STEP_MS + WAVE_RESERVE_MS <
 	       wave_finish_at(s, v);
@@ -420,8 +425,8 @@
 
 	for (i = 0; i < v->count; i++) {
 		wm = &v->machines[i];
-		if (wm->done || wm->marked || wm->asked ||
-		    s->now < wm->again_at || !member_is_known(s, wm) ||
+		if (wm->done || wm->draining || wm->call_in_flight ||
+		    s->now < wm->retry_at || !member_is_known(s, wm) ||
 		    (wait && member_is_busy(s, wm)))
 			continue;
 		cost = member_cost(s, wm);
@@ -432,11 +437,11 @@
 	}
 	if (!best)
 		return false;
-	best->marked = true;
-	best->marked_at = s->now;
+	best->draining = true;
+	best->draining_since = s->now;
 	member_machine(s, best->id, &w);
 	if (w)
-		w->leaving = true;
+		w->takedown_pending = true;
 	return true;
 }
 
@@ -483,18 +488,18 @@
 
 	if (wm->done)
 		return member_is_away(s, wm) ? MEMBER_AWAY : MEMBER_DONE;
-	if (wm->asked)
+	if (wm->call_in_flight)
 		return MEMBER_AWAY;
-	if (s->now < wm->again_at)
+	if (s->now < wm->retry_at)
 		return MEMBER_AGAIN;
-	if (!wm->marked || !member_is_known(s, wm))
+	if (!wm->draining || !member_is_known(s, wm))
 		return MEMBER_TURN;
 	member_machine(s, wm->id, &w);
 	if (w)
-		w->leaving = true;
-	if (w && short_tasks(w) && s->now < wm->marked_at + WAVE_DRAIN_MS)
+		w->takedown_pending = true;
+	if (w && short_tasks(w) && s->now < wm->draining_since + WAVE_DRAIN_MS)
 		return MEMBER_SHORT;
-	if (w && !wave_may_take(s, w)) {
+	if (w && !wave_may_take_worker(s, w)) {
 		worker_thin(s, w);
 		return MEMBER_LASTING;
 	}
@@ -504,7 +509,7 @@
 		return MEMBER_ENDS;
 	/* Tasks of the same steps on other machines can't be missed now. */
 	if (w)
-		w->taken = true;
+		w->takedown_in_flight = true;
 	upkeep_send(s, v, wm);
 	return MEMBER_AWAY;
 }
@@ -513,9 +518,9 @@
 static void wave_tell(struct sched *s, struct wave *v,
 		      const unsigned waits[MEMBER_WAIT_MAX])
 {
-	if (s->now < v->tell_at)
+	if (s->now < v->log_at)
 		return;
-	v->tell_at = s->now + WAVE_TOLD_MS;
+	v->log_at = s->now + WAVE_TOLD_MS;
 	sched_log(s, LOG_WAVE,
 		  "wave=%" PRIu64 " left_ms=%lld done=%u away=%u turn=%u "
 		  "again=%u short=%u lasting=%u note=%u ends=%u",
@@ -571,19 +576,20 @@
 	rq->number = v->number;
 	tx_expect(t, TABLE_OWNER, bstr_lit("epoch"), s->own.revision);
 	tx_expect(t, TABLE_NOTES, bstr_lit(key), v->revision);
-	if (!v->told || v->completed)
+	if (!v->start_published || v->completed)
 		tx_write(t, TABLE_STATUS, bstr_lit(key),
 			 bstr_printf("{\"state\":\"%s\"}",
 				     v->completed ? "completed" : "running"));
 	json_decref(v->notes);
 	v->notes = wave_notes(v);
-	if (s->store_timed)
-		v->finish_noted = wave_finish_at(s, v) + s->store_ahead;
+	if (s->store_clock_known)
+		v->finish_at_store = wave_finish_at(s, v) +
+				     s->store_clock_offset;
 	tx_write(t, TABLE_NOTES, bstr_lit(key),
-		 json_write(json_pack("{s:I, s:O, s:b, s:I}", "wave",
-				      (json_int_t)v->number, "machines",
-				      v->notes, "completed", v->completed,
-				      "finish", (json_int_t)v->finish_noted)));
+		 json_write(json_pack(
+			 "{s:I, s:O, s:b, s:I}", "wave", (json_int_t)v->number,
+			 "machines", v->notes, "completed", v->completed,
+			 "finish", (json_int_t)v->finish_at_store)));
 	v->writing = true;
 	v->dirty = false;
 }
@@ -595,17 +601,17 @@
 	bool all = true;
 	size_t i;
 
-	if (v->wanted && v->dirty && !v->writing && s->now >= v->write_at)
+	if (v->requested && v->dirty && !v->writing && s->now >= v->write_at)
 		wave_write(s, v);
-	if (!v->wanted || v->completed || !s->list_whole)
+	if (!v->requested || v->completed || !s->list_complete)
 		return;
 	for (i = 0; i < v->count; i++) {
 		if (member_is_away(s, &v->machines[i]) ||
-		    (v->machines[i].marked && !v->machines[i].done))
+		    (v->machines[i].draining && !v->machines[i].done))
 			away++;
 		all = all && v->machines[i].done;
 	}
-	while (away < v->maximum && wave_mark(s, v))
+	while (away < v->max_unavailable && wave_mark(s, v))
 		away++;
 	for (i = 0; i < v->count; i++)
 		waits[member_tick(s, v, &v->machines[i])]++;
@@ -627,7 +633,7 @@
 		       &ask);
 	rq->number = s->own.epoch;
 	ask->order.page = bstr_copy(page);
-	s->listing = true;
+	s->list_in_flight = true;
 	s->list_at = s->now + LIST_EVERY_MS;
 }
 
@@ -636,11 +642,11 @@
 {
 	struct wave *v, *next;
 
-	if (!own_acts(s))
+	if (!own_may_order(s))
 		return;
-	if (!s->listing && s->now >= s->list_at)
+	if (!s->list_in_flight && s->now >= s->list_at)
 		machines_list(s, BSTR_NONE);
-	if (!own_alone(s))
+	if (!own_is_exclusive(s))
 		return;
 	HASH_ITER(hh, s->waves, v, next)
 		wave_drive(s, v);
@@ -675,17 +681,17 @@
 	struct machine *m, *next;
 	char *pool;
 
-	s->list_whole = true;
-	if (s->homes)
+	s->list_complete = true;
+	if (s->home_sizes)
 		return;
-	s->homes = json_object();
-	s->homes_dirty = true;
+	s->home_sizes = json_object();
+	s->home_sizes_dirty = true;
 	HASH_ITER(hh, s->machines, m, next) {
 		pool = bstr_cstr(m->pool);
 		json_object_set_new(
-			s->homes, pool,
-			json_integer(json_integer_value(
-					     json_object_get(s->homes, pool)) +
+			s->home_sizes, pool,
+			json_integer(json_integer_value(json_object_get(
+					     s->home_sizes, pool)) +
 				     1));
 		free(pool);
 	}
@@ -698,7 +704,7 @@
 
 	if (rq->number != s->own.epoch || s->own.state != OWN_OWNER)
 		return;
-	s->listing = false;
+	s->list_in_flight = false;
 	if (a->outcome != OUT_DONE) {
 		s->list_at = s->now + CLOUD_AGAIN_MS;
 		return;
@@ -722,19 +728,19 @@
 	struct worker *w;
 
 	wm->done = true;
-	wm->away_until = s->now + s->options.maintenance_ms + AWAY_SLACK_MS;
+	wm->down_until = s->now + s->options.maintenance_ms + AWAY_SLACK_MS;
 	v->dirty = true;
 	member_machine(s, wm->id, &w);
-	if (w && !wm->sure) {
+	if (w && !wm->call_is_for_noted_life) {
 		/*
 		 * Until it answers again its tasks count as away: with them
 		 * taken for at work, others of their steps were taken too.
 		 */
-		w->leaving = w->taken = false;
+		w->takedown_pending = w->takedown_in_flight = false;
 		worker_set_quiet(s, w);
 	} else if (w) {
 		worker_lost(s, w, "maintenance");
-		worker_gone(s, w);
+		worker_set_gone(s, w);
 		w->listed = false;
 	}
 	sched_log(s, LOG_WAVE_MACHINE,
@@ -765,22 +771,22 @@
 
 	if (!wm || rq->epoch != s->own.epoch)
 		return;
-	wm->asked = false;
+	wm->call_in_flight = false;
 	if (a->outcome == OUT_DONE) {
 		upkeep_done(s, v, wm);
 		return;
 	}
 	member_machine(s, wm->id, &w);
 	if (w && a->outcome != OUT_UNKNOWN)
-		w->taken = false;
+		w->takedown_in_flight = false;
 	sched_log(s, LOG_WAVE_MACHINE,
 		  "wave=%" PRIu64 " machine=%.*s step=refused outcome=%d "
 		  "reason=%d",
 		  v->number, BSTR_ARG(wm->id), a->outcome, a->refusal);
-	wm->again_at = s->now + CLOUD_AGAIN_MS;
+	wm->retry_at = s->now + CLOUD_AGAIN_MS;
 	if (a->outcome == OUT_UNKNOWN)
-		wm->maybe = true;
-	else if (!wm->maybe)
+		wm->call_outcome_unknown = true;
+	else if (!wm->call_outcome_unknown)
 		member_unnote(v, wm);
 	if (a->refusal == REFUSAL_INVALID || a->refusal == REFUSAL_WAVE) {
 		/* There is no such machine any more, or it is not due. */
@@ -799,7 +805,7 @@
 		return;
 	v->writing = false;
 	if (a->outcome == OUT_DONE) {
-		v->told = true;
+		v->start_published = true;
 		if (a->revision > v->revision)
 			v->revision = a->revision;
 		wave_merge(v, false);
@@ -807,7 +813,8 @@
 	}
 	wave_key(v, key);
 	if (a->outcome == OUT_CONFLICT &&
-	    !tx_overtaken(s, a, TABLE_NOTES, bstr_lit(key), &v->revision)) {
+	    !tx_row_was_rewritten(s, a, TABLE_NOTES, bstr_lit(key),
+				  &v->revision)) {
 		own_lose(s, "replaced");
 		return;
 	}
--- a/sched-worker.c
+++ b/sched-worker.c
@@ -47,7 +47,7 @@
 static int64_t lease_until(const struct sched *s)
 {
 	int64_t until = s->now + LEASE_MS;
-	int64_t most = s->own.proved_at + UNCONFIRMED_LEASE_MS;
+	int64_t most = s->own.confirmed_at + UNCONFIRMED_LEASE_MS;
 
 	return until < most ? until : most;
 }
@@ -56,31 +56,32 @@
 bool worker_is_quiet(const struct sched *s, const struct worker *w)
 {
 	return s->now - w->answered_at >= WORKER_TIMEOUT_MS &&
-	       s->now >= w->heard_by;
+	       s->now >= w->poll_due_by;
 }
 
 /* Take its answer for overdue. */
 void worker_set_quiet(struct sched *s, struct worker *w)
 {
 	w->answered_at = s->now - WORKER_TIMEOUT_MS;
-	w->heard_by = 0;
+	w->poll_due_by = 0;
 }
 
 /* Is it there, and well? */
-bool worker_is_well(const struct sched *s, const struct worker *w)
+bool worker_is_healthy(const struct sched *s, const struct worker *w)
 {
-	return w->listed && !w->gone && !w->row.draining && !w->leaving &&
-	       w->fenced && !worker_is_quiet(s, w) && s->now >= w->unwell_until;
+	return w->listed && !w->gone && !w->row.draining &&
+	       !w->takedown_pending && w->fenced && !worker_is_quiet(s, w) &&
+	       s->now >= w->unhealthy_until;
 }
 
 /* May it get new work? */
-bool worker_takes(const struct sched *s, const struct worker *w)
+bool worker_is_eligible(const struct sched *s, const struct worker *w)
 {
-	return worker_is_well(s, w) && w->noted;
+	return worker_is_healthy(s, w) && w->noted;
 }
 
 /* A worker runs nothing any more. */
-void worker_gone(struct sched *s, struct worker *w)
+void worker_set_gone(struct sched *s, struct worker *w)
 {
 	w->gone = true;
 	worker_count(s, w);
@@ -89,19 +90,19 @@
 /* A worker has no end left to acknowledge. */
 static void worker_acked(struct sched *s, struct worker *w)
 {
-	if (w->acked != w->seen)
+	if (w->durable_end != w->last_end)
 		TAILQ_REMOVE(&s->unacked, w, unacked);
-	w->acked = w->seen;
+	w->durable_end = w->last_end;
 }
 
 /* A worker has told an end that is new here. */
 static void worker_saw_end(struct sched *s, struct worker *w, uint64_t number)
 {
-	if (w->acked != w->seen)
+	if (w->durable_end != w->last_end)
 		TAILQ_REMOVE(&s->unacked, w, unacked);
-	if (number > w->seen)
-		w->seen = number;
-	w->seen_seq = s->dirty_seq;
+	if (number > w->last_end)
+		w->last_end = number;
+	w->last_end_seq = s->dirty_seq;
 	TAILQ_INSERT_TAIL(&s->unacked, w, unacked);
 }
 
@@ -123,7 +124,7 @@
 {
 	worker_acked(s, w);
 	worker_uncount(s, w);
-	s->note_names_freed = s->note_names_freed || w->noted;
+	s->note_has_gone_worker = s->note_has_gone_worker || w->noted;
 	HASH_DEL(s->workers, w);
 	worker_row_free(&w->row);
 	bstr_free(&w->rack);
@@ -142,7 +143,7 @@
 		rq->worker = NULL;
 	HASH_ITER(hh, s->workers, w, next) {
 		while ((t = TAILQ_FIRST(&w->tasks)))
-			task_rest(s, t);
+			task_unplace(s, t);
 		sched_worker_free(s, w);
 	}
 	pools_free(s);
@@ -156,7 +157,7 @@
 static bool start_may_be_anothers(const struct task *t)
 {
 	return t->phase == PHASE_STARTING &&
-	       (!t->opened_at || t->opened_at > t->worker->alive_at);
+	       (!t->connected_at || t->connected_at > t->worker->alive_at);
 }
 
 /*
@@ -169,15 +170,15 @@
 {
 	struct task *t;
 
-	TAILQ_FOREACH(t, &w->tasks, on) {
+	TAILQ_FOREACH(t, &w->tasks, worker_entry) {
 		if (!start_may_be_anothers(t))
 			continue;
-		t->awaited = w->serial;
-		w->awaited = true;
-		task_pause(t, t->begun_at + ORDER_LIFETIME_MAX_MS);
+		t->awaited_worker = w->serial;
+		w->late_starts_possible = true;
+		task_pause(t, t->started_at + ORDER_LIFETIME_MAX_MS);
 		sched_log(s, LOG_START_AWAITED,
 			  "task=%s.%u.%u.%u run=%llu worker=%.*s wait_ms=%lld",
-			  t->occ->job->id, t->occ->k, t->step, t->index,
+			  t->occ->job->id, t->occ->number, t->step, t->index,
 			  (unsigned long long)t->run, BSTR_ARG(w->id),
 			  (long long)(t->not_before - s->now));
 	}
@@ -198,14 +199,14 @@
 		TAILQ_FOREACH(o, &j->occs, entry) {
 			for (i = 0; i < o->task_count; i++) {
 				t = &o->tasks[i];
-				if (t->awaited == w->serial &&
+				if (t->awaited_worker == w->serial &&
 				    w->clock > t->start_by)
 					t->not_before = s->now;
 			}
 		}
 	}
-	w->awaited = false;
-	s->place = true;
+	w->late_starts_possible = false;
+	s->place_due = true;
 }
 
 /*
@@ -218,13 +219,13 @@
 	unsigned n = 0;
 
 	while ((t = TAILQ_FIRST(&w->tasks))) {
-		task_rest(s, t);
+		task_unplace(s, t);
 		n++;
 	}
 	sched_log(s, LOG_WORKER_LOST,
 		  "worker=%.*s why=%s tasks=%u quiet_ms=%lld", BSTR_ARG(w->id),
 		  why, n, (long long)(s->now - w->answered_at));
-	s->place = true;
+	s->place_due = true;
 }
 
 /* A worker under the same id has begun a new life: it knows nothing. */
@@ -246,28 +247,28 @@
 	 * What it may yet start by an order that was meant for its life
 	 * before; what was sent before its birth never reached it.
 	 */
-	TAILQ_FOREACH(t, &w->tasks, on)
-		if (t->phase == PHASE_STARTING && t->begun_at >= birth)
-			task_pause(t, t->begun_at + ORDER_LIFETIME_MAX_MS);
-	if (w->born)
+	TAILQ_FOREACH(t, &w->tasks, worker_entry)
+		if (t->phase == PHASE_STARTING && t->started_at >= birth)
+			task_pause(t, t->started_at + ORDER_LIFETIME_MAX_MS);
+	if (w->started_at)
 		worker_lost(s, w, "restarted");
-	w->born = born;
+	w->started_at = born;
 	worker_acked(s, w);
-	w->seen = w->acked = 0;
-	w->seen_seq = 0;
+	w->last_end = w->durable_end = 0;
+	w->last_end_seq = 0;
 	w->ends_held = false;
 	w->fenced = false;
 	worker_count(s, w);
 	/* What it has taken by a start meant for the old life lasts longer. */
 	w->lease_end = a->running_count ? a->clock + s->options.lease_max_ms
 					: 0;
-	w->other_until = 0;
+	w->later_life_until = 0;
 	w->alive_at = 0;
-	w->awaited = false;
+	w->late_starts_possible = false;
 	w->clock = 0; /* it starts anew as well */
 	w->clock_at = s->now;
-	w->look_at = s->now;
-	w->doubt = 0;
+	w->poll_at = s->now;
+	w->failure_streak = 0;
 }
 
 /*
@@ -277,11 +278,11 @@
  * would be started again.  So nothing is acknowledged before an answer has
  * told which life it is.
  */
-void worker_unsure(struct sched *s, struct worker *w)
+void worker_suspect_restart(struct sched *s, struct worker *w)
 {
-	w->sure = false;
-	if (!w->looking)
-		w->look_at = s->now;
+	w->same_life = false;
+	if (!w->polling)
+		w->poll_at = s->now;
 }
 
 /*
@@ -290,11 +291,12 @@
  * was one of the old clock.  Given up with the old life's lease, its tasks
  * would run elsewhere beside it, or once more when it has done them.
  */
-void worker_other_life(struct sched *s, struct worker *w)
+void worker_expect_later_life(struct sched *s, struct worker *w)
 {
-	worker_unsure(s, w);
-	w->other_until = s->now + (int64_t)((double)s->options.lease_max_ms *
-					    CLOCK_DRIFT_FACTOR);
+	worker_suspect_restart(s, w);
+	w->later_life_until = s->now +
+			      (int64_t)((double)s->options.lease_max_ms *
+					CLOCK_DRIFT_FACTOR);
 }
 
 /* Its row was removed. */
@@ -321,26 +323,27 @@
 	bstr_free(&w->rack);
 	if (w->row.label_count)
 		w->rack = bstr_copy(w->row.labels[w->row.label_count - 1]);
-	w->reading = s->follows[2].reading;
+	w->last_reading = s->follows[2].reading_serial;
 	if (!w->listed)
-		w->look_at = s->now;
+		w->poll_at = s->now;
 	w->listed = true;
 	w->gone = false;
 	worker_count(s, w);
 	if (moved)
-		w->look_at = s->now;
+		w->poll_at = s->now;
 	if (w->row.draining && !was)
 		sched_log(s, LOG_WORKER_DRAINS, "worker=%.*s revision=%llu",
 			  BSTR_ARG(w->id), (unsigned long long)r->revision);
-	if (w->row.born && w->born && w->row.born > w->born)
-		worker_unsure(s, w); /* its next list tells */
-	s->place = true;
+	if (w->row.started_at && w->started_at &&
+	    w->row.started_at > w->started_at)
+		worker_suspect_restart(s, w); /* its next list tells */
+	s->place_due = true;
 }
 
 static void worker_check(struct sched *s, struct worker *w);
 
 /* A row of a worker. */
-void worker_row_take(struct sched *s, struct row *r)
+void worker_row_apply(struct sched *s, struct row *r)
 {
 	struct worker *w = worker_find(s, r->key);
 
@@ -351,9 +354,9 @@
 	}
 	if (!w) {
 		w = worker_new(s, r->key);
-		w->answered_at = w->idle_at = s->now;
+		w->answered_at = w->idle_since = s->now;
 		w->clock_at = s->now;
-		s->own.beat_at = s->now; /* to note it */
+		s->own.heartbeat_at = s->now; /* to note it */
 		sched_log(s, LOG_WORKER_SEEN,
 			  "worker=%.*s service=%.*s address=%.*s",
 			  BSTR_ARG(w->id), BSTR_ARG(r->worker.service),
@@ -368,12 +371,12 @@
  * After a whole reading, the rows that did not come are not there any more:
  * they were removed during a gap of the feed.
  */
-void worker_sweep(struct sched *s)
+void workers_unlist_missing(struct sched *s)
 {
 	struct worker *w, *next;
 
 	HASH_ITER(hh, s->workers, w, next)
-		if (w->reading != s->follows[2].reading)
+		if (w->last_reading != s->follows[2].reading_serial)
 			worker_unlist(s, w);
 }
 
@@ -393,8 +396,8 @@
 /* How long a hold may wait for an end. */
 static uint32_t hold_wait(const struct sched *s, const struct worker *w)
 {
-	if (!w->fenced || !w->clock || !w->sure || w->acked < w->seen ||
-	    w->ends_held)
+	if (!w->fenced || !w->clock || !w->same_life ||
+	    w->durable_end < w->last_end || w->ends_held)
 		return 0;
 	return TAILQ_EMPTY(&w->tasks) ? idle_wait(s) : POLL_WAIT_MAX_MS;
 }
@@ -415,8 +418,8 @@
 	o->worker = bstr_copy(w->id);
 	o->address = bstr_copy(w->row.address);
 	o->epoch = s->own.epoch;
-	o->ack_to = w->sure ? w->acked : 0;
-	rq->number = o->ack_to;
+	o->ack_through = w->same_life ? w->durable_end : 0;
+	rq->number = o->ack_through;
 	o->wait_ms = wait;
 	/*
 	 * Without an answer for a while the lease is not renewed: it ends,
@@ -427,12 +430,12 @@
 		if (o->deadline > w->lease_end)
 			w->lease_end = o->deadline;
 	}
-	w->looking = true;
-	w->look_at = s->now + POLL_RETRY_MS;
-	w->heard_by = 0;
+	w->polling = true;
+	w->poll_at = s->now + POLL_RETRY_MS;
+	w->poll_due_by = 0;
 	if (wait > POLL_WAIT_MAX_MS)
-		w->heard_by = s->now + wait + WORKER_TIMEOUT_MS -
-			      POLL_WAIT_MAX_MS;
+		w->poll_due_by = s->now + wait + WORKER_TIMEOUT_MS -
+				 POLL_WAIT_MAX_MS;
 	sched_count(s, COUNT_WORKER_EXCHANGES, 1);
 }
 
@@ -449,11 +452,11 @@
 			 (int64_t)(UNCONFIRMED_LEASE_MS *
 				   (CLOCK_DRIFT_FACTOR - 1));
 
-	if (!worker_is_quiet(s, w) || s->now < w->other_until)
+	if (!worker_is_quiet(s, w) || s->now < w->later_life_until)
 		return false;
 	if (w->fenced && w->clock)
-		return lease_was_over(w, s->own.proved_at);
-	return s->own.proved_at > settle;
+		return lease_was_over(w, s->own.confirmed_at);
+	return s->own.confirmed_at > settle;
 }
 
 /* Look at one worker. */
@@ -462,22 +465,22 @@
 	struct task *t, *next;
 
 	if (!w->gone && worker_is_over(s, w)) {
-		worker_gone(s, w);
+		worker_set_gone(s, w);
 		starts_wait(s, w);
 		if (!TAILQ_EMPTY(&w->tasks))
 			worker_lost(s, w, "silent");
 	}
-	if (w->gone && !w->listed && !w->looking && !w->requests &&
+	if (w->gone && !w->listed && !w->polling && !w->requests &&
 	    TAILQ_EMPTY(&w->tasks)) {
 		sched_worker_free(s, w);
 		return;
 	}
 	for (t = TAILQ_FIRST(&w->tasks); t; t = next) {
-		next = TAILQ_NEXT(t, on);
-		if (t->stopping && s->now >= t->stop_at)
+		next = TAILQ_NEXT(t, worker_entry);
+		if (t->stopping && s->now >= t->stop_retry_at)
 			task_stop(s, t);
 	}
-	if (!w->looking && s->now >= w->look_at && own_acts(s) &&
+	if (!w->polling && s->now >= w->poll_at && own_may_order(s) &&
 	    w->row.address.bstr_len)
 		worker_hold(s, w);
 }
@@ -487,9 +490,9 @@
 {
 	struct worker *w, *next, *one = NULL;
 
-	if (s->now < s->own.told_at)
+	if (s->now < s->own.wait_log_at)
 		return;
-	s->own.told_at = s->now + SETTLE_TOLD_MS;
+	s->own.wait_log_at = s->now + SETTLE_TOLD_MS;
 	HASH_ITER(hh, s->workers, w, next)
 		if (w->unknown && (!one || w->answered_at < one->answered_at))
 			one = w;
@@ -501,11 +504,11 @@
 		  "leases_ms=%lld proof_ms=%lld",
 		  (unsigned long long)s->own.epoch,
 		  (long long)(s->now - s->own.owned_at), s->unknown_count,
-		  BSTR_ARG(one->id), one->listed, one->fenced, one->ends_cut,
-		  (long long)(s->now - one->answered_at),
-		  (long long)(one->other_until - s->now),
+		  BSTR_ARG(one->id), one->listed, one->fenced,
+		  one->ends_truncated, (long long)(s->now - one->answered_at),
+		  (long long)(one->later_life_until - s->now),
 		  (long long)(s->own.settle_by - s->now),
-		  (long long)(s->now - s->own.proved_at));
+		  (long long)(s->now - s->own.confirmed_at));
 }
 
 /*
@@ -518,11 +521,11 @@
 		return;
 	if (s->unknown_count) {
 		settle_tell(s);
-		s->place = true; /* of the pools that are settled */
+		s->place_due = true; /* of the pools that are settled */
 		return;
 	}
 	s->settled = true;
-	s->place = true;
+	s->place_due = true;
 	sched_log(s, LOG_OWNER_SETTLED, "epoch=%llu ms=%lld",
 		  (unsigned long long)s->own.epoch,
 		  (long long)(s->now - s->own.owned_at));
@@ -547,7 +550,8 @@
  */
 bool worker_ends_durable(const struct worker *w)
 {
-	return w->acked == w->seen && !w->ends_cut && !w->ends_held;
+	return w->durable_end == w->last_end && !w->ends_truncated &&
+	       !w->ends_held;
 }
 
 /* Ends up to here are durable: tell the workers with the next hold. */
@@ -556,9 +560,9 @@
 	uint64_t durable = commit_durable(s);
 	struct worker *w;
 
-	while ((w = TAILQ_FIRST(&s->unacked)) && w->seen_seq <= durable) {
+	while ((w = TAILQ_FIRST(&s->unacked)) && w->last_end_seq <= durable) {
 		worker_acked(s, w);
-		if (!w->looking && own_acts(s))
+		if (!w->polling && own_may_order(s))
 			worker_hold(s, w);
 	}
 }
@@ -567,14 +571,15 @@
 static void worker_doubt(struct sched *s, struct worker *w,
 			 const struct task *t)
 {
-	if (!strcmp(w->doubt_job, t->occ->job->id))
+	if (!strcmp(w->failure_streak_job, t->occ->job->id))
 		return;
-	memcpy(w->doubt_job, t->occ->job->id, sizeof(w->doubt_job));
-	if (++w->doubt < SUSPECT_FAILURES)
+	memcpy(w->failure_streak_job, t->occ->job->id,
+	       sizeof(w->failure_streak_job));
+	if (++w->failure_streak < SUSPECT_FAILURES)
 		return;
-	w->doubt_until = s->now + SUSPECT_MS;
+	w->suspect_until = s->now + SUSPECT_MS;
 	sched_log(s, LOG_WORKER_SUSPECT, "worker=%.*s failures=%u",
-		  BSTR_ARG(w->id), w->doubt);
+		  BSTR_ARG(w->id), w->failure_streak);
 }
 
 /* A run has ended, and it was the task's own. */
@@ -583,20 +588,20 @@
 {
 	if (n->checkpoint.bstr_len && !bstr_eq(n->checkpoint, t->checkpoint)) {
 		bstr_set(&t->checkpoint, n->checkpoint);
-		if (n->how != END_DONE)
-			job_touch(s, t->occ->job);
+		if (n->kind != END_DONE)
+			job_mark_dirty(s, t->occ->job);
 	}
-	if (n->how == END_DONE)
-		learn_run(s, t);
-	task_rest(s, t);
-	switch (n->how) {
+	if (n->kind == END_DONE)
+		learn_run_time(s, t);
+	task_unplace(s, t);
+	switch (n->kind) {
 	case END_DONE:
-		w->doubt = 0;
-		w->doubt_job[0] = '\0';
+		w->failure_streak = 0;
+		w->failure_streak_job[0] = '\0';
 		job_task_done(s, t);
 		return;
 	case END_FAILED:
-		t->avoid = w->serial;
+		t->avoided_worker = w->serial;
 		task_pause(t, s->now + TASK_RETRY_DELAY_MS);
 		worker_doubt(s, w, t);
 		job_task_failed(s, t, n->run);
@@ -619,17 +624,17 @@
 	struct job *j;
 	struct task *t = task_find(s, n->task, &j);
 
-	if (n->how != END_DONE || s->settled == false)
+	if (n->kind != END_DONE || s->settled == false)
 		sched_log(s, LOG_TASK_ENDED,
 			  "task=%.*s run=%llu worker=%.*s how=%s known=%d",
 			  BSTR_ARG(n->task), (unsigned long long)n->run,
-			  BSTR_ARG(w->id), words[n->how], t != NULL);
+			  BSTR_ARG(w->id), words[n->kind], t != NULL);
 	if (!t || t->phase == PHASE_DONE)
 		return;
-	j->ran = true;
+	j->run_seen = true;
 	if (t->worker == w && t->run == n->run) {
 		end_apply(s, w, t, n);
-	} else if (n->how == END_DONE) {
+	} else if (n->kind == END_DONE) {
 		/*
 		 * A run of an earlier owner, or one given up as lost, was
 		 * done after all.  What runs now is for nothing.
@@ -637,15 +642,15 @@
 		if (t->worker)
 			task_stop(s, t);
 		if (t->worker)
-			task_rest(s, t);
+			task_unplace(s, t);
 		job_task_done(s, t);
 	} else {
-		if (n->run > t->top_run)
-			t->top_run = n->run;
-		if (n->how == END_FAILED)
+		if (n->run > t->highest_run)
+			t->highest_run = n->run;
+		if (n->kind == END_FAILED)
 			job_task_failed(s, t, n->run);
 	}
-	s->place = true;
+	s->place_due = true;
 }
 
 /*
@@ -659,7 +664,7 @@
 	struct job *j;
 	struct task *t = task_find(s, n->task, &j);
 
-	if (!t || n->how != END_DONE || t->phase != PHASE_STARTING ||
+	if (!t || n->kind != END_DONE || t->phase != PHASE_STARTING ||
 	    (t->worker == w && t->run == n->run))
 		return NULL;
 	return t;
@@ -677,7 +682,7 @@
 	size_t i;
 
 	for (i = 0; i < a->ended_count; i++) {
-		if (a->ended[i].number <= w->seen ||
+		if (a->ended[i].number <= w->last_end ||
 		    a->ended[i].number >= limit)
 			continue;
 		t = end_held_by(s, w, &a->ended[i]);
@@ -697,7 +702,7 @@
  */
 static void ends_take(struct sched *s, struct worker *w, const struct answer *a)
 {
-	uint64_t known = w->seen, limit = ends_hold(s, w, a);
+	uint64_t known = w->last_end, limit = ends_hold(s, w, a);
 	size_t i;
 
 	w->ends_held = limit != UINT64_MAX;
@@ -706,7 +711,7 @@
 			continue;
 		end_take(s, w, &a->ended[i]);
 		worker_saw_end(s, w, a->ended[i].number);
-		s->place = true;
+		s->place_due = true;
 	}
 }
 
@@ -723,7 +728,7 @@
 	 */
 	if (t && t->phase == PHASE_PENDING) {
 		task_adopt(s, t, w, r->run);
-		if (j->fate > JOB_STATUS_RUNNING)
+		if (j->status > JOB_STATUS_RUNNING)
 			task_stop(s, t);
 	}
 	if (!t || t->worker != w || t->run != r->run) {
@@ -731,13 +736,14 @@
 			run_stop(s, w, r->task, r->run);
 		return;
 	}
-	t->list = w->list;
-	j->ran = true;
+	t->last_list = w->list_count;
+	j->run_seen = true;
 	if (t->phase == PHASE_STARTING)
 		task_phase(t, PHASE_RUNNING);
 	t->percent = r->percent;
-	t->figure = r->figure;
-	t->acked = CLOCK_NONE; /* seen in a list: its absence counts */
+	t->load_figure = r->load_figure;
+	t->started_at_worker =
+		CLOCK_NONE; /* seen in a list: its absence counts */
 	if (r->checkpoint.bstr_len && !bstr_eq(t->checkpoint, r->checkpoint))
 		bstr_set(&t->checkpoint, r->checkpoint);
 }
@@ -754,25 +760,26 @@
 {
 	struct task *t, *next;
 
-	if (w->ends_cut || w->ends_held)
+	if (w->ends_truncated || w->ends_held)
 		return;
 	for (t = TAILQ_FIRST(&w->tasks); t; t = next) {
-		next = TAILQ_NEXT(t, on);
-		if (t->asked || t->list == w->list)
+		next = TAILQ_NEXT(t, worker_entry);
+		if (t->start_in_flight || t->last_list == w->list_count)
 			continue;
 		if (t->phase == PHASE_STARTING && a->clock <= t->start_by)
 			continue;
-		if (t->phase == PHASE_RUNNING && t->acked != CLOCK_NONE &&
-		    a->clock <= t->acked)
+		if (t->phase == PHASE_RUNNING &&
+		    t->started_at_worker != CLOCK_NONE &&
+		    a->clock <= t->started_at_worker)
 			continue;
 		sched_log(s, LOG_TASK_MISSING,
 			  "task=%s.%u.%u.%u run=%llu worker=%.*s phase=%d",
-			  t->occ->job->id, t->occ->k, t->step, t->index,
+			  t->occ->job->id, t->occ->number, t->step, t->index,
 			  (unsigned long long)t->run, BSTR_ARG(w->id),
 			  t->phase);
-		task_rest(s, t);
+		task_unplace(s, t);
 		task_pause(t, s->now + TASK_RETRY_DELAY_MS);
-		s->place = true;
+		s->place_due = true;
 	}
 }
 
@@ -786,7 +793,8 @@
 				  const struct request *rq,
 				  const struct answer *a)
 {
-	return rq->number && a->born && w->born && a->born != w->born;
+	return rq->number && a->worker_started_at && w->started_at &&
+	       a->worker_started_at != w->started_at;
 }
 
 /* A worker has answered a hold. */
@@ -797,46 +805,46 @@
 
 	if (hold_was_for_old_life(w, rq, a)) {
 		w->answered_at = s->now;
-		w->sure = false;
+		w->same_life = false;
 		return;
 	}
-	if (a->born && a->born != w->born)
-		worker_reborn(s, w, a->born, a);
+	if (a->worker_started_at && a->worker_started_at != w->started_at)
+		worker_reborn(s, w, a->worker_started_at, a);
 	/*
 	 * A clock that goes back: an answer that a newer one has overtaken,
 	 * or a new life of a worker that does not say when it was born.
 	 */
 	if (a->clock < w->clock) {
-		if (a->born || a->sent_at < w->clock_at)
+		if (a->worker_started_at || a->sent_at < w->clock_at)
 			return;
 		worker_reborn(s, w, 0, a);
 	}
-	load_hold(s, w, a);
-	w->ends_cut = a->ended_cut;
+	load_add_poll(s, w, a);
+	w->ends_truncated = a->ended_truncated;
 	w->clock = a->clock;
 	w->clock_at = s->now;
 	w->answered_at = s->now;
-	if (a->born && a->sent_at > w->alive_at)
+	if (a->worker_started_at && a->sent_at > w->alive_at)
 		w->alive_at = a->sent_at;
-	if (w->awaited && a->born)
+	if (w->late_starts_possible && a->worker_started_at)
 		starts_wait_no_more(s, w);
 	if (w->gone && !w->noted)
-		s->own.beat_at = s->now; /* to note it */
+		s->own.heartbeat_at = s->now; /* to note it */
 	w->gone = false;
-	w->sure = true;
+	w->same_life = true;
 	if (!w->fenced) {
 		w->fenced = true;
-		s->place = true;
+		s->place_due = true;
 	}
 	w->strays_due = s->now >= w->stray_at;
 	if (w->strays_due)
 		w->stray_at = s->now + STRAY_AGAIN_MS;
-	w->list++;
+	w->list_count++;
 	ends_take(s, w, a);
 	for (i = 0; i < a->running_count; i++)
 		running_take(s, w, &a->running[i]);
 	absent_take(s, w, a);
-	pace_worker(s, w);
+	pace_worker_tasks(s, w);
 	worker_count(s, w);
 }
 
@@ -847,30 +855,30 @@
 
 	if (!w || rq->epoch != s->own.epoch || s->own.state != OWN_OWNER)
 		return;
-	w->looking = false;
+	w->polling = false;
 	if (a->outcome == OUT_DONE) {
 		hold_take(s, w, rq, a);
-		w->look_at = s->now;
-		if (w->acked < w->seen || w->ends_held)
-			w->look_at += POLL_RETRY_MS;
+		w->poll_at = s->now;
+		if (w->durable_end < w->last_end || w->ends_held)
+			w->poll_at += POLL_RETRY_MS;
 		worker_acknowledge(s);
-		if (!w->looking && s->now >= w->look_at && own_acts(s))
+		if (!w->polling && s->now >= w->poll_at && own_may_order(s))
 			worker_hold(s, w);
 		settle_check(s);
 		return;
 	}
-	w->sure = false;
-	w->look_at = s->now + POLL_RETRY_MS;
+	w->same_life = false;
+	w->poll_at = s->now + POLL_RETRY_MS;
 	if (a->refusal == REFUSAL_STALE_EPOCH) {
-		own_doubt(s, "fenced");
+		own_require_check(s, "fenced");
 	} else if (a->refusal == REFUSAL_OTHER_LIFE) {
 		/* Another worker answers there: this one has ended. */
-		worker_gone(s, w);
+		worker_set_gone(s, w);
 		worker_set_quiet(s, w);
 		if (!TAILQ_EMPTY(&w->tasks))
 			worker_lost(s, w, "replaced");
 	} else if (a->outcome == OUT_REFUSED) {
-		w->unwell_until = s->now + POLL_RETRY_MS;
+		w->unhealthy_until = s->now + POLL_RETRY_MS;
 	}
 	settle_check(s);
 }
--- a/sched.c
+++ b/sched.c
@@ -14,7 +14,7 @@
 	struct sched_effect *fx = xcalloc(1, sizeof(*fx));
 
 	fx->kind = kind;
-	TAILQ_INSERT_TAIL(s->out, fx, entry);
+	TAILQ_INSERT_TAIL(s->effects, fx, entry);
 	return fx;
 }
 
@@ -28,8 +28,9 @@
 
 	rq->id = ++s->last_request;
 	rq->purpose = purpose;
-	rq->epoch = own_acts(s) || s->own.state == OWN_LOADING ? s->own.epoch
-							       : 0;
+	rq->epoch = own_may_order(s) || s->own.state == OWN_LOADING
+			    ? s->own.epoch
+			    : 0;
 	HASH_ADD(hh, s->requests, id, sizeof(rq->id), rq);
 	fx->ask.request = rq->id;
 	fx->ask.kind = kind;
@@ -82,7 +83,7 @@
  * Does the store serve this VM?  After two failures in a row it does not,
  * until a request succeeds; the feeds go on asking.
  */
-bool sched_store_works(const struct sched *s)
+bool sched_store_is_up(const struct sched *s)
 {
 	return s->store_failures < 2;
 }
@@ -96,19 +97,19 @@
 			return;
 		s->store_failed_at = s->now;
 		s->store_failures++;
-		if (s->store_failures == 2 && !s->store_down) {
-			s->store_down = true;
+		if (s->store_failures == 2 && !s->store_down_logged) {
+			s->store_down_logged = true;
 			sched_log(s, LOG_STORE_LOST, "idle_ms=%lld",
 				  (long long)(s->now - s->store_ok_at));
 		}
 		return;
 	}
-	if (s->store_down) {
+	if (s->store_down_logged) {
 		sched_log(s, LOG_STORE_BACK, "away_ms=%lld",
 			  (long long)(s->now - s->store_ok_at));
-		own_store_back(s);
+		own_store_recovered(s);
 	}
-	s->store_down = false;
+	s->store_down_logged = false;
 	s->store_failures = 0;
 	s->store_ok_at = s->now;
 }
@@ -197,7 +198,7 @@
 		return;
 	HASH_DEL(s->requests, rq);
 	if (purpose_is_store(rq->purpose)) {
-		store_clock_take(s, a);
+		store_clock_update(s, a);
 		store_judge(s, a);
 		if (!purpose_is_feed(rq->purpose))
 			sched_observe(s, HISTOGRAM_STORE, s->now - a->sent_at);
@@ -216,35 +217,35 @@
  */
 static void suspension_check(struct sched *s)
 {
-	int64_t gap = s->now - s->seen_at;
+	int64_t gap = s->now - s->last_event_at;
 
-	if (s->seen_at && gap > SUSPENSION_MIN_MS) {
+	if (s->last_event_at && gap > SUSPENSION_MIN_MS) {
 		sched_log(s, LOG_SUSPENDED, "gap_ms=%lld", (long long)gap);
-		own_doubt(s, "suspended");
-		s->slept_at = s->seen_at;
-		s->woke_at = s->now;
+		own_require_check(s, "suspended");
+		s->suspended_at = s->last_event_at;
+		s->resumed_at = s->now;
 	}
-	s->seen_at = s->now;
+	s->last_event_at = s->now;
 }
 
 /* Say whether this VM wants new connections, when that changes. */
 static void ready_tick(struct sched *s)
 {
-	bool ready = s->config && sched_store_works(s) && !s->stop_by;
+	bool ready = s->config && sched_store_is_up(s) && !s->stop_by;
 
 	if (ready == s->ready)
 		return;
 	s->ready = ready;
 	sched_effect_add(s, EFFECT_READY)->ready = ready;
 	sched_log(s, LOG_READY, "ready=%d config=%d store=%d stopping=%d",
-		  ready, s->config != NULL, sched_store_works(s),
+		  ready, s->config != NULL, sched_store_is_up(s),
 		  s->stop_by != 0);
 }
 
 /* A planned stop: finish what is under way, then end. */
 static void stop_tick(struct sched *s)
 {
-	bool leaves = s->now >= s->leave_at && !s->calls;
+	bool leaves = s->now >= s->end_at && !s->calls;
 
 	if (!s->stop_by || s->ended)
 		return;
@@ -264,9 +265,9 @@
 	if (s->stop_by)
 		return;
 	s->stop_by = s->now + s->options.grace_ms;
-	s->leave_at = s->stop_by - s->options.grace_ms / 4;
-	if (s->woke_at && s->now - s->woke_at < SUSPENSION_MIN_MS)
-		s->leave_at -= s->woke_at - s->slept_at;
+	s->end_at = s->stop_by - s->options.grace_ms / 4;
+	if (s->resumed_at && s->now - s->resumed_at < SUSPENSION_MIN_MS)
+		s->end_at -= s->resumed_at - s->suspended_at;
 	sched_log(s, LOG_STOPPING, "calls=%u owner=%d", HASH_COUNT(s->calls),
 		  s->own.state == OWN_OWNER);
 	own_release(s);
@@ -284,11 +285,11 @@
 	const struct worker *w;
 	uint64_t taking = 0;
 
-	if (s->now < s->gauges_at)
+	if (s->now < s->gauges_set_at)
 		return;
-	s->gauges_at = s->now + GAUGE_INTERVAL_MS;
+	s->gauges_set_at = s->now + GAUGE_INTERVAL_MS;
 	for (w = s->workers; w; w = w->hh.next)
-		taking += worker_takes(s, w);
+		taking += worker_is_eligible(s, w);
 	sched_gauge(s, COUNT_OWNER, s->own.state == OWN_OWNER);
 	sched_gauge(s, COUNT_JOBS_OPEN, HASH_COUNT(s->jobs));
 	sched_gauge(s, COUNT_WORKERS_KNOWN, HASH_COUNT(s->workers));
@@ -296,13 +297,13 @@
 	sched_gauge(s, COUNT_CONFIG_REVISION,
 		    s->config ? s->config->version : 0);
 	sched_gauge(s, COUNT_STORE_AGE, (uint64_t)(s->now - s->store_ok_at));
-	sched_gauge(s, COUNT_COUNTS_AGE, gauge_of(counts_age(s)));
+	sched_gauge(s, COUNT_COUNTS_AGE, gauge_of(counts_age_ms(s)));
 }
 
 /* Look at the clock. */
 static void tick_take(struct sched *s)
 {
-	s->place = s->place || s->waits;
+	s->place_due = s->place_due || s->has_pending_tasks;
 	follow_tick(s);
 	own_tick(s);
 	call_tick(s);
@@ -323,14 +324,14 @@
 {
 	s->now = ev->now;
 	s->wall = ev->wall;
-	s->out = out;
+	s->effects = out;
 	suspension_check(s);
 	switch (ev->kind) {
 	case EVENT_TICK:
 		tick_take(s);
 		break;
 	case EVENT_CALL:
-		call_take(s, (struct call_in *)&ev->call);
+		call_receive(s, (struct call_in *)&ev->call);
 		break;
 	case EVENT_ANSWER:
 		answer_take(s, (struct answer *)&ev->answer);
@@ -344,11 +345,11 @@
 	 * load a look for each would cost the owner more than its share of
 	 * the processor, and the queue would grow by that.
 	 */
-	if (s->place && !ev->more && s->now >= s->place_at)
+	if (s->place_due && !ev->more_follow && s->now >= s->place_at)
 		place_all(s);
-	own_beat_due(s);
+	own_heartbeat_if_due(s);
 	commit_tick(s);
-	s->out = NULL;
+	s->effects = NULL;
 }
 
 /* Set up how a table is followed. */
@@ -357,8 +358,8 @@
 				 bool wanted)
 {
 	return (struct follow){.table = table,
-			       .get = get,
-			       .feed = feed,
+			       .read_purpose = get,
+			       .feed_purpose = feed,
 			       .wait_ms = wait_ms,
 			       .wanted = wanted};
 }
@@ -387,8 +388,8 @@
 	s->start_window = START_WINDOW_INITIAL;
 	TAILQ_INIT(&s->order);
 	TAILQ_INIT(&s->dirty);
-	TAILQ_INIT(&s->flying);
-	TAILQ_INIT(&s->retirees);
+	TAILQ_INIT(&s->committing_jobs);
+	TAILQ_INIT(&s->retired_order);
 	TAILQ_INIT(&s->unacked);
 	return s;
 }
@@ -402,12 +403,12 @@
 	size_t i;
 
 	TAILQ_INIT(&out);
-	s->out = &out; /* cppcheck-suppress autoVariables */
+	s->effects = &out; /* cppcheck-suppress autoVariables */
 	own_lose(s, "ended");
 	sched_workers_free(s);
 	sched_waves_free(s);
-	lessons_free(s);
-	drains_free(s);
+	learnt_times_free(s);
+	backlogs_free(s);
 	HASH_ITER(hh, s->calls, c, next_c)
 		call_free(s, c);
 	HASH_ITER(hh, s->requests, rq, next_rq) {
@@ -431,7 +432,7 @@
 	bstr_free(&s->own.holder);
 	json_decref(s->own.workers);
 	json_decref(s->own.ceilings);
-	json_decref(s->homes);
+	json_decref(s->home_sizes);
 	bstr_free(&s->options.vm);
 	bstr_free(&s->options.zone);
 	free(s);
--- a/scheduler.h
+++ b/scheduler.h
@@ -34,20 +34,22 @@
 	unsigned count;
 	struct size need;
 	uint32_t estimated_ms;
-	unsigned *after; /* numbers of earlier steps */
-	size_t after_count;
+	unsigned *prerequisites; /* numbers of earlier steps */
+	size_t prerequisite_count;
 	bool checkpoints;
-	bool gang;	  /* its tasks work only all together */
-	bool tight;	  /* slow when spread over racks */
-	bool speculative; /* copies of a task may run side by side */
-	bool lasts;	  /* runs until cancelled */
-	bool fills;	  /* uses only what others leave idle */
-	bstr label;	  /* a worker must have it; empty: any */
-	bstr rack;	  /* where its data is; empty: anywhere */
+	bool gang;		 /* its tasks work only all together */
+	bool locality_sensitive; /* slow when spread over racks */
+	bool speculative;	 /* copies of a task may run side by side */
+	bool long_running;	 /* runs until cancelled */
+	bool best_effort;	 /* uses only what others leave idle */
+	bstr required_label;	 /* a worker must have it; empty: any */
+	bstr data_rack;		 /* where its data is; empty: anywhere */
 	bstr image;
-	unsigned apart;	    /* at most so many on one worker; 0: any */
-	uint32_t target_ms; /* tail latency of a lasting task; 0: none */
-	unsigned may_miss;  /* tasks that planned work may take away at once */
+	unsigned max_per_worker; /* at most so many on one worker; 0: any */
+	uint32_t
+		target_latency_ms; /* tail latency of a lasting task; 0: none */
+	unsigned max_unavailable;  /* tasks that planned work may take away at
+				      once */
 };
 struct job_body {
 	bstr payload;
@@ -64,12 +66,12 @@
 	bstr host;
 	bstr prefix;
 	bstr service;
-	bool open; /* needs no key */
+	bool no_key; /* needs no key */
 	unsigned priority;
 	unsigned attempts;
 	double stretch;
 	uint32_t objective_ms; /* on top of the stretched work */
-	bool advised;	       /* placement needs the advice service */
+	bool needs_ticket;     /* placement needs the advice service */
 };
 struct tenant {
 	bstr name;
@@ -80,7 +82,7 @@
 };
 struct service {
 	bstr name;
-	bool guards; /* its workers refuse what does not fit */
+	bool checks_capacity; /* its workers refuse what does not fit */
 	bool standby;
 };
 struct fleet_config {
@@ -102,7 +104,7 @@
 	struct size capacity;
 	bstr *labels;
 	size_t label_count;
-	int64_t born; /* 0: not said */
+	int64_t started_at; /* 0: not said */
 };
 
 /* A request of the operator to maintain machines. */
@@ -111,7 +113,7 @@
 	bstr *machines;
 	size_t machine_count;
 	int64_t finish_by_s;
-	unsigned maximum;
+	unsigned max_unavailable;
 };
 
 enum table {
@@ -151,7 +153,7 @@
 	uint64_t run;
 	bstr checkpoint;
 	unsigned percent;
-	int64_t figure; /* tail in ms if it serves, else cpu in use */
+	int64_t load_figure; /* tail in ms if it serves, else cpu in use */
 };
 enum end_kind {
 	END_DONE,
@@ -165,7 +167,7 @@
 	uint64_t number;
 	bstr task;
 	uint64_t run;
-	enum end_kind how;
+	enum end_kind kind;
 	bstr checkpoint;
 };
 enum machine_state {
@@ -213,19 +215,19 @@
 	enum outcome outcome;
 	enum refusal refusal;
 	int64_t sent_at;
-	int64_t opened_at; /* the connection it went by; 0: not known */
+	int64_t connected_at; /* the connection it went by; 0: not known */
 	uint64_t revision;
 	struct row *rows;
 	size_t row_count;
 	bool more;
-	int64_t clock;	     /* the worker's */
-	int64_t store_clock; /* the store's steady one; 0: not said */
-	int64_t born;	     /* 0: not said */
+	int64_t clock;		   /* the worker's */
+	int64_t store_clock;	   /* the store's steady one; 0: not said */
+	int64_t worker_started_at; /* 0: not said */
 	struct running *running;
 	size_t running_count;
 	struct ended *ended;
 	size_t ended_count;
-	bool ended_cut; /* there are more than it lists */
+	bool ended_truncated; /* there are more than it lists */
 	struct machine_row *machines;
 	size_t machine_count;
 	bstr next_page;
@@ -238,7 +240,7 @@
 enum call_verb { VERB_SUBMIT, VERB_STATE, VERB_CANCEL, VERB_OTHER };
 struct call_in {
 	uint64_t id;
-	enum call_verb kind;
+	enum call_verb verb;
 	bstr host;
 	bstr path;
 	bstr key;	       /* empty: none */
@@ -252,7 +254,8 @@
 	enum sched_event_kind kind;
 	int64_t now;
 	int64_t wall;
-	bool more; /* others follow at once: placing waits for the last */
+	bool more_follow; /* others follow at once: placing waits for the last
+			   */
 	union {
 		struct call_in call;
 		struct answer answer;
@@ -300,8 +303,8 @@
 	bstr value;
 };
 struct tx {
-	struct tx_expect *expect;
-	size_t expect_count;
+	struct tx_expect *conditions;
+	size_t condition_count;
 	struct tx_write *writes;
 	size_t write_count;
 	struct tx_write *removes; /* without values */
@@ -322,7 +325,7 @@
 	uint64_t run;
 	uint64_t epoch;
 	int64_t deadline; /* on the worker's clock; 0: none */
-	uint64_t ack_to;
+	uint64_t ack_through;
 	uint32_t wait_ms;
 	unsigned percent;
 	bstr payload;
@@ -402,8 +405,8 @@
 	int64_t move_ms;
 	unsigned machine_calls_per_s; /* that the platform takes from all VMs */
 	double far_factor;
-	double cpu_share; /* cores that this VM may use */
-	unsigned without; /* mechanisms left out, a bit each */
+	double cpu_share;  /* cores that this VM may use */
+	unsigned disabled; /* mechanisms left out, a bit each */
 };
 struct sched;
 struct sched *sched_new(const struct sched_options *o);
--- a/tests/support-world-machine.c
+++ b/tests/support-world-machine.c
@@ -106,7 +106,7 @@
 
 	if (s && ask->kind != ASK_MACHINES && ask->kind != ASK_ADVICE &&
 	    s->own.state == OWN_OWNER &&
-	    ask->deadline > s->own.proved_at + OWNER_TIMEOUT_MS)
+	    ask->deadline > s->own.confirmed_at + OWNER_TIMEOUT_MS)
 		world_break_promise(
 			w, "an order about a machine may leave late", "");
 }
--- a/tests/support-world-store.c
+++ b/tests/support-world-store.c
@@ -48,7 +48,7 @@
 				      .prefix = bstr_new("/q/"),
 				      .service = bstr_new(SERVICE),
 				      .attempts = 3,
-				      .advised = w->advised,
+				      .needs_ticket = w->advised,
 				      .stretch = 2,
 				      .objective_ms = 600};
 	if (w->second)
@@ -63,13 +63,13 @@
 	c->services = xcalloc(3, sizeof(*c->services));
 	c->service_count = 1;
 	c->services[0] = (struct service){.name = bstr_new(SERVICE),
-					  .guards = true};
+					  .checks_capacity = true};
 	if (w->standby)
 		c->services[c->service_count++] = (struct service){
 			.name = bstr_new(STANDBY), .standby = true};
 	if (w->second)
 		c->services[c->service_count++] = (struct service){
-			.name = bstr_new(SECOND), .guards = true};
+			.name = bstr_new(SECOND), .checks_capacity = true};
 	c->tenants = xcalloc(1, sizeof(*c->tenants));
 	c->tenant_count = 1;
 	c->tenants[0] = (struct tenant){.name = bstr_new(TENANT),
@@ -110,7 +110,7 @@
 	} else if (from->table == TABLE_OPERATOR) {
 		r->kind = ROW_WAVE;
 		r->wave.number = 1;
-		r->wave.maximum = w->wave_maximum;
+		r->wave.max_unavailable = w->wave_maximum;
 		r->wave.finish_by_s = 20;
 		r->wave.machines = xcalloc(w->wave_machines, sizeof(bstr));
 		for (i = 0; i < w->wave_machines; i++)
@@ -279,7 +279,8 @@
 
 	for (i = 0; i < t->write_count; i++)
 		bytes += t->writes[i].value.bstr_len * 4 / 3;
-	if (t->expect_count + t->write_count + t->remove_count > TX_ENTRIES ||
+	if (t->condition_count + t->write_count + t->remove_count >
+		    TX_ENTRIES ||
 	    bytes > TX_BYTES)
 		world_break_promise(w, "a transaction is too large", "");
 }
@@ -293,10 +294,11 @@
 	bool ok = true;
 
 	tx_check(w, t);
-	for (i = 0; i < t->expect_count && ok; i++) {
-		key = bstr_cstr(t->expect[i].key);
-		r = world_row_get(w, t->expect[i].table, key);
-		ok = (r->removed ? 0 : r->revision) == t->expect[i].revision;
+	for (i = 0; i < t->condition_count && ok; i++) {
+		key = bstr_cstr(t->conditions[i].key);
+		r = world_row_get(w, t->conditions[i].table, key);
+		ok = (r->removed ? 0 : r->revision) ==
+		     t->conditions[i].revision;
 		free(key);
 	}
 	if (!ok)
@@ -328,10 +330,10 @@
 	char *key;
 	size_t i;
 
-	a->rows = xcalloc(t->expect_count + 1, sizeof(*a->rows));
-	for (i = 0; i < t->expect_count; i++) {
-		key = bstr_cstr(t->expect[i].key);
-		r = world_row_get(w, t->expect[i].table, key);
+	a->rows = xcalloc(t->condition_count + 1, sizeof(*a->rows));
+	for (i = 0; i < t->condition_count; i++) {
+		key = bstr_cstr(t->conditions[i].key);
+		r = world_row_get(w, t->conditions[i].table, key);
 		free(key);
 		if (!r->removed && r->revision)
 			row_give(w, r, &a->rows[a->row_count++]);
--- a/tests/support-world-worker.c
+++ b/tests/support-world-worker.c
@@ -66,7 +66,7 @@
 	unsigned i;
 
 	a->clock = world_worker_now(w, n);
-	a->born = WALL_BASE + k->born;
+	a->worker_started_at = WALL_BASE + k->born;
 	a->running = xcalloc(k->run_count + 1, sizeof(*a->running));
 	a->ended = xcalloc(k->end_count + 1, sizeof(*a->ended));
 	for (i = 0; i < k->run_count; i++)
@@ -78,7 +78,7 @@
 		if (k->ends[i].number <= seen)
 			continue;
 		if (a->ended_count == w->ends_listed) {
-			a->ended_cut = true;
+			a->ended_truncated = true;
 			break;
 		}
 		k->ends[i].told = true;
@@ -86,7 +86,7 @@
 			.number = k->ends[i].number,
 			.task = bstr_new(k->ends[i].name),
 			.run = k->ends[i].run,
-			.how = k->ends[i].how};
+			.kind = k->ends[i].how};
 	}
 }
 
@@ -294,7 +294,7 @@
 {
 	struct sched_event *ev = world_answer_make(fx, OUT_DONE, w->now);
 
-	lists_give(w, n, fx->ask.order.ack_to, &ev->answer);
+	lists_give(w, n, fx->ask.order.ack_through, &ev->answer);
 	world_answer_send(w, vm, ev, w->now + WAY_MS);
 }
 
@@ -313,7 +313,7 @@
 		n = address_number(p->ask->ask.order.address);
 		k = &w->workers[n];
 		if (w->now < p->give_up_at &&
-		    k->last_end <= p->ask->ask.order.ack_to)
+		    k->last_end <= p->ask->ask.order.ack_through)
 			continue;
 		if (!w->vms[p->vm].cut_worker[n] && w->now >= k->down_until)
 			hold_answer(w, p->vm, n, p->ask);
@@ -347,7 +347,7 @@
 			k->lease_end = world_worker_now(w, n) + LEASE_MAX_MS;
 		else if (o->deadline > k->lease_end)
 			k->lease_end = o->deadline;
-		ends_ack(w, k, o->ack_to);
+		ends_ack(w, k, o->ack_through);
 		return REFUSAL_NONE;
 	case ASK_START:
 		return start_take(w, vm, n, o);
@@ -397,7 +397,7 @@
 	}
 	refusal = world_order_apply(w, vm, n, &fx->ask);
 	if (refusal == REFUSAL_NONE && fx->ask.kind == ASK_POLL && o->wait_ms &&
-	    w->workers[n].last_end <= o->ack_to) {
+	    w->workers[n].last_end <= o->ack_through) {
 		p = world_pending_add(w, &w->waiting, w->now, vm);
 		p->ask = fx;
 		p->give_up_at = w->now + o->wait_ms;
@@ -410,7 +410,7 @@
 				       w->now);
 		ev->answer.refusal = refusal;
 		ev->answer.clock = world_worker_now(w, n);
-		ev->answer.born = WALL_BASE + w->workers[n].born;
+		ev->answer.worker_started_at = WALL_BASE + w->workers[n].born;
 		world_answer_send(w, vm, ev, w->now + WAY_MS);
 	}
 	sched_effect_free(fx);
--- a/tests/support-world.c
+++ b/tests/support-world.c
@@ -119,7 +119,7 @@
 {
 	struct sched_event *ev = world_answer_make(fx, OUT_UNKNOWN, w->now);
 
-	ev->answer.opened_at = w->old_connections;
+	ev->answer.connected_at = w->old_connections;
 	world_answer_send(w, vm, ev,
 			  fx->ask.deadline > w->now ? fx->ask.deadline
 						    : w->now);
@@ -187,8 +187,8 @@
 }
 
 /*
- * What is counted of resting tasks has to be what rests: one counted too few
- * would never be placed.
+ * What is counted of pending tasks has to be what rests: one counted too
+ * few would never be placed.
  */
 static void resting_check(struct world *w, const struct sched *s)
 {
@@ -201,9 +201,9 @@
 			for (i = 0; i < j->body->step_count; i++) {
 				for (k = n = 0; k < j->body->steps[i].count;
 				     k++)
-					n += o->tasks[o->first[i] + k].phase ==
-					     PHASE_PENDING;
-				if (n != o->resting[i].count)
+					n += o->tasks[o->first_task[i] + k]
+						     .phase == PHASE_PENDING;
+				if (n != o->pending_tasks[i].count)
 					world_break_promise(
 						w, "resting, not counted",
 						j->id);
@@ -287,7 +287,7 @@
 		if (w->now < v->frozen_until) {
 			world_answer_send(w, p->vm, p->answer, v->frozen_until);
 		} else {
-			p->answer->more = pending_has_more(w, p);
+			p->answer->more_follow = pending_has_more(w, p);
 			v->frozen_until =
 				w->now +
 				w->row_ms *
@@ -311,7 +311,7 @@
 	ev->kind = EVENT_CALL;
 	ev->call = (struct call_in){
 		.id = call,
-		.kind = verb,
+		.verb = verb,
 		.host = bstr_new("h"),
 		.path = bstr_printf("/%s/%s", j && j->second ? "q2" : "q", id),
 		.key = bstr_new(KEY),
@@ -497,11 +497,11 @@
 		b->steps[i].count = i ? job->more_tasks : job->tasks;
 		b->steps[i].need = (struct size){TASK_CPU, 100, 0};
 		b->steps[i].estimated_ms = job->task_ms;
-		b->steps[i].lasts = job->lasts;
-		b->steps[i].apart = job->apart;
-		b->steps[i].may_miss = job->may_miss;
-		b->steps[i].after = xcalloc(1, sizeof(unsigned));
-		b->steps[i].after_count = i;
+		b->steps[i].long_running = job->lasts;
+		b->steps[i].max_per_worker = job->apart;
+		b->steps[i].max_unavailable = job->may_miss;
+		b->steps[i].prerequisites = xcalloc(1, sizeof(unsigned));
+		b->steps[i].prerequisite_count = i;
 	}
 	return call_make(w, vm, VERB_SUBMIT, id, b);
 }
--- a/tests/test-decode.c
+++ b/tests/test-decode.c
@@ -36,8 +36,8 @@
 		ev->kind = EVENT_ANSWER;
 		runs_read(j, &ev->answer);
 		cr_expect_eq(ev->answer.ended_count, list_rows[row].ends);
-		cr_expect_eq(ev->answer.ended_cut, list_rows[row].cut, "%zu",
-			     list_rows[row].ends);
+		cr_expect_eq(ev->answer.ended_truncated, list_rows[row].cut,
+			     "%zu", list_rows[row].ends);
 		sched_event_free(ev);
 		json_decref(j);
 	}
--- a/tests/test-load.c
+++ b/tests/test-load.c
@@ -174,7 +174,7 @@
 	unsigned k;
 
 	for (k = 0; k < 5; k++) {
-		occ.k = k;
+		occ.number = k;
 		cr_expect_eq(occurrence_due_at(&s, &occ, 700),
 			     2000 * (int64_t)k + 700, "time %u", k);
 	}
@@ -188,7 +188,7 @@
 	unsigned n = 0;
 
 	for (k = s->workers; k; k = k->hh.next)
-		n += worker_takes(s, k);
+		n += worker_is_eligible(s, k);
 	return n;
 }
 
@@ -265,7 +265,7 @@
 		world_run(w, 2000);
 		before = world_sched(w, vm)->last_request;
 		for (k = 0; k < 200; k++) {
-			world_sched(w, n)->own.beat_at = 0;
+			world_sched(w, n)->own.heartbeat_at = 0;
 			world_run(w, 20);
 		}
 		cr_assert_eq(world_owner(w), (int)n);
@@ -373,21 +373,21 @@
 	for (row = 0; row < NELEMS(window_rows); row++) {
 		s = sched_new(&o);
 		s->now = 1000000;
-		s->starts_flying = 300;
+		s->starts_in_flight = 300;
 		for (k = 0; k < window_rows[row].answers; k++) {
 			s->now++;
-			if (s->starts_flying * START_WINDOW_UNIT >
+			if (s->starts_in_flight * START_WINDOW_UNIT >
 			    s->start_window)
-				s->starts_flying--;
-			start_window_take(s, window_rows[row].ms);
+				s->starts_in_flight--;
+			start_window_update(s, window_rows[row].ms);
 		}
-		s->starts_flying = window_rows[row].most;
-		cr_expect(starts_are_full(s), "%s: %u", window_rows[row].name,
-			  s->start_window);
-		s->starts_flying = window_rows[row].least - 1;
-		cr_expect(!starts_are_full(s), "%s: %u", window_rows[row].name,
-			  s->start_window);
-		s->starts_flying = 0;
+		s->starts_in_flight = window_rows[row].most;
+		cr_expect(start_window_is_full(s), "%s: %u",
+			  window_rows[row].name, s->start_window);
+		s->starts_in_flight = window_rows[row].least - 1;
+		cr_expect(!start_window_is_full(s), "%s: %u",
+			  window_rows[row].name, s->start_window);
+		s->starts_in_flight = 0;
 		sched_free(s);
 	}
 }
@@ -406,7 +406,7 @@
 	world_submit(w, (n + 1) % WORLD_VMS, "00000000000000aa", &wide);
 	for (k = 0; k < 600; k++) {
 		s->start_window = 4 * START_WINDOW_UNIT;
-		cr_expect_leq(s->starts_flying, 5);
+		cr_expect_leq(s->starts_in_flight, 5);
 		world_run(w, 5);
 	}
 	cr_expect_eq(world_starts(w), 40);
@@ -494,12 +494,12 @@
 		for (vm = 0; vm < WORLD_VMS; vm++)
 			world_cut_worker(w, vm, worker, true);
 		world_orders_slow(w, 700);
-		for (k = 0; k < 2000 && !s->starts_flying; k++)
+		for (k = 0; k < 2000 && !s->starts_in_flight; k++)
 			world_run(w, 5);
 		cr_assert_lt(k, 2000, "given up and started again");
 		for (vm = 0; vm < WORLD_VMS; vm++)
 			world_cut_worker(w, vm, worker, false);
-		for (k = 0; k < 140 && s->starts_flying; k++) {
+		for (k = 0; k < 140 && s->starts_in_flight; k++) {
 			world_run(w, 5);
 			held += world_ends_held(w);
 		}
--- a/tests/test-takeover.c
+++ b/tests/test-takeover.c
@@ -583,7 +583,7 @@
 	}
 	if (settle_rows[row].leaves)
 		worker_find(world_sched(w, owner(w)), bstr_lit("i-0-0"))
-			->leaving = true;
+			->takedown_pending = true;
 	world_run(w, 2500);
 	for (k = 0; k < 4 && settle_rows[row].silent; k++)
 		world_cut_worker(w, k, 0, true);
