--- a/sched-job.c
+++ b/sched-job.c
@@ -138,8 +138,7 @@
 	s->place_due = true;
 }
 
-/* A task goes on to another phase; its step's pending tasks are counted.
- */
+/* A task changes its phase; its step's pending tasks are counted. */
 void task_phase(struct task *t, enum run_phase phase)
 {
 	struct pending_tasks *r = &t->occ->pending_tasks[t->step];
--- a/sched-learn.c
+++ b/sched-learn.c
@@ -17,7 +17,7 @@
 /* Older runs fade, so that the mean follows a change within some hundred. */
 #define COUNT_MAX 300
 
-/* The learnt_time of a route. */
+/* The learnt time of a route. */
 static struct learnt_time *lesson_of(struct sched *s, bstr route)
 {
 	struct learnt_time *l;
--- a/scheduler.h
+++ b/scheduler.h
@@ -1,11 +1,12 @@
 /*
- * The scheduler: what an entry VM believes and decides about jobs of steps,
- * the workers that run their tasks, and the machines below.  One reducer,
- * sched_reduce, takes events and returns effects; it does no I/O and reads no
- * clock.  platform/ turns effects into the platform's calls and back.
+ * The scheduler of an entry VM: its state and decisions about jobs, which
+ * consist of steps and tasks, the workers that run the tasks, and the machines
+ * that the workers run on.  A single reducer, sched_reduce, takes events and
+ * returns effects; it does no I/O and reads no clock.  platform/ translates
+ * effects into calls of the platform's interfaces, and the answers into events.
  *
- * Every entry VM accepts jobs and answers for them from the store.  One of
- * them at a time, the owner, places tasks; its epoch fences its orders.
+ * Every entry VM accepts jobs and answers callers from the store.  One VM at a
+ * time, the owner, places tasks; its epoch is the fencing token of its orders.
  */
 #ifndef SCHEDULER_H
 #define SCHEDULER_H
@@ -20,59 +21,61 @@
 
 #define JOB_ID_BYTES 16
 #define STEPS_MAX 64
-#define TASKS_MAX 4096 /* of one job, all steps */
+#define TASKS_MAX 4096 /* per job, all steps together */
 
-/* An amount of what a worker has and a task needs. */
+/* Resources that a worker offers or a task needs. */
 struct size {
 	int64_t cpu;	/* thousandths of a core */
 	int64_t memory; /* MB */
 	int64_t gpus;
 };
 
-/* What a caller asks to be run. */
+/* A step of a job: a number of equal tasks. */
 struct job_step {
 	unsigned count;
 	struct size need;
 	uint32_t estimated_ms;
-	unsigned *prerequisites; /* numbers of earlier steps */
+	unsigned *prerequisites; /* indexes of earlier steps */
 	size_t prerequisite_count;
 	bool checkpoints;
-	bool gang;		 /* its tasks work only all together */
-	bool locality_sensitive; /* slow when spread over racks */
-	bool speculative;	 /* copies of a task may run side by side */
+	bool gang;		 /* its tasks must all run at the same time */
+	bool locality_sensitive; /* slow if spread over several racks */
+	bool speculative;	 /* copies of a task may run in parallel */
 	bool long_running;	 /* runs until cancelled */
-	bool best_effort;	 /* uses only what others leave idle */
-	bstr required_label;	 /* a worker must have it; empty: any */
-	bstr data_rack;		 /* where its data is; empty: anywhere */
+	bool best_effort;	 /* uses only CPU that others leave idle */
+	bstr required_label;	 /* of the worker; empty: any */
+	bstr data_rack;		 /* where its data is; empty: no preference */
 	bstr image;
-	unsigned max_per_worker; /* at most so many on one worker; 0: any */
-	uint32_t
-		target_latency_ms; /* tail latency of a lasting task; 0: none */
-	unsigned max_unavailable;  /* tasks that planned work may take away at
-				      once */
+	unsigned max_per_worker;    /* tasks on one worker; 0: no limit */
+	uint32_t target_latency_ms; /* tail, of long-running tasks; 0: none */
+	unsigned max_unavailable; /* tasks that maintenance may stop at once */
 };
+
+/* A job as its caller submits it. */
 struct job_body {
 	bstr payload;
 	struct job_step *steps;
 	size_t step_count;
-	unsigned repeat_count; /* 0: once, at once */
+	unsigned repeat_count; /* 0: runs once, immediately */
 	int64_t first_at;      /* wall clock, ms */
 	int64_t interval_ms;
 };
 
-/* The operator's configuration. */
+/* A queue of jobs in the operator's configuration, selected by URL. */
 struct route {
 	bstr name;
 	bstr host;
 	bstr prefix;
 	bstr service;
-	bool no_key; /* needs no key */
+	bool no_key; /* accepts requests without a key */
 	unsigned priority;
 	unsigned attempts;
 	double stretch;
-	uint32_t objective_ms; /* on top of the stretched work */
-	bool needs_ticket;     /* placement needs the advice service */
+	uint32_t objective_ms; /* added to stretch * expected run time */
+	bool needs_ticket; /* placement needs tickets of the advice service */
 };
+
+/* An organisation. */
 struct tenant {
 	bstr name;
 	bstr *keys;
@@ -80,11 +83,14 @@
 	double weight;
 	struct size maximum; /* 0: no limit */
 };
+
+/* A pool of workers in the operator's configuration. */
 struct service {
 	bstr name;
-	bool checks_capacity; /* its workers refuse what does not fit */
+	bool checks_capacity; /* its workers refuse tasks that don't fit */
 	bool standby;
 };
+
 struct fleet_config {
 	uint64_t version;
 	struct route *routes;
@@ -95,7 +101,7 @@
 	size_t service_count;
 };
 
-/* What a worker says of itself in its row. */
+/* The row that a worker writes about itself. */
 struct worker_row {
 	bstr service;
 	bstr address;
@@ -104,10 +110,10 @@
 	struct size capacity;
 	bstr *labels;
 	size_t label_count;
-	int64_t started_at; /* 0: not said */
+	int64_t started_at; /* 0: not reported */
 };
 
-/* A request of the operator to maintain machines. */
+/* The operator's request for a maintenance wave. */
 struct wave_row {
 	uint64_t number;
 	bstr *machines;
@@ -119,20 +125,20 @@
 enum table {
 	TABLE_OPERATOR, /* written by the operator */
 	TABLE_WORKERS,	/* written by the workers */
-	TABLE_JOBS,	/* a row for each job; another for its cancel */
-	TABLE_PROGRESS, /* a row for each job: state, what is done */
-	TABLE_OWNER,	/* who owns the scheduling; the owner's beat */
-	TABLE_NOTES,	/* what a successor has to know; nobody follows it */
+	TABLE_JOBS,	/* one row for each job, one for its cancellation */
+	TABLE_PROGRESS, /* one row for each job: state, completed tasks */
+	TABLE_OWNER,	/* ownership of the scheduling, owner's heartbeat */
+	TABLE_NOTES,	/* information for a successor; read once */
 	TABLE_STATUS,	/* read by the operator */
 	TABLE_MAX
 };
 
 enum row_kind {
-	ROW_RAW, /* one of our own */
+	ROW_RAW, /* written by the scheduler */
 	ROW_CONFIG,
 	ROW_WAVE,
 	ROW_WORKER,
-	ROW_BAD /* another writer's, and can't be read */
+	ROW_BAD /* of another writer, and malformed */
 };
 struct row {
 	enum table table;
@@ -148,21 +154,24 @@
 	};
 };
 
+/* A run that a worker lists as running. */
 struct running {
 	bstr task;
 	uint64_t run;
 	bstr checkpoint;
 	unsigned percent;
-	int64_t load_figure; /* tail in ms if it serves, else cpu in use */
+	int64_t load_figure; /* tail latency in ms if it serves, else CPU use */
 };
 enum end_kind {
 	END_DONE,
 	END_FAILED,
 	END_STOPPED,
 	END_LAPSED,
-	END_GANG_BROKEN,    /* another member of its gang ended */
-	END_GANG_INCOMPLETE /* the gang did not come together */
+	END_GANG_BROKEN,    /* another task of its gang ended */
+	END_GANG_INCOMPLETE /* not all tasks of the gang started */
 };
+
+/* The end of a run, as a worker lists it. */
 struct ended {
 	uint64_t number;
 	bstr task;
@@ -170,6 +179,7 @@
 	enum end_kind kind;
 	bstr checkpoint;
 };
+
 enum machine_state {
 	MACHINE_UP,
 	MACHINE_MOVING,
@@ -183,51 +193,57 @@
 	bstr zone;
 	enum machine_state state;
 };
+
+/* Permission of the advice service to place a step on a worker. */
 struct ticket {
 	bstr worker;
 	bstr text;
 };
 
-/* Answers to requests. */
+/* The outcome of a request. */
 enum outcome {
 	OUT_DONE,
-	OUT_CONFLICT, /* a condition did not hold; nothing was done */
-	OUT_REFUSED,  /* nothing was done and nothing will be */
-	OUT_UNKNOWN,  /* it may have been done, or be done later */
-	OUT_COMPACTED /* the history asked for is not kept any more */
+	OUT_CONFLICT, /* a condition failed; nothing was done */
+	OUT_REFUSED,  /* not done, and will not be done later */
+	OUT_UNKNOWN,  /* may have been done, or may be done later */
+	OUT_COMPACTED /* the requested feed history was discarded */
 };
+
+/* Why a worker or the platform refused an order. */
 enum refusal {
 	REFUSAL_NONE,
-	REFUSAL_STALE_EPOCH, /* a later owner has given orders there */
-	REFUSAL_STALE_RUN,   /* a run not higher than one known there */
-	REFUSAL_LATE,	     /* its start deadline had passed */
-	REFUSAL_CAPACITY,    /* does not fit */
-	REFUSAL_TICKET,	     /* the placement ticket does not hold */
-	REFUSAL_BUSY,	     /* a machine that is not up, or leaving */
-	REFUSAL_WAVE,	     /* a machine that is not of this wave */
-	REFUSAL_OTHER_LIFE,  /* another worker answers at that address */
-	REFUSAL_UNHEALTHY,   /* overloaded or unhealthy */
+	REFUSAL_STALE_EPOCH, /* a later owner has sent orders there */
+	REFUSAL_STALE_RUN,   /* run number is not above the highest known */
+	REFUSAL_LATE,	     /* the start deadline has passed */
+	REFUSAL_CAPACITY,    /* not enough free resources */
+	REFUSAL_TICKET,	     /* the placement ticket is not valid */
+	REFUSAL_BUSY,	     /* the machine is not up, or is being moved */
+	REFUSAL_WAVE,	     /* the machine is not part of this wave */
+	REFUSAL_OTHER_LIFE,  /* another worker process answers at the address */
+	REFUSAL_UNHEALTHY,   /* worker overloaded or unhealthy */
 	REFUSAL_INVALID,
 	REFUSAL_NOT_SENT
 };
+
+/* An answer to a request; which members are set depends on its kind. */
 struct answer {
 	uint64_t request;
 	enum outcome outcome;
 	enum refusal refusal;
 	int64_t sent_at;
-	int64_t connected_at; /* the connection it went by; 0: not known */
+	int64_t connected_at; /* start of its connection; 0: not known */
 	uint64_t revision;
 	struct row *rows;
 	size_t row_count;
 	bool more;
-	int64_t clock;		   /* the worker's */
-	int64_t store_clock;	   /* the store's steady one; 0: not said */
-	int64_t worker_started_at; /* 0: not said */
+	int64_t clock;	     /* the worker's monotonic clock */
+	int64_t store_clock; /* the store's monotonic clock; 0: not reported */
+	int64_t worker_started_at; /* 0: not reported */
 	struct running *running;
 	size_t running_count;
 	struct ended *ended;
 	size_t ended_count;
-	bool ended_truncated; /* there are more than it lists */
+	bool ended_truncated; /* the worker has more ends than these */
 	struct machine_row *machines;
 	size_t machine_count;
 	bstr next_page;
@@ -244,8 +260,8 @@
 	bstr host;
 	bstr path;
 	bstr key;	       /* empty: none */
-	struct job_body *body; /* of a submit; NULL: can't be read */
-	char *body_error;      /* why not; malloced */
+	struct job_body *body; /* of a submit; NULL: malformed */
+	char *body_error;      /* what is malformed; allocated */
 	int64_t deadline;
 };
 
@@ -254,24 +270,25 @@
 	enum sched_event_kind kind;
 	int64_t now;
 	int64_t wall;
-	bool more_follow; /* others follow at once: placing waits for the last
-			   */
+	bool more_follow; /* more events follow; placement waits for the last */
 	union {
 		struct call_in call;
 		struct answer answer;
 	};
 };
 
-/* Effects. */
+/* A reply to a caller. */
 enum reply_kind { REPLY_EMPTY, REPLY_STATE, REPLY_WAITING, REPLY_ERROR };
 struct reply {
 	uint64_t call;
 	int status;
 	enum reply_kind kind;
-	const char *text; /* the state, or what is wrong */
+	const char *text; /* job state or error message */
 	uint64_t waiting;
-	uint32_t retry_after_s; /* 0: not said */
+	uint32_t retry_after_s; /* 0: no Retry-After header */
 };
+
+/* Kinds of requests to the store, to workers and to the platform. */
 enum ask_kind {
 	ASK_TX,
 	ASK_GET,
@@ -285,11 +302,15 @@
 	ASK_MAINTENANCE,
 	ASK_MOVE
 };
+
 /*
- * Rows of one part are written one transaction after another, those of
- * different parts side by side.  0: the part that all tables have.
+ * Transactions on rows of the same part of a table run one after another,
+ * those on different parts run in parallel.  Every table has part 0.  Jobs are
+ * in parts 1 to 16, by the first hexadecimal digit of their id.
  */
-#define JOB_PARTS 16 /* 1 to 16, by the first digit of the id */
+#define JOB_PARTS 16
+
+/* A condition of a transaction: a row has this revision. */
 struct tx_expect {
 	enum table table;
 	unsigned part;
@@ -307,25 +328,29 @@
 	size_t condition_count;
 	struct tx_write *writes;
 	size_t write_count;
-	struct tx_write *removes; /* without values */
+	struct tx_write *removes; /* values unused */
 	size_t remove_count;
 };
+
+/* Rows to read from a table, or from its change feed. */
 struct range {
 	enum table table;
-	unsigned part; /* not of feeds: those bring all parts */
-	bstr from;     /* keys; empty: from the start */
+	unsigned part; /* unused for feeds, which cover all parts */
+	bstr from;     /* first key; empty: from the start */
 	unsigned limit;
-	uint64_t after; /* a revision; feeds only */
+	uint64_t after; /* revision after which to read; feeds only */
 	uint32_t wait_ms;
 };
+
+/* A request to a worker or to the platform. */
 struct order {
-	bstr worker; /* its id; orders are for this life only */
+	bstr worker; /* id; valid for this worker process only */
 	bstr address;
 	bstr task;
 	uint64_t run;
 	uint64_t epoch;
-	int64_t deadline; /* on the worker's clock; 0: none */
-	uint64_t ack_through;
+	int64_t deadline;     /* on the worker's clock; 0: none */
+	uint64_t ack_through; /* ends up to this number are durable */
 	uint32_t wait_ms;
 	unsigned percent;
 	bstr payload;
@@ -340,6 +365,7 @@
 	bstr *workers; /* ids, for advice */
 	size_t worker_count;
 };
+
 struct ask {
 	uint64_t request;
 	enum ask_kind kind;
@@ -350,16 +376,18 @@
 		struct order order;
 	};
 };
+
 enum sched_effect_kind {
 	EFFECT_REPLY,
 	EFFECT_ASK,
-	EFFECT_READY, /* for new connections or not */
+	EFFECT_READY, /* whether to accept new connections */
 	EFFECT_LOG,
 	EFFECT_COUNT,	/* add to a counter */
-	EFFECT_GAUGE,	/* set one */
+	EFFECT_GAUGE,	/* set a gauge */
 	EFFECT_OBSERVE, /* add to a histogram */
 	EFFECT_END	/* the process may end */
 };
+
 struct sched_effect {
 	TAILQ_ENTRY(sched_effect) entry;
 	enum sched_effect_kind kind;
@@ -383,7 +411,7 @@
 };
 TAILQ_HEAD(sched_effects, sched_effect);
 
-/* Mechanisms that can be left out, see policy.def. */
+/* Mechanisms that can be disabled, see policy.def. */
 enum policy {
 #define POLICY(name, word, text) POLICY_##name,
 #include "policy.def"
@@ -394,19 +422,19 @@
 struct sched_options {
 	bstr vm;
 	bstr zone;
-	uint64_t seed; /* also names this life of the process */
-	int64_t lease_max_ms;
+	uint64_t seed; /* also identifies this process in the owner row */
+	int64_t lease_max_ms; /* longest lease that a worker holds */
 	int64_t stop_ms;
-	int64_t keep_ms; /* final states are kept for */
-	int64_t grace_ms;
+	int64_t keep_ms;  /* how long final jobs are kept */
+	int64_t grace_ms; /* for requests in flight at a planned stop */
 	int64_t harm_ms;
 	int64_t notice_ms;
-	int64_t maintenance_ms;
-	int64_t move_ms;
-	unsigned machine_calls_per_s; /* that the platform takes from all VMs */
+	int64_t maintenance_ms;	      /* how long a machine is down */
+	int64_t move_ms;	      /* how long a move between pools takes */
+	unsigned machine_calls_per_s; /* platform's limit for all VMs */
 	double far_factor;
-	double cpu_share;  /* cores that this VM may use */
-	unsigned disabled; /* mechanisms left out, a bit each */
+	double cpu_share;  /* processor cores available to this VM */
+	unsigned disabled; /* bit mask of disabled policies */
 };
 struct sched;
 struct sched *sched_new(const struct sched_options *o);
@@ -415,8 +443,8 @@
 void sched_free(struct sched *s);
 enum policy policy_find(const char *word);
 
-/* sched-data.c: freeing and copying what events and effects hold. */
-void job_body_free(struct job_body *b); /* and b itself */
+/* sched-data.c: freeing events and effects, computing with resources */
+void job_body_free(struct job_body *b); /* frees b as well */
 void fleet_config_free(struct fleet_config *c);
 void wave_row_free(struct wave_row *w);
 void worker_row_free(struct worker_row *w);
@@ -424,7 +452,7 @@
 void sched_effect_free(struct sched_effect *fx);
 bool size_fits(struct size need, struct size room);
 struct size size_add(struct size a, struct size b);
-struct size size_most(struct size a, struct size b); /* of each resource */
+struct size size_most(struct size a, struct size b); /* maximum, by resource */
 struct size size_sub(struct size a, struct size b);
 
 #ifdef __cplusplus
