--- a/bamboofront-entryd.c
+++ b/bamboofront-entryd.c
@@ -194,7 +194,7 @@
  */
 static void processor_tell(struct entry *d)
 {
-	struct processor now = {.scheduler = clock_thread(pthread_self())};
+	struct processor now = {.scheduler = clock_thread_cpu(pthread_self())};
 	const struct processor *before = &d->processor;
 
 	platform_used(d->platform, &now.store, &now.workers);
@@ -224,8 +224,8 @@
 	struct sched_event *ev, *next;
 	int n;
 
-	mailbox_clear(d->store_inbox);
-	mailbox_clear(d->inbox);
+	mailbox_clear_wakeup(d->store_inbox);
+	mailbox_clear_wakeup(d->inbox);
 	ev = inbox_take(d);
 	for (n = 1; ev; n++) {
 		next = n < EVENTS_PER_ROUND ? inbox_take(d) : NULL;
@@ -366,7 +366,7 @@
 	if (check)
 		return 0;
 	log_open("bamboofront-entryd", d.settings.log_level);
-	log_to(STDOUT_FILENO, BSTR_ARG(d.settings.sched.vm));
+	log_open_structured(STDOUT_FILENO, BSTR_ARG(d.settings.sched.vm));
 	if (stat(d.path, &st) == 0)
 		d.changed = st.st_mtim;
 	if (!entry_start(&d, &e)) {
--- a/bamboofront.h
+++ b/bamboofront.h
@@ -47,7 +47,7 @@
 bstr bstr_ref(const void *p, size_t len);
 bstr bstr_new(const char *s);
 bstr bstr_copy(bstr b);
-bstr bstr_from(const void *p, size_t len);
+bstr bstr_from_bytes(const void *p, size_t len);
 bstr bstr_printf(const char *fmt, ...) PRINTF_LIKE(1, 2);
 bstr bstr_vprintf(const char *fmt, va_list ap);
 void bstr_set(bstr *dst, bstr src); /* frees the old, copies the new */
@@ -57,14 +57,14 @@
 bool bstr_eq_str(bstr a, const char *s);
 bool bstr_is_name(bstr b, size_t max); /* [a-z0-9._-]+, starts alnum */
 char *bstr_cstr(bstr b);	       /* malloced, NUL terminated */
-json_t *bstr_json(bstr b);	       /* a JSON string; bad UTF-8 replaced */
-bstr json_bstr(const json_t *j);       /* copies; empty if no string */
+json_t *bstr_to_json(bstr b);	       /* a JSON string; bad UTF-8 replaced */
+bstr bstr_from_json(const json_t *j);  /* copies; empty if no string */
 
 /* codec.c: XDR values to and from bytes, copying, comparing. */
 bstr xdr_encode(xdrproc_t proc, const void *value);
 bool xdr_decode(xdrproc_t proc, bstr bytes, void *value, size_t size);
 void xdr_copy(xdrproc_t proc, void *dst, const void *src, size_t size);
-bool xdr_same(xdrproc_t proc, const void *a, const void *b);
+bool xdr_equal(xdrproc_t proc, const void *a, const void *b);
 #define XDR_PROC(f) ((xdrproc_t)(void *)(f))
 bstr base64_encode(bstr bytes);
 bool base64_decode(bstr text, bstr *bytes);
@@ -77,7 +77,7 @@
  */
 struct finding {
 	TAILQ_ENTRY(finding) entry;
-	char *place;
+	char *location;
 	char *text;
 };
 struct error {
@@ -108,15 +108,16 @@
 	uint32_t number;
 	enum log_level level;
 	const char *name;
-	const char *what;
+	const char *description;
 };
 extern const struct log_entry log_entries[];
 extern const size_t log_entry_count;
 void log_open(const char *program, enum log_level most);
 void log_event(uint32_t number, const char *fmt, ...) PRINTF_LIKE(2, 3);
 void log_debug(const char *fmt, ...) PRINTF_LIKE(1, 2);
-void log_to(int fd, int vm_len, const char *vm); /* structured from now on */
-void log_flush(void);				 /* never blocks */
+void log_open_structured(int fd, int vm_len,
+			 const char *vm); /* structured from now on */
+void log_flush(void);			  /* never blocks */
 
 /* counter.c: every counter of the process (counter.def). */
 enum counter_id {
@@ -149,9 +150,9 @@
 void histograms_print(FILE *f); /* text exposition format */
 
 /* clock.c: the only place where time is read. */
-int64_t clock_now(void);		/* monotonic, ms */
-int64_t clock_wall(void);		/* since 1970, ms */
-int64_t clock_thread(pthread_t thread); /* its processor time, ms */
+int64_t clock_now(void);		    /* monotonic, ms */
+int64_t clock_wall(void);		    /* since 1970, ms */
+int64_t clock_thread_cpu(pthread_t thread); /* its processor time, ms */
 
 /* random.c: numbers that a seed gives. */
 uint64_t random_next(uint64_t *state);
@@ -165,7 +166,7 @@
 bool mailbox_put(struct mailbox *m, void *p); /* false: full */
 void *mailbox_take(struct mailbox *m);	      /* NULL: empty */
 int mailbox_fd(struct mailbox *m);	      /* readable: look again */
-void mailbox_clear(struct mailbox *m);	      /* before draining it */
+void mailbox_clear_wakeup(struct mailbox *m); /* before draining it */
 void mailbox_wake(struct mailbox *m);	      /* with nothing to take */
 bool mailbox_wait(struct mailbox *m, int timeout_ms);
 void mailbox_free(struct mailbox *m);
@@ -175,7 +176,7 @@
 void event_free(event *ev);
 effect *effect_new(effect_kind kind);
 void effect_free(effect *fx);
-uint64_t effect_request(const effect *fx); /* of a request to the platform */
+uint64_t effect_request_id(const effect *fx); /* of a request to the platform */
 
 /*
  * settings.c: one JSON file, checked whole.  Lengths of time are in
@@ -259,7 +260,7 @@
 struct effects {
 	effect *list;
 	size_t count;
-	size_t room;
+	size_t capacity;
 };
 struct state *state_new(const struct settings *s, uint64_t seed,
 			const char *peer_address);
@@ -320,7 +321,7 @@
 void replay_guard_free(struct replay_guard *g);
 void seal(sealed *out, const char *purpose, bstr from, bstr body,
 	  int64_t deadline, const uint8_t key[SEAL_KEY_BYTES]);
-enum seal_result { SEAL_OK, SEAL_BAD_MAC, SEAL_LATE, SEAL_REPLAYED };
+enum seal_result { SEAL_OK, SEAL_BAD_MAC, SEAL_EXPIRED, SEAL_REPLAYED };
 enum seal_result seal_open(const sealed *s, const char *purpose, int64_t wall,
 			   const uint8_t key[SEAL_KEY_BYTES],
 			   struct replay_guard *g);
--- a/bamboofrontd.c
+++ b/bamboofrontd.c
@@ -118,7 +118,7 @@
 	case FX_OBJECT_GET:
 	case FX_VM_LIST:
 	case FX_REBOOT:
-		platform_refused(d, effect_request(fx));
+		platform_refused(d, effect_request_id(fx));
 		break;
 	case FX_WORKER:
 		worker_not_sent(d, &fx->effect_u.worker);
@@ -265,7 +265,7 @@
 	event *ev;
 	int n;
 
-	mailbox_clear(d->inbox);
+	mailbox_clear_wakeup(d->inbox);
 	for (n = 0; n < EVENTS_PER_ROUND && !d->exit; n++) {
 		ev = mailbox_take(d->inbox);
 		if (!ev)
--- a/bstr.c
+++ b/bstr.c
@@ -19,11 +19,11 @@
 /* Copy a C string. */
 bstr bstr_new(const char *s)
 {
-	return bstr_from(s, strlen(s));
+	return bstr_from_bytes(s, strlen(s));
 }
 
 /* Copy len bytes; an empty string holds no memory. */
-bstr bstr_from(const void *p, size_t len)
+bstr bstr_from_bytes(const void *p, size_t len)
 {
 	bstr b = BSTR_NONE;
 
@@ -38,7 +38,7 @@
 /* Copy another string. */
 bstr bstr_copy(bstr b)
 {
-	return bstr_from(b.bstr_val, b.bstr_len);
+	return bstr_from_bytes(b.bstr_val, b.bstr_len);
 }
 
 /* Format into a fresh string. */
@@ -51,7 +51,7 @@
 	n = vasprintf(&s, fmt, ap);
 	if (n < 0)
 		abort();
-	b = bstr_from(s, (size_t)n);
+	b = bstr_from_bytes(s, (size_t)n);
 	free(s);
 	return b;
 }
@@ -141,7 +141,7 @@
 }
 
 /* Make a JSON string; bytes that are not UTF-8 become '?'. */
-json_t *bstr_json(bstr b)
+json_t *bstr_to_json(bstr b)
 {
 	json_t *j = json_stringn(b.bstr_val ? b.bstr_val : "", b.bstr_len);
 	bstr copy;
@@ -159,9 +159,9 @@
 }
 
 /* Copy a JSON string; anything else is empty. */
-bstr json_bstr(const json_t *j)
+bstr bstr_from_json(const json_t *j)
 {
 	if (!json_is_string(j))
 		return BSTR_NONE;
-	return bstr_from(json_string_value(j), json_string_length(j));
+	return bstr_from_bytes(json_string_value(j), json_string_length(j));
 }
--- a/caller-encode.c
+++ b/caller-encode.c
@@ -20,7 +20,7 @@
 /* Set a string member. */
 static void member_set(json_t *j, const char *name, bstr text)
 {
-	json_object_set_new(j, name, bstr_json(text));
+	json_object_set_new(j, name, bstr_to_json(text));
 }
 
 /* Embed a result: as JSON if it is JSON, else as a string. */
@@ -32,7 +32,7 @@
 		return json_null();
 	j = json_loadb(result.bstr_val, result.bstr_len,
 		       JSON_REJECT_DUPLICATES | JSON_DECODE_ANY, NULL);
-	return j ? j : bstr_json(result);
+	return j ? j : bstr_to_json(result);
 }
 
 /* Add to an object what a caller may know of a job. */
@@ -76,7 +76,7 @@
 
 	json_decref(j);
 	if (!text)
-		abort(); /* every string came through bstr_json: a bug */
+		abort(); /* every string came through bstr_to_json: a bug */
 	r->body.bstr_val = text;
 	r->body.bstr_len = (u_int)strlen(text);
 	r->type = type;
@@ -103,7 +103,7 @@
 			    json_string(MHD_get_reason_phrase_for(http)));
 	json_object_set_new(j, "status", json_integer(http));
 	/* reason may be the text of the member that this replaces */
-	json_object_set_new(j, "reason", bstr_json(reason));
+	json_object_set_new(j, "reason", bstr_to_json(reason));
 	if (detail.bstr_len || !json_object_get(j, "detail"))
 		member_set(j, "detail", detail);
 	json_object_set_new(j, "retry_after_ms", json_integer(retry_after_ms));
@@ -167,10 +167,10 @@
 	if (p->findings.count) {
 		list = json_array();
 		TAILQ_FOREACH(f, &p->findings.findings, entry) {
-			pointer = !*f->place || *f->place == '/';
+			pointer = !*f->location || *f->location == '/';
 			e = json_object();
 			member_set(e, pointer ? "pointer" : "field",
-				   bstr_lit(f->place));
+				   bstr_lit(f->location));
 			member_set(e, "detail", bstr_lit(f->text));
 			json_array_append_new(list, e);
 		}
--- a/clock.c
+++ b/clock.c
@@ -22,7 +22,7 @@
 }
 
 /* Processor time that a thread of this process has used. */
-int64_t clock_thread(pthread_t thread)
+int64_t clock_thread_cpu(pthread_t thread)
 {
 	clockid_t id;
 
--- a/cmd-operator.c
+++ b/cmd-operator.c
@@ -46,7 +46,7 @@
 		error_add(e, path, "expected a file of at most %d bytes",
 			  FILE_MAX_BYTES);
 	else
-		*text = bstr_from(buffer, n);
+		*text = bstr_from_bytes(buffer, n);
 	if (f != stdin)
 		fclose(f);
 	sodium_memzero(buffer, n);
@@ -139,7 +139,7 @@
 		json_decref(j);
 		j = json_object();
 	}
-	json_object_set_new(j, "secret", bstr_json(reply->secret));
+	json_object_set_new(j, "secret", bstr_to_json(reply->secret));
 	return j;
 }
 
@@ -151,8 +151,8 @@
 	char *text;
 
 	json_object_set_new(j, "status", json_string(status));
-	json_object_set_new(j, "reason", bstr_json(reply->reason));
-	json_object_set_new(j, "detail", bstr_json(reply->detail));
+	json_object_set_new(j, "reason", bstr_to_json(reply->reason));
+	json_object_set_new(j, "detail", bstr_to_json(reply->detail));
 	json_object_set_new(j, "retry_after_ms",
 			    json_integer(reply->retry_after_ms));
 	text = json_dumps(j, JSON_INDENT(2));
--- a/cmd-submit.c
+++ b/cmd-submit.c
@@ -285,10 +285,10 @@
 		return NULL;
 	}
 	j = json_object();
-	json_object_set_new(j, "pool", bstr_json(s->pool));
+	json_object_set_new(j, "pool", bstr_to_json(s->pool));
 	json_object_set_new(j, "payload", payload);
 	if (s->label.bstr_len)
-		json_object_set_new(j, "label", bstr_json(s->label));
+		json_object_set_new(j, "label", bstr_to_json(s->label));
 	json_object_set_new(j, "may_be_repeated", json_boolean(s->may_repeat));
 	json_object_set_new(j, "urgent", json_boolean(s->urgent));
 	json_object_set_new(j, "wait", json_boolean(s->wait));
@@ -354,6 +354,6 @@
 	x.method = "POST";
 	x.path = xstrdup("/v1/cancel");
 	x.body = json_object();
-	json_object_set_new(x.body, "label", bstr_json(v->job.label));
+	json_object_set_new(x.body, "label", bstr_to_json(v->job.label));
 	return caller_exec(c, cmd, &x);
 }
--- a/codec.c
+++ b/codec.c
@@ -55,7 +55,7 @@
 }
 
 /* Same value? */
-bool xdr_same(xdrproc_t proc, const void *a, const void *b)
+bool xdr_equal(xdrproc_t proc, const void *a, const void *b)
 {
 	bstr x = xdr_encode(proc, a), y = xdr_encode(proc, b);
 	bool same = bstr_eq(x, y);
@@ -161,7 +161,7 @@
 }
 
 /* The id by which the reducer knows a request to the platform. */
-uint64_t effect_request(const effect *fx)
+uint64_t effect_request_id(const effect *fx)
 {
 	switch (fx->kind) {
 	case FX_COMMIT:
--- a/config-edit.c
+++ b/config-edit.c
@@ -80,7 +80,7 @@
 		dcs = json_array();
 		for (i = 0; i < p->dcs.dcs_len; i++)
 			json_array_append_new(dcs,
-					      bstr_json(p->dcs.dcs_val[i]));
+					      bstr_to_json(p->dcs.dcs_val[i]));
 		json_object_set_new(o, "dcs", dcs);
 		json_object_set_new(o, "budget", json_integer(p->budget));
 		json_object_set_new(o, "spare", json_boolean(p->spare));
@@ -161,8 +161,8 @@
 		o = json_object();
 		salt = base64_encode(k->salt);
 		hash = base64_encode(k->hash);
-		json_object_set_new(o, "salt", bstr_json(salt));
-		json_object_set_new(o, "hash", bstr_json(hash));
+		json_object_set_new(o, "salt", bstr_to_json(salt));
+		json_object_set_new(o, "hash", bstr_to_json(hash));
 		bstr_free(&salt);
 		bstr_free(&hash);
 		json_object_set_new(o, "withdrawn", json_false());
--- a/config.c
+++ b/config.c
@@ -88,7 +88,7 @@
 			error_add(e, place, "dcs[%zu] is no name", i);
 			continue;
 		}
-		p->dcs[p->dc_count++] = json_bstr(dc);
+		p->dcs[p->dc_count++] = bstr_from_json(dc);
 	}
 }
 
@@ -123,7 +123,7 @@
 static bstr config_bytes(const json_t *o, const char *name, const char *place,
 			 struct error *e)
 {
-	bstr text = json_bstr(json_object_get(o, name)), bytes;
+	bstr text = bstr_from_json(json_object_get(o, name)), bytes;
 
 	if (!text.bstr_len || !base64_decode(text, &bytes)) {
 		error_add(e, place, "expected '%s' in base64", name);
--- a/counter.c
+++ b/counter.c
@@ -66,7 +66,7 @@
 	}
 	histograms_print(f);
 	fclose(f);
-	b = bstr_from(text, size);
+	b = bstr_from_bytes(text, size);
 	free(text);
 	return b;
 }
--- a/edge-platform.c
+++ b/edge-platform.c
@@ -53,13 +53,13 @@
 
 	for (i = 0; i < c->checks.checks_len; i++) {
 		check = &c->checks.checks_val[i];
-		row = json_pack("{s:o, s:I}", "key", bstr_json(check->key),
+		row = json_pack("{s:o, s:I}", "key", bstr_to_json(check->key),
 				"version", (json_int_t)check->revision);
 		json_array_append_new(checks, row);
 	}
 	for (i = 0; i < c->writes.writes_len; i++) {
 		write = &c->writes.writes_val[i];
-		row = json_pack("{s:o}", "key", bstr_json(write->key));
+		row = json_pack("{s:o}", "key", bstr_to_json(write->key));
 		if (write->remove)
 			json_object_set_new(row, "remove", json_true());
 		else
@@ -67,7 +67,7 @@
 					    json_write_bytes(write->value));
 		json_array_append_new(writes, row);
 	}
-	return json_pack("{s:o, s:o, s:o}", "txid", bstr_json(c->txid),
+	return json_pack("{s:o, s:o, s:o}", "txid", bstr_to_json(c->txid),
 			 "checks", checks, "writes", writes);
 }
 
@@ -78,7 +78,7 @@
 	u_int i;
 
 	for (i = 0; i < r->keys.keys_len; i++)
-		json_array_append_new(keys, bstr_json(r->keys.keys_val[i]));
+		json_array_append_new(keys, bstr_to_json(r->keys.keys_val[i]));
 	return json_pack("{s:o}", "keys", keys);
 }
 
@@ -91,8 +91,8 @@
 	if (out->rows.rows_len)
 		after = out->rows.rows_val[out->rows.rows_len - 1].key;
 	return json_pack("{s:o, s:o, s:i}", "prefix",
-			 bstr_json(x->fx->effect_u.scan.prefix), "after",
-			 bstr_json(after), "limit", (int)x->page_size);
+			 bstr_to_json(x->fx->effect_u.scan.prefix), "after",
+			 bstr_to_json(after), "limit", (int)x->page_size);
 }
 
 /* Make the request's body, and count what is sent. */
@@ -118,8 +118,9 @@
 		r->body = bstr_copy(fx->effect_u.object.body);
 		break;
 	case FX_REBOOT:
-		r->body = json_write(json_pack(
-			"{s:o}", "boot", bstr_json(fx->effect_u.reboot.boot)));
+		r->body = json_write(
+			json_pack("{s:o}", "boot",
+				  bstr_to_json(fx->effect_u.reboot.boot)));
 		break;
 	default:
 		break;
@@ -532,7 +533,7 @@
 		event_clear(out);
 	if (x->fx->kind == FX_COMMIT)
 		commit_count(&x->fx->effect_u.commit, outcome);
-	out->req = effect_request(x->fx);
+	out->req = effect_request_id(x->fx);
 	out->outcome = outcome;
 	http_client_post(x->edge->client, x->edge->inbox, x->ev);
 	x->ev = NULL; /* the reducer's */
--- a/edge-worker.c
+++ b/edge-worker.c
@@ -47,7 +47,7 @@
 {
 	return json_pack(
 		"{s:o, s:o, s:o, s:I, s:I, s:I, s:I}", "task",
-		bstr_json(s->task), "payload", json_write_bytes(s->payload),
+		bstr_to_json(s->task), "payload", json_write_bytes(s->payload),
 		"checkpoint", json_write_bytes(s->checkpoint), "start_by_ms",
 		(json_int_t)s->start_by_ms, "cpu_milli",
 		(json_int_t)s->cpu_milli, "memory_mb", (json_int_t)s->memory_mb,
@@ -57,8 +57,8 @@
 /* An order for a task, as JSON. */
 static json_t *order_json(const task_order *o)
 {
-	return json_pack("{s:o, s:s, s:I}", "task", bstr_json(o->task), "verb",
-			 verb_names[o->verb], "percent",
+	return json_pack("{s:o, s:s, s:I}", "task", bstr_to_json(o->task),
+			 "verb", verb_names[o->verb], "percent",
 			 (json_int_t)o->percent);
 }
 
@@ -86,10 +86,10 @@
 
 	if (!address_is_plain(w->address))
 		return false;
-	j = json_pack("{s:o, s:o, s:I, s:I}", "pool", bstr_json(w->cell.pool),
-		      "dc", bstr_json(w->cell.dc), "epoch",
-		      (json_int_t)w->epoch, "lease_ms",
-		      (json_int_t)w->lease_ms);
+	j = json_pack("{s:o, s:o, s:I, s:I}", "pool",
+		      bstr_to_json(w->cell.pool), "dc",
+		      bstr_to_json(w->cell.dc), "epoch", (json_int_t)w->epoch,
+		      "lease_ms", (json_int_t)w->lease_ms);
 	if (w->watch) {
 		json_object_set_new(j, "since", json_integer(w->since));
 		json_object_set_new(j, "wait_ms", json_integer(w->wait_ms));
--- a/error.c
+++ b/error.c
@@ -16,7 +16,7 @@
 	struct finding *f = xcalloc(1, sizeof(*f));
 	va_list ap;
 
-	f->place = xstrdup(place);
+	f->location = xstrdup(place);
 	va_start(ap, fmt);
 	if (vasprintf(&f->text, fmt, ap) < 0)
 		abort();
@@ -31,7 +31,7 @@
 	const struct finding *f;
 
 	TAILQ_FOREACH(f, &e->findings, entry)
-		fprintf(out, "%s: %s\n", f->place, f->text);
+		fprintf(out, "%s: %s\n", f->location, f->text);
 }
 
 /* Join the findings into one line. */
@@ -42,7 +42,7 @@
 
 	TAILQ_FOREACH(f, &e->findings, entry) {
 		next = xasprintf("%s%s%s: %s", text, *text ? "; " : "",
-				 f->place, f->text);
+				 f->location, f->text);
 		free(text);
 		text = next;
 	}
@@ -56,7 +56,7 @@
 
 	while ((f = TAILQ_FIRST(&e->findings))) {
 		TAILQ_REMOVE(&e->findings, f, entry);
-		free(f->place);
+		free(f->location);
 		free(f->text);
 		free(f);
 	}
--- a/heap.c
+++ b/heap.c
@@ -7,18 +7,18 @@
 static void node_put(struct heap *h, size_t place, struct heap_node *n)
 {
 	h->nodes[place - 1] = n;
-	n->place = place;
+	n->index = place;
 }
 
 /* Move a node up to where it belongs. */
 static void node_rise(struct heap *h, struct heap_node *n)
 {
-	size_t place = n->place;
+	size_t place = n->index;
 	struct heap_node *parent;
 
 	while (place > 1) {
 		parent = h->nodes[place / 2 - 1];
-		if (parent->at <= n->at)
+		if (parent->due <= n->due)
 			break;
 		node_put(h, place, parent);
 		place /= 2;
@@ -29,13 +29,13 @@
 /* Move a node down to where it belongs. */
 static void node_sink(struct heap *h, struct heap_node *n)
 {
-	size_t place = n->place, child;
+	size_t place = n->index, child;
 
 	while ((child = 2 * place) <= h->count) {
 		if (child < h->count &&
-		    h->nodes[child]->at < h->nodes[child - 1]->at)
+		    h->nodes[child]->due < h->nodes[child - 1]->due)
 			child++;
-		if (n->at <= h->nodes[child - 1]->at)
+		if (n->due <= h->nodes[child - 1]->due)
 			break;
 		node_put(h, place, h->nodes[child - 1]);
 		place = child;
@@ -46,11 +46,11 @@
 /* Put a node in, or move it, to be due at a time. */
 void heap_set(struct heap *h, struct heap_node *n, int64_t at)
 {
-	n->at = at;
-	if (!n->place) {
-		if (h->count == h->room) {
-			h->room = h->room ? 2 * h->room : 64;
-			h->nodes = xrealloc(h->nodes, h->room,
+	n->due = at;
+	if (!n->index) {
+		if (h->count == h->capacity) {
+			h->capacity = h->capacity ? 2 * h->capacity : 64;
+			h->nodes = xrealloc(h->nodes, h->capacity,
 					    sizeof(struct heap_node *));
 		}
 		node_put(h, ++h->count, n);
@@ -63,11 +63,11 @@
 void heap_remove(struct heap *h, struct heap_node *n)
 {
 	struct heap_node *last;
-	size_t place = n->place;
+	size_t place = n->index;
 
 	if (!place)
 		return;
-	n->place = 0;
+	n->index = 0;
 	last = h->nodes[--h->count];
 	if (last == n)
 		return;
--- a/heap.h
+++ b/heap.h
@@ -8,14 +8,14 @@
 #include <stdint.h>
 
 struct heap_node {
-	int64_t at;
-	size_t place; /* in the heap, from 1; 0: in none */
+	int64_t due;
+	size_t index; /* in the heap, from 1; 0: in none */
 };
 
 struct heap {
 	struct heap_node **nodes;
 	size_t count;
-	size_t room;
+	size_t capacity;
 };
 
 /* What a node is embedded in. */
--- a/http-client.c
+++ b/http-client.c
@@ -55,10 +55,10 @@
 
 	if (!TAILQ_EMPTY(&c->ready))
 		return 0;
-	if (timer && timer->at < at)
-		at = timer->at;
-	if (due && due->at < at)
-		at = due->at;
+	if (timer && timer->due < at)
+		at = timer->due;
+	if (due && due->due < at)
+		at = due->due;
 	return at > now ? (int)(at - now) : 0;
 }
 
@@ -67,7 +67,7 @@
 {
 	struct http_request *r;
 
-	mailbox_clear(c->mailbox);
+	mailbox_clear_wakeup(c->mailbox);
 	while ((r = mailbox_take(c->mailbox)))
 		http_request_wait(c, r);
 	http_queues_start(c);
@@ -201,7 +201,7 @@
 /* The processor time that a client's thread has used. */
 int64_t http_client_used(const struct http_client *c)
 {
-	return clock_thread(c->thread);
+	return clock_thread_cpu(c->thread);
 }
 
 /*
--- a/http-queue.c
+++ b/http-queue.c
@@ -158,7 +158,7 @@
 	struct heap_node *n;
 	struct http_request *r;
 
-	while ((n = heap_first(&c->due)) && n->at <= now) {
+	while ((n = heap_first(&c->due)) && n->due <= now) {
 		r = HEAP_ENTRY(n, struct http_request, due);
 		if (now < r->deadline) {
 			request_due(c, r, now);
--- a/http-shard.c
+++ b/http-shard.c
@@ -76,7 +76,7 @@
 	struct http_shard *sh;
 	int running;
 
-	while ((n = heap_first(&c->timers)) && n->at <= now) {
+	while ((n = heap_first(&c->timers)) && n->due <= now) {
 		sh = HEAP_ENTRY(n, struct http_shard, timer);
 		heap_remove(&c->timers, n);
 		curl_multi_socket_action(sh->multi, CURL_SOCKET_TIMEOUT, 0,
--- a/json-read.c
+++ b/json-read.c
@@ -47,7 +47,7 @@
 
 	if (!json_is_string(v) || json_string_length(v) > max)
 		return false;
-	*text = json_bstr(v);
+	*text = bstr_from_json(v);
 	return true;
 }
 
@@ -71,7 +71,7 @@
 json_t *json_write_bytes(bstr b)
 {
 	bstr text = base64_encode(b);
-	json_t *j = bstr_json(text);
+	json_t *j = bstr_to_json(text);
 
 	bstr_free(&text);
 	return j;
@@ -87,15 +87,15 @@
 }
 
 /* Set a whole number that is left out when it is 0. */
-void json_put_int(json_t *j, const char *key, int64_t n)
+void json_set_nonzero(json_t *j, const char *key, int64_t n)
 {
 	if (n)
 		json_object_set_new(j, key, json_integer(n));
 }
 
 /* Set a text that is left out when it is empty. */
-void json_put_text(json_t *j, const char *key, bstr text)
+void json_set_nonempty(json_t *j, const char *key, bstr text)
 {
 	if (text.bstr_len)
-		json_object_set_new(j, key, bstr_json(text));
+		json_object_set_new(j, key, bstr_to_json(text));
 }
--- a/json-read.h
+++ b/json-read.h
@@ -15,8 +15,8 @@
 bool json_read_bytes(const json_t *j, const char *key, bstr *bytes);
 json_t *json_write_bytes(bstr b); /* a base64 string */
 /* Set a member that is left out when it is 0 or empty. */
-void json_put_int(json_t *j, const char *key, int64_t n);
-void json_put_text(json_t *j, const char *key, bstr text);
+void json_set_nonzero(json_t *j, const char *key, int64_t n);
+void json_set_nonempty(json_t *j, const char *key, bstr text);
 bstr json_write(json_t *j); /* takes the reference; empty: not UTF-8 */
 
 #endif
--- a/log.c
+++ b/log.c
@@ -99,7 +99,7 @@
  * Write structured lines to a descriptor from now on: key=value in a fixed
  * order, collected in memory and written by log_flush, which never blocks.
  */
-void log_to(int fd, int vm_len, const char *vm)
+void log_open_structured(int fd, int vm_len, const char *vm)
 {
 	pthread_mutex_lock(&log_stream.lock);
 	log_stream.fd = fd;
--- a/mailbox.c
+++ b/mailbox.c
@@ -95,7 +95,7 @@
  * drains the ring: a pointer put in between is either drained or makes the
  * descriptor readable, so no wake-up is lost.
  */
-void mailbox_clear(struct mailbox *m)
+void mailbox_clear_wakeup(struct mailbox *m)
 {
 	uint64_t count;
 	ssize_t n = read(m->fd, &count, sizeof(count)); /* sets it to 0 */
@@ -112,7 +112,7 @@
 
 	if (poll(&p, 1, timeout_ms) <= 0)
 		return false;
-	mailbox_clear(m);
+	mailbox_clear_wakeup(m);
 	return true;
 }
 
--- a/record.c
+++ b/record.c
@@ -293,7 +293,7 @@
 	size_t i;
 
 	for (i = 0; i < a_count && i < b_count; i++)
-		if (!xdr_same(XDR_PROC(xdr_effect), &a[i], &b[i]))
+		if (!xdr_equal(XDR_PROC(xdr_effect), &a[i], &b[i]))
 			return (ssize_t)i;
 	return a_count == b_count ? -1 : (ssize_t)i;
 }
--- a/reduce-call.c
+++ b/reduce-call.c
@@ -83,7 +83,7 @@
 	crypto_generichash(h, sizeof(h), (unsigned char *)bytes.bstr_val,
 			   bytes.bstr_len, NULL, 0);
 	bstr_free(&bytes);
-	return bstr_from(h, sizeof(h));
+	return bstr_from_bytes(h, sizeof(h));
 }
 
 /* Could any VM of the pool ever hold this?  A pool without VMs may grow. */
--- a/reduce-config.c
+++ b/reduce-config.c
@@ -30,7 +30,7 @@
 	const json_t *r = json_object_get(head, "revision");
 
 	*revision = (uint64_t)json_integer_value(r);
-	*object = json_bstr(json_object_get(head, "object"));
+	*object = bstr_from_json(json_object_get(head, "object"));
 	json_decref(head);
 	return *revision && object->bstr_len;
 }
@@ -145,9 +145,9 @@
 	json_t *list = config_history(st), *o = json_object();
 
 	json_object_set_new(o, "revision", json_integer((json_int_t)revision));
-	json_object_set_new(o, "object", bstr_json(object));
+	json_object_set_new(o, "object", bstr_to_json(object));
 	json_object_set_new(o, "operation", json_integer(kind));
-	json_object_set_new(o, "by", bstr_json(st->vm));
+	json_object_set_new(o, "by", bstr_to_json(st->vm));
 	json_array_insert_new(list, 0, o);
 	if (json_array_size(list) > HISTORY_MAX)
 		json_array_remove(list, HISTORY_MAX);
@@ -175,7 +175,7 @@
 
 	json_object_set_new(head, "revision",
 			    json_integer((json_int_t)c->base + 1));
-	json_object_set_new(head, "object", bstr_json(c->object));
+	json_object_set_new(head, "object", bstr_to_json(c->object));
 	json_object_set_new(
 		head, "history",
 		history_add(st, c->base + 1, c->object, c->request.kind));
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -25,8 +25,8 @@
 	*vm = BSTR_NONE;
 	if (id.bstr_len <= JOB_ID_LEN + 1 || id.bstr_val[JOB_ID_LEN] != '.')
 		return false;
-	*vm = bstr_from(id.bstr_val + JOB_ID_LEN + 1,
-			id.bstr_len - JOB_ID_LEN - 1);
+	*vm = bstr_from_bytes(id.bstr_val + JOB_ID_LEN + 1,
+			      id.bstr_len - JOB_ID_LEN - 1);
 	return true;
 }
 
--- a/reduce-op.c
+++ b/reduce-op.c
@@ -56,7 +56,7 @@
 
 void json_set_str(json_t *o, const char *name, bstr value)
 {
-	json_object_set_new(o, name, bstr_json(value));
+	json_object_set_new(o, name, bstr_to_json(value));
 }
 
 void json_set_int(json_t *o, const char *name, uint64_t value)
@@ -137,7 +137,7 @@
 	size_t i;
 
 	for (i = 0; i < p->dc_count; i++)
-		json_array_append_new(dcs, bstr_json(p->dcs[i]));
+		json_array_append_new(dcs, bstr_to_json(p->dcs[i]));
 	HASH_ITER(hh, st->vms, v, next) {
 		if (!bstr_eq(v->row.pool, p->name))
 			continue;
@@ -252,7 +252,7 @@
 	json_array_foreach(list, i, o) {
 		if ((uint64_t)json_integer_value(
 			    json_object_get(o, "revision")) == revision)
-			name = json_bstr(json_object_get(o, "object"));
+			name = bstr_from_json(json_object_get(o, "object"));
 	}
 	json_decref(list);
 	return name;
--- a/reduce-pool.c
+++ b/reduce-pool.c
@@ -43,7 +43,7 @@
 		effect_log(st, LOG_POOL_CHANGED, "%.*s: %s", BSTR_ARG(e->vm),
 			   reason);
 		body = json_object();
-		json_object_set_new(body, "vm", bstr_json(e->vm));
+		json_object_set_new(body, "vm", bstr_to_json(e->vm));
 		json_object_set_new(body, "outcome", json_string(reason));
 	}
 	if (e->kind == EDIT_OPERATOR)
--- a/reduce-wave.c
+++ b/reduce-wave.c
@@ -585,7 +585,7 @@
 		json_object_set_new(v, "step", json_string(step_words[at]));
 		json_array_append_new(list, v);
 		if (wave_late(st, w, x, at))
-			json_array_append_new(late, bstr_json(x->vm));
+			json_array_append_new(late, bstr_to_json(x->vm));
 	}
 	done = n[STEP_DONE] + n[STEP_SKIPPED];
 	left = w->row.vms.vms_len - done;
--- a/reduce.c
+++ b/reduce.c
@@ -30,9 +30,10 @@
 	struct effects *out = st->out;
 	effect *fx;
 
-	if (out->count == out->room) {
-		out->room = out->room ? out->room * 2 : 16;
-		out->list = xrealloc(out->list, out->room, sizeof(*out->list));
+	if (out->count == out->capacity) {
+		out->capacity = out->capacity ? out->capacity * 2 : 16;
+		out->list = xrealloc(out->list, out->capacity,
+				     sizeof(*out->list));
 	}
 	fx = &out->list[out->count++];
 	memset(fx, 0, sizeof(*fx));
--- a/rpc-server.c
+++ b/rpc-server.c
@@ -242,7 +242,7 @@
 
 	counter_add(COUNT_REFUSED_SEAL, 1);
 	log_event(LOG_BAD_SEAL, "%s: %s", srv->service.name,
-		  why == SEAL_LATE	 ? "late, or the clocks differ"
+		  why == SEAL_EXPIRED	 ? "late, or the clocks differ"
 		  : why == SEAL_REPLAYED ? "replayed, or too many at once"
 					 : "bad MAC");
 	if (!conn)
@@ -549,7 +549,7 @@
 		if (srv->fds[POLL_STOP].revents)
 			srv->stop_deadline = clock_now() + STOP_MS;
 		if (srv->fds[POLL_WAKE].revents)
-			mailbox_clear(service->wake);
+			mailbox_clear_wakeup(service->wake);
 		server_round(srv);
 		if (service->turn)
 			until = service->turn(service->arg, clock_now());
--- a/sched-note.c
+++ b/sched-note.c
@@ -82,7 +82,7 @@
 			list = json_array();
 			json_object_set_new(services, service, list);
 		}
-		json_array_append_new(list, bstr_json(w->id));
+		json_array_append_new(list, bstr_to_json(w->id));
 		free(service);
 	}
 	return json_write(services);
@@ -125,7 +125,7 @@
 
 	json_object_foreach(s->own.workers, service, list) {
 		json_array_foreach(list, i, v) {
-			id = json_bstr(v);
+			id = bstr_from_json(v);
 			worker_inherit(s, id, service);
 			bstr_free(&id);
 		}
--- a/sched-row.c
+++ b/sched-row.c
@@ -40,11 +40,11 @@
 	json_t *j = json_object(), *after = json_array();
 	size_t i;
 
-	json_put_int(j, "count", st->count);
-	json_put_int(j, "cpu", st->need.cpu);
-	json_put_int(j, "memory", st->need.memory);
-	json_put_int(j, "gpus", st->need.gpus);
-	json_put_int(j, "estimated_ms", st->estimated_ms);
+	json_set_nonzero(j, "count", st->count);
+	json_set_nonzero(j, "cpu", st->need.cpu);
+	json_set_nonzero(j, "memory", st->need.memory);
+	json_set_nonzero(j, "gpus", st->need.gpus);
+	json_set_nonzero(j, "estimated_ms", st->estimated_ms);
 	for (i = 0; i < st->after_count; i++)
 		json_array_append_new(after, json_integer(st->after[i]));
 	json_object_set_new(j, "after", after);
@@ -54,12 +54,12 @@
 	set_flag(j, "speculative", st->speculative);
 	set_flag(j, "lasts", st->lasts);
 	set_flag(j, "fills", st->fills);
-	json_put_text(j, "label", st->label);
-	json_put_text(j, "rack", st->rack);
-	json_put_text(j, "image", st->image);
-	json_put_int(j, "apart", st->apart);
-	json_put_int(j, "target_ms", st->target_ms);
-	json_put_int(j, "may_miss", st->may_miss);
+	json_set_nonempty(j, "label", st->label);
+	json_set_nonempty(j, "rack", st->rack);
+	json_set_nonempty(j, "image", st->image);
+	json_set_nonzero(j, "apart", st->apart);
+	json_set_nonzero(j, "target_ms", st->target_ms);
+	json_set_nonzero(j, "may_miss", st->may_miss);
 	return j;
 }
 
@@ -84,9 +84,9 @@
 	st->speculative = json_is_true(json_object_get(j, "speculative"));
 	st->lasts = json_is_true(json_object_get(j, "lasts"));
 	st->fills = json_is_true(json_object_get(j, "fills"));
-	st->label = json_bstr(json_object_get(j, "label"));
-	st->rack = json_bstr(json_object_get(j, "rack"));
-	st->image = json_bstr(json_object_get(j, "image"));
+	st->label = bstr_from_json(json_object_get(j, "label"));
+	st->rack = bstr_from_json(json_object_get(j, "rack"));
+	st->image = bstr_from_json(json_object_get(j, "image"));
 	st->apart = (unsigned)int_of(j, "apart");
 	st->target_ms = (uint32_t)int_of(j, "target_ms");
 	st->may_miss = (unsigned)int_of(j, "may_miss");
@@ -100,14 +100,14 @@
 
 	for (i = 0; i < j->body->step_count; i++)
 		json_array_append_new(steps, step_write(&j->body->steps[i]));
-	row = json_pack("{s:o, s:o, s:o, s:I, s:o}", "tenant",
-			bstr_json(j->tenant), "route", bstr_json(j->route),
-			"service", bstr_json(j->service), "submitted",
-			(json_int_t)j->submitted, "payload",
-			bstr_json(j->body->payload));
-	json_put_int(row, "repeat", j->body->repeat_count);
-	json_put_int(row, "first_at", j->body->first_at);
-	json_put_int(row, "interval_ms", j->body->interval_ms);
+	row = json_pack(
+		"{s:o, s:o, s:o, s:I, s:o}", "tenant", bstr_to_json(j->tenant),
+		"route", bstr_to_json(j->route), "service",
+		bstr_to_json(j->service), "submitted", (json_int_t)j->submitted,
+		"payload", bstr_to_json(j->body->payload));
+	json_set_nonzero(row, "repeat", j->body->repeat_count);
+	json_set_nonzero(row, "first_at", j->body->first_at);
+	json_set_nonzero(row, "interval_ms", j->body->interval_ms);
 	json_object_set_new(row, "steps", steps);
 	return json_write(row);
 }
@@ -128,12 +128,12 @@
 	j = xcalloc(1, sizeof(*j));
 	snprintf(j->id, sizeof(j->id), "%s", id);
 	TAILQ_INIT(&j->occs);
-	j->tenant = json_bstr(json_object_get(row, "tenant"));
-	j->route = json_bstr(json_object_get(row, "route"));
-	j->service = json_bstr(json_object_get(row, "service"));
+	j->tenant = bstr_from_json(json_object_get(row, "tenant"));
+	j->route = bstr_from_json(json_object_get(row, "route"));
+	j->service = bstr_from_json(json_object_get(row, "service"));
 	j->submitted = int_of(row, "submitted");
 	j->body = xcalloc(1, sizeof(*j->body));
-	j->body->payload = json_bstr(json_object_get(row, "payload"));
+	j->body->payload = bstr_from_json(json_object_get(row, "payload"));
 	j->body->repeat_count = (unsigned)int_of(row, "repeat");
 	j->body->first_at = int_of(row, "first_at");
 	j->body->interval_ms = int_of(row, "interval_ms");
@@ -151,7 +151,7 @@
 	json_t *row = json_read(text);
 	bool ok = json_is_object(row);
 
-	*tenant = json_bstr(json_object_get(row, "tenant"));
+	*tenant = bstr_from_json(json_object_get(row, "tenant"));
 	json_decref(row);
 	return ok;
 }
@@ -169,7 +169,7 @@
 		if (o->tasks[i].phase == AT_END)
 			bits[i / 8] |= (uint8_t)(1U << (i % 8));
 	hex = hex_encode(bits, bytes);
-	j = bstr_json(hex);
+	j = bstr_to_json(hex);
 	bstr_free(&hex);
 	free(bits);
 	return j;
@@ -223,7 +223,7 @@
 			json_object_set_new(fails, number, fails_write(t));
 		if (t->checkpoint.bstr_len)
 			json_object_set_new(saved, number,
-					    bstr_json(t->checkpoint));
+					    bstr_to_json(t->checkpoint));
 	}
 	return json_pack("{s:I, s:o, s:o, s:o}", "k", (json_int_t)o->k, "done",
 			 done_write(o), "fails", fails, "saved", saved);
@@ -236,15 +236,15 @@
 	json_t *row, *occs;
 
 	row = json_pack("{s:s, s:o}", "state", fate_name(j->fate), "tenant",
-			bstr_json(j->tenant));
+			bstr_to_json(j->tenant));
 	if (j->fate > FATE_RUNNING) {
-		json_put_int(row, "ended", j->ended);
+		json_set_nonzero(row, "ended", j->ended);
 		return json_write(row);
 	}
 	occs = json_array();
 	TAILQ_FOREACH(o, &j->occs, entry)
 		json_array_append_new(occs, occurrence_write(o));
-	json_put_int(row, "next", j->next_k);
+	json_set_nonzero(row, "next", j->next_k);
 	json_object_set_new(row, "times", occs);
 	return json_write(row);
 }
@@ -270,7 +270,8 @@
 	json_t *row = json_read(text);
 	bool ok = fate_parse(row, fate);
 
-	*tenant = ok ? json_bstr(json_object_get(row, "tenant")) : BSTR_NONE;
+	*tenant = ok ? bstr_from_json(json_object_get(row, "tenant"))
+		     : BSTR_NONE;
 	*ended = int_of(row, "ended");
 	json_decref(row);
 	return ok;
@@ -281,7 +282,7 @@
 {
 	size_t bytes = (o->task_count + 7) / 8;
 	uint8_t *bits = xcalloc(bytes, 1);
-	bstr hex = json_bstr(json_object_get(j, "done"));
+	bstr hex = bstr_from_json(json_object_get(j, "done"));
 	struct task *t;
 	json_t *v;
 	char number[16];
@@ -296,7 +297,7 @@
 		fails_read(v, t);
 		v = json_object_get(json_object_get(j, "saved"), number);
 		bstr_free(&t->checkpoint);
-		t->checkpoint = json_bstr(v);
+		t->checkpoint = bstr_from_json(v);
 		if (!(bits[i / 8] >> (i % 8) & 1) || t->phase == AT_END)
 			continue;
 		task_phase(t, AT_END);
@@ -333,7 +334,7 @@
 {
 	return json_write(
 		json_pack("{s:I, s:o, s:I, s:b}", "epoch", (json_int_t)o->epoch,
-			  "vm", bstr_json(release ? BSTR_NONE : o->holder),
+			  "vm", bstr_to_json(release ? BSTR_NONE : o->holder),
 			  "life", (json_int_t)o->life, "settled", o->settled));
 }
 
@@ -347,7 +348,7 @@
 		o->epoch = (uint64_t)int_of(row, "epoch");
 		o->life = (uint64_t)int_of(row, "life");
 		bstr_free(&o->holder);
-		o->holder = json_bstr(json_object_get(row, "vm"));
+		o->holder = bstr_from_json(json_object_get(row, "vm"));
 		o->settled = json_is_true(json_object_get(row, "settled"));
 	}
 	json_decref(row);
--- a/sched-wave.c
+++ b/sched-wave.c
@@ -80,7 +80,7 @@
 		if (!note)
 			continue;
 		bstr_free(&v->machines[i].worker);
-		v->machines[i].worker = json_bstr(
+		v->machines[i].worker = bstr_from_json(
 			json_object_get(note, "worker"));
 		v->machines[i].noted = true;
 		v->machines[i].maybe = theirs || v->machines[i].maybe;
@@ -546,7 +546,7 @@
 		id = bstr_cstr(wm->id);
 		json_object_set_new(notes, id,
 				    json_pack("{s:o, s:b}", "worker",
-					      bstr_json(wm->worker), "done",
+					      bstr_to_json(wm->worker), "done",
 					      wm->done));
 		free(id);
 	}
--- a/sealed.c
+++ b/sealed.c
@@ -135,7 +135,7 @@
 	if (sodium_memcmp(mac, s->mac, MAC_BYTES))
 		return SEAL_BAD_MAC;
 	if (s->deadline < wall || s->deadline - wall > SEAL_HORIZON_MS)
-		return SEAL_LATE;
+		return SEAL_EXPIRED;
 	if (g && !replay_guard_add(g, s, wall))
 		return SEAL_REPLAYED;
 	return SEAL_OK;
--- a/secret.c
+++ b/secret.c
@@ -21,7 +21,7 @@
 			   (const unsigned char *)bytes.bstr_val,
 			   bytes.bstr_len, (const unsigned char *)salt.bstr_val,
 			   salt.bstr_len);
-	return bstr_from(hash, sizeof(hash));
+	return bstr_from_bytes(hash, sizeof(hash));
 }
 
 /*
@@ -42,7 +42,7 @@
 	sodium_bin2base64(text, sizeof(text), bytes, sizeof(bytes),
 			  SECRET_VARIANT);
 	*secret = bstr_printf(SECRET_PREFIX "%.*s_%s", BSTR_ARG(key_id), text);
-	*salt = bstr_from(grain, sizeof(grain));
+	*salt = bstr_from_bytes(grain, sizeof(grain));
 	*hash = BSTR_NONE;
 	if (secret_split(*secret, &id, &digest))
 		*hash = secret_hash(digest, *salt);
--- a/settings.c
+++ b/settings.c
@@ -560,7 +560,7 @@
 
 	switch (t->type) {
 	case SETTING_NAME:
-		return bstr_json(*(bstr *)field);
+		return bstr_to_json(*(bstr *)field);
 	case SETTING_U32:
 		return json_integer(*(uint32_t *)field);
 	default:
--- a/tests/prop-rpc-decode.cc
+++ b/tests/prop-rpc-decode.cc
@@ -37,7 +37,7 @@
 	}
 	again = xdr_encode(d.proc, value.data());
 	bool taken = xdr_decode(d.proc, again, twice.data(), d.size);
-	bool same = taken && xdr_same(d.proc, value.data(), twice.data());
+	bool same = taken && xdr_equal(d.proc, value.data(), twice.data());
 	xdr_free(d.proc, value.data());
 	xdr_free(d.proc, twice.data());
 	bstr_free(&again);
--- a/tests/rpc-faults.h
+++ b/tests/rpc-faults.h
@@ -185,9 +185,9 @@
 	uint32_t word;
 
 	if (f->bytes)
-		return bstr_from(f->bytes, f->len);
+		return bstr_from_bytes(f->bytes, f->len);
 	call = fault_fresh_call(t, 1);
-	b = bstr_from(call.bstr_val, call.bstr_len);
+	b = bstr_from_bytes(call.bstr_val, call.bstr_len);
 	if (f->longer) {
 		b.bstr_len = (u_int)((int)b.bstr_len + f->longer);
 		b.bstr_val = xrealloc(b.bstr_val, b.bstr_len, 1);
--- a/tests/standin-cloud.c
+++ b/tests/standin-cloud.c
@@ -413,7 +413,7 @@
 		for (rq = TAILQ_FIRST(&w->server->held); rq; rq = next) {
 			next = TAILQ_NEXT(rq, entry);
 			if (rq->dispatched && !rq->answered &&
-			    rq->timer.due.place)
+			    rq->timer.due.index)
 				lists_answer(rq, w);
 		}
 	}
--- a/tests/standin-platform.c
+++ b/tests/standin-platform.c
@@ -144,14 +144,14 @@
 /* A row as the interface shows it. */
 static json_t *row_json(bstr key, const struct row *row)
 {
-	json_t *j = json_pack("{s:o,s:I}", "key", bstr_json(key), "version",
+	json_t *j = json_pack("{s:o,s:I}", "key", bstr_to_json(key), "version",
 			      (json_int_t)(row ? row->version : 0));
 	bstr text;
 
 	if (!row)
 		return j;
 	text = base64_encode(row->value);
-	json_object_set_new(j, "value", bstr_json(text));
+	json_object_set_new(j, "value", bstr_to_json(text));
 	bstr_free(&text);
 	return j;
 }
@@ -222,7 +222,7 @@
 			bstr_free(&value);
 		}
 		json_array_append_new(written, json_pack("{s:o,s:I}", "key",
-							 bstr_json(key),
+							 bstr_to_json(key),
 							 "version", version));
 	}
 	return written;
@@ -493,7 +493,7 @@
 	vms_next = json_incref(rq->json);
 	vms_timer.fire = vms_show;
 	/* A burst of changes shows in the end: the first lag runs on. */
-	if (!vms_timer.due.place)
+	if (!vms_timer.due.index)
 		timer_set(&vms_timer, clock_now() + list_lag_ms);
 	request_answer(rq, 200, json_object());
 }
--- a/tests/standin-worker.c
+++ b/tests/standin-worker.c
@@ -285,7 +285,7 @@
 		  t->worker->fail_all;
 	if (t->worker->fail_all)
 		t->sleep_ms = 0;
-	t->result = result ? json_bstr(result) : bstr_copy(payload);
+	t->result = result ? bstr_from_json(result) : bstr_copy(payload);
 	t->use.cpu_milli = size_actual(start, "cpu_milli");
 	t->use.memory_mb = size_actual(start, "memory_mb");
 	log_begin(t, json_string_value(json_object_get(j, "team")));
@@ -372,8 +372,8 @@
 			       : 0;
 	json_t *j = json_pack("{s:s,s:s,s:s,s:o,s:I,s:I,s:I}", "task", t->id,
 			      "state", state_names[t->state], "reason",
-			      t->reason, "result", bstr_json(result), "ran_ms",
-			      (json_int_t)ran, "cpu_milli",
+			      t->reason, "result", bstr_to_json(result),
+			      "ran_ms", (json_int_t)ran, "cpu_milli",
 			      (json_int_t)t->shown.cpu_milli, "memory_mb",
 			      (json_int_t)t->shown.memory_mb);
 
@@ -670,15 +670,15 @@
 	if (!w->server->frozen)
 		return;
 	TAILQ_FOREACH(cell, &w->cells, entry) {
-		if (cell->lease.due.at <= now)
+		if (cell->lease.due.due <= now)
 			cell_lapse(cell);
 		else
-			timer_set(&cell->lease, cell->lease.due.at);
+			timer_set(&cell->lease, cell->lease.due.due);
 	}
 	for (t = TAILQ_FIRST(&w->order); t; t = next) {
 		next = TAILQ_NEXT(t, entry);
 		if (t->state != RUNNING) {
-			timer_set(&t->timer, t->timer.due.at);
+			timer_set(&t->timer, t->timer.due.due);
 			continue;
 		}
 		t->counted = now;
--- a/tests/support-cloud.c
+++ b/tests/support-cloud.c
@@ -671,7 +671,7 @@
 	struct conn *c;
 	struct run *r;
 
-	while ((n = heap_first(&run_ends)) && n->at <= clock_now()) {
+	while ((n = heap_first(&run_ends)) && n->due <= clock_now()) {
 		heap_remove(&run_ends, n);
 		r = HEAP_ENTRY(n, struct run, due);
 		r->end = ++r->worker->last_end;
@@ -680,11 +680,11 @@
 		if (r->worker->holder)
 			lists_answer(r->worker->holder, r->worker);
 	}
-	while ((n = heap_first(&hold_ends)) && n->at <= clock_now()) {
+	while ((n = heap_first(&hold_ends)) && n->due <= clock_now()) {
 		c = HEAP_ENTRY(n, struct conn, due);
 		lists_answer(c, c->worker);
 	}
-	while ((n = heap_first(&feed_ends)) && n->at <= clock_now()) {
+	while ((n = heap_first(&feed_ends)) && n->due <= clock_now()) {
 		c = HEAP_ENTRY(n, struct conn, due);
 		rows_answer(c, 200, json_array(), false);
 		reader_leave(c);
--- a/tests/support-fake.c
+++ b/tests/support-fake.c
@@ -223,7 +223,7 @@
 	if (f->request_count == REQUESTS_MAX)
 		abort();
 	r->head = xstrdup(c->in);
-	r->body = bstr_from(c->in + head, body);
+	r->body = bstr_from_bytes(c->in + head, body);
 	r->connection = c->number;
 	c->len -= head + body;
 	memmove(c->in, c->in + head + body, c->len);
--- a/tests/support-fleet.c
+++ b/tests/support-fleet.c
@@ -321,7 +321,7 @@
 	json_t *head = json_loadb(value.bstr_val, value.bstr_len, 0, NULL);
 	uint64_t revision = (uint64_t)json_integer_value(
 		json_object_get(head, "revision"));
-	bstr name = json_bstr(json_object_get(head, "object"));
+	bstr name = bstr_from_json(json_object_get(head, "object"));
 	struct fake_row *o = fake_row_get(f->table.objects, name);
 	json_t *doc = o ? json_loadb(o->value.bstr_val, o->value.bstr_len, 0,
 				     NULL)
@@ -483,7 +483,7 @@
 	event *ev = event_new(EV_PLATFORM);
 	ev_platform *p = &ev->body.event_body_u.platform;
 
-	p->req = effect_request(fx);
+	p->req = effect_request_id(fx);
 	p->outcome = PLATFORM_UNKNOWN;
 	if (f->platform_mode == PLATFORM_SLOW)
 		there += (int64_t)fleet_random(f, 2500);
@@ -518,7 +518,7 @@
 {
 	event *ev = event_new(EV_PLATFORM);
 
-	ev->body.event_body_u.platform.req = effect_request(q->fx);
+	ev->body.event_body_u.platform.req = effect_request_id(q->fx);
 	platform_do(f, q->fx, &ev->body.event_body_u.platform);
 	if (q->n)
 		entry_tell(f, q->a, q->b, (int64_t)q->n, ev);
@@ -1924,9 +1924,9 @@
 			name = bstr_cstr(id);
 			json_object_set_new(keys, name,
 					    json_pack("{s:o,s:o,s:b}", "salt",
-						      bstr_json(s), "hash",
-						      bstr_json(h), "withdrawn",
-						      0));
+						      bstr_to_json(s), "hash",
+						      bstr_to_json(h),
+						      "withdrawn", 0));
 			free(name);
 			bstr_free(&id);
 			bstr_free(&secret);
--- a/tests/support-relay.c
+++ b/tests/support-relay.c
@@ -97,7 +97,7 @@
 		bstr_free(&bytes);
 		bytes = xdr_encode(XDR_PROC(xdr_member_row), &row);
 		text = base64_encode(bytes);
-		json_object_set_new(j, "value", bstr_json(text));
+		json_object_set_new(j, "value", bstr_to_json(text));
 		bstr_free(&text);
 		free(vm);
 		free(address);
--- a/tests/support-sim.c
+++ b/tests/support-sim.c
@@ -201,7 +201,7 @@
 		memset(p, 0, sizeof(*p));
 		p->outcome = PLATFORM_UNKNOWN;
 	}
-	p->req = effect_request(it->fx);
+	p->req = effect_request_id(it->fx);
 	entry_tell(s, it->entry, it->gen,
 		   p->outcome == PLATFORM_UNKNOWN ? SILENCE_MS : HOP_MS, ev);
 	effect_free(it->fx);
@@ -846,8 +846,8 @@
 				      "share", (int)s->plan.teams[i].share,
 				      "limit", (int)s->plan.teams[i].limit,
 				      "grace_ms", 0, "keys", key, "salt",
-				      bstr_json(sa), "hash", bstr_json(ha),
-				      "withdrawn", 0));
+				      bstr_to_json(sa), "hash",
+				      bstr_to_json(ha), "withdrawn", 0));
 	bstr_free(&id);
 	bstr_free(&secret);
 	bstr_free(&salt);
--- a/tests/support-standin.c
+++ b/tests/support-standin.c
@@ -66,14 +66,14 @@
 	struct heap_node *n;
 	struct timer *t;
 
-	while ((n = heap_first(&timers)) && n->at <= now) {
+	while ((n = heap_first(&timers)) && n->due <= now) {
 		t = HEAP_ENTRY(n, struct timer, due);
 		timer_clear(t);
 		t->fire(t->arg);
 	}
 	if (!n)
 		return -1;
-	return n->at - now > 1000 ? 1000 : (int)(n->at - now);
+	return n->due - now > 1000 ? 1000 : (int)(n->due - now);
 }
 
 /* Let a held request's connection go on. */
--- a/tests/test-base.c
+++ b/tests/test-base.c
@@ -56,7 +56,7 @@
 				      sizeof(got)));
 	}
 	cr_assert(xdr_decode(XDR_PROC(xdr_cell_id), bytes, &got, sizeof(got)));
-	cr_expect(xdr_same(XDR_PROC(xdr_cell_id), &cell, &got));
+	cr_expect(xdr_equal(XDR_PROC(xdr_cell_id), &cell, &got));
 	xdr_free(XDR_PROC(xdr_cell_id), (char *)&got);
 	bstr_free(&bytes);
 }
--- a/tests/test-caller-decode.c
+++ b/tests/test-caller-decode.c
@@ -41,7 +41,7 @@
 	const struct finding *f;
 
 	TAILQ_FOREACH(f, &c->problem.findings.findings, entry)
-		if (!strcmp(f->place, place))
+		if (!strcmp(f->location, place))
 			return true;
 	return false;
 }
--- a/tests/test-catalogue.c
+++ b/tests/test-catalogue.c
@@ -73,7 +73,7 @@
 		doc_expect(&d, "| %" PRIu32 " | `%s` | %s | %s |",
 			   log_entries[i].number, log_entries[i].name,
 			   settings_level_name(log_entries[i].level),
-			   log_entries[i].what);
+			   log_entries[i].description);
 	doc_close(&d);
 }
 
--- a/tests/test-edge-worker.c
+++ b/tests/test-edge-worker.c
@@ -363,7 +363,7 @@
 	char *payload = xcalloc(size, 1);
 
 	bstr_free(&s->payload);
-	s->payload = bstr_from(payload, size);
+	s->payload = bstr_from_bytes(payload, size);
 	cr_assert(edge_worker_send(edge, fx));
 	discard(expect(inbox, 1, WORKER_NO_ANSWER, "deaf"));
 	fake_release(f, 0);
--- a/tests/test-heap.c
+++ b/tests/test-heap.c
@@ -13,8 +13,8 @@
 	size_t i;
 
 	for (i = 0; i < NODES; i++)
-		if (nodes[i].place && nodes[i].at < at)
-			at = nodes[i].at;
+		if (nodes[i].index && nodes[i].due < at)
+			at = nodes[i].due;
 	return at;
 }
 
@@ -34,10 +34,10 @@
 		else
 			heap_remove(&h, &nodes[n]);
 		first = heap_first(&h);
-		cr_assert_eq(first ? first->at : INT64_MAX, least(nodes));
+		cr_assert_eq(first ? first->due : INT64_MAX, least(nodes));
 	}
 	while ((first = heap_first(&h))) {
-		cr_assert_eq(first->at, least(nodes));
+		cr_assert_eq(first->due, least(nodes));
 		heap_remove(&h, first);
 		heap_remove(&h, first); /* a second time changes nothing */
 	}
--- a/tests/test-sealed.c
+++ b/tests/test-sealed.c
@@ -36,10 +36,10 @@
 	} cases[] = {
 		{"as made", NOTHING, 1, SEAL_OK},
 		{"at its deadline", NOTHING, 0, SEAL_OK},
-		{"after it", NOTHING, -1, SEAL_LATE},
+		{"after it", NOTHING, -1, SEAL_EXPIRED},
 		{"at the horizon", NOTHING, SEAL_HORIZON_MS, SEAL_OK},
-		{"beyond it", NOTHING, SEAL_HORIZON_MS + 1, SEAL_LATE},
-		{"for ever", NOTHING, INT64_MAX - WALL, SEAL_LATE},
+		{"beyond it", NOTHING, SEAL_HORIZON_MS + 1, SEAL_EXPIRED},
+		{"for ever", NOTHING, INT64_MAX - WALL, SEAL_EXPIRED},
 		{"another purpose", PURPOSE, 1, SEAL_BAD_MAC},
 		{"another key", KEY, 1, SEAL_BAD_MAC},
 		{"another nonce", NONCE, 1, SEAL_BAD_MAC},
@@ -110,9 +110,9 @@
 		{0, 0, SEAL_OK},	{0, 0, SEAL_REPLAYED},
 		{1, 0, SEAL_OK},	{0, 5, SEAL_REPLAYED},
 		{2, 10, SEAL_REPLAYED}, /* full; 0 and 1 hold until 10 */
-		{2, 11, SEAL_OK},	{0, 11, SEAL_LATE},
+		{2, 11, SEAL_OK},	{0, 11, SEAL_EXPIRED},
 		{2, 20, SEAL_REPLAYED}, {3, 20, SEAL_OK},
-		{2, 21, SEAL_LATE},
+		{2, 21, SEAL_EXPIRED},
 	};
 	struct replay_guard *g = replay_guard_new(2);
 	sealed s[4];
@@ -138,7 +138,7 @@
 
 	seal(&s, "test", bstr_lit("ana"), BSTR_NONE, WALL, key);
 	cr_expect_eq(seal_open(&s, "test", WALL, other_key, g), SEAL_BAD_MAC);
-	cr_expect_eq(seal_open(&s, "test", WALL + 1, key, g), SEAL_LATE);
+	cr_expect_eq(seal_open(&s, "test", WALL + 1, key, g), SEAL_EXPIRED);
 	cr_expect_eq(seal_open(&s, "test", WALL, key, g), SEAL_OK);
 	xdr_free(XDR_PROC(xdr_sealed), (char *)&s);
 	replay_guard_free(g);
