--- a/bamboofront-replay.c
+++ b/bamboofront-replay.c
@@ -31,7 +31,7 @@
 
 	effects_init(&fx);
 	reduce(st, &s->event, &fx);
-	i = effects_differ(s->effects.effects_val, count, fx.list, fx.count);
+	i = effects_mismatch(s->effects.effects_val, count, fx.list, fx.count);
 	if (i >= 0) {
 		printf("step %" PRIu64 ": %s at %" PRId64 ": effect %zd of "
 		       "%u differs\nevent:",
@@ -68,9 +68,9 @@
 		printf("step %" PRIu64 " can't be read\n", number + 1);
 		return 2;
 	}
-	if (result == RECORD_TORN)
+	if (result == RECORD_TRUNCATED)
 		printf("the last record is torn, it was left out\n");
-	if (result == RECORD_CUT)
+	if (result == RECORD_STOPPED)
 		printf("the daemon stopped recording after this\n");
 	printf("%" PRIu64 " steps, no difference\n", number);
 	return 0;
--- a/config-edit.c
+++ b/config-edit.c
@@ -213,7 +213,7 @@
 };
 
 /* Is this request a change of the configuration? */
-bool config_edits(op_kind kind)
+bool config_is_edit(op_kind kind)
 {
 	size_t i;
 
--- a/config.c
+++ b/config.c
@@ -142,7 +142,7 @@
 	struct team_key *k;
 
 	config_unknown(o, known, place, e);
-	k = config_key(c, bstr_lit(id));
+	k = config_find_key(c, bstr_lit(id));
 	if (k) {
 		error_add(e, place, "key '%s' is team %.*s's already", id,
 			  BSTR_ARG(k->team->name));
@@ -274,7 +274,7 @@
 }
 
 /* The one text of a document, whatever order it was written in. */
-bstr config_text(const json_t *doc)
+bstr config_canonical_text(const json_t *doc)
 {
 	char *s = json_dumps(doc, JSON_COMPACT | JSON_SORT_KEYS);
 	bstr b = bstr_new(s ? s : "{}");
@@ -284,7 +284,7 @@
 }
 
 /* Find a pool. */
-struct pool *config_pool(const struct config *c, bstr name)
+struct pool *config_find_pool(const struct config *c, bstr name)
 {
 	struct pool *p = NULL;
 
@@ -294,7 +294,7 @@
 }
 
 /* Find a team. */
-struct team *config_team(const struct config *c, bstr name)
+struct team *config_find_team(const struct config *c, bstr name)
 {
 	struct team *t = NULL;
 
@@ -304,7 +304,7 @@
 }
 
 /* Find a key. */
-struct team_key *config_key(const struct config *c, bstr id)
+struct team_key *config_find_key(const struct config *c, bstr id)
 {
 	struct team_key *k = NULL;
 
--- a/config.h
+++ b/config.h
@@ -49,10 +49,10 @@
 struct config *config_new(json_t *doc, uint64_t revision, struct error *e);
 struct config *config_parse(bstr text, uint64_t revision, struct error *e);
 void config_free(struct config *c);
-bstr config_text(const json_t *doc); /* canonical: sorted, compact */
-struct pool *config_pool(const struct config *c, bstr name);
-struct team *config_team(const struct config *c, bstr name);
-struct team_key *config_key(const struct config *c, bstr id);
+bstr config_canonical_text(const json_t *doc); /* canonical: sorted, compact */
+struct pool *config_find_pool(const struct config *c, bstr name);
+struct team *config_find_team(const struct config *c, bstr name);
+struct team_key *config_find_key(const struct config *c, bstr id);
 /* Paths that differ, as an array of {"path", "from", "to"}. */
 json_t *config_diff(const json_t *from, const json_t *to);
 
@@ -62,6 +62,6 @@
  */
 op_status config_edit(json_t *doc, const op_request *rq, const char **reason,
 		      bstr *detail);
-bool config_edits(op_kind kind); /* is it a change of the configuration? */
+bool config_is_edit(op_kind kind); /* is it a change of the configuration? */
 
 #endif
--- a/record.c
+++ b/record.c
@@ -80,7 +80,7 @@
 	json_object_set_new(j, "version", json_string(BAMBOOFRONT_VERSION));
 	json_object_set_new(j, "seed", json_string(number));
 	json_object_set_new(j, "peer_address", json_string(peer_address));
-	json_object_set_new(j, "settings", settings_public(s));
+	json_object_set_new(j, "settings", settings_to_json(s));
 	text = json_dumps(j, JSON_COMPACT);
 	b = bstr_new(text);
 	free(text);
@@ -182,12 +182,12 @@
 	*bytes = BSTR_NONE;
 	n = fread(&len, 1, sizeof(len), f);
 	if (!n)
-		return feof(f) ? RECORD_END : RECORD_TORN;
+		return feof(f) ? RECORD_END : RECORD_TRUNCATED;
 	if (n < sizeof(len))
-		return RECORD_TORN;
+		return RECORD_TRUNCATED;
 	len = ntohl(len);
 	if (!len)
-		return RECORD_CUT;
+		return RECORD_STOPPED;
 	if (len > RECORD_MAX_BYTES)
 		return RECORD_BAD;
 	bytes->bstr_val = xmalloc(len);
@@ -195,7 +195,7 @@
 	if (fread(bytes->bstr_val, 1, len, f) == len)
 		return RECORD_STEP;
 	bstr_free(bytes);
-	return RECORD_TORN;
+	return RECORD_TRUNCATED;
 }
 
 /* Read the header record. */
@@ -214,7 +214,7 @@
 	settings = json_object_get(j, "settings");
 	seed = json_string_value(json_object_get(j, "seed"));
 	ok = seed && json_is_string(json_object_get(j, "peer_address")) &&
-	     settings_from_public(settings, &r->settings, e);
+	     settings_from_json(settings, &r->settings, e);
 	if (ok) {
 		r->seed = strtoull(seed, NULL, 10);
 		r->peer_address = xstrdup(
@@ -287,8 +287,8 @@
 }
 
 /* Compare two lists of effects. */
-ssize_t effects_differ(const effect *a, size_t a_count, const effect *b,
-		       size_t b_count)
+ssize_t effects_mismatch(const effect *a, size_t a_count, const effect *b,
+			 size_t b_count)
 {
 	size_t i;
 
--- a/record.h
+++ b/record.h
@@ -22,11 +22,11 @@
 
 /* Reading. */
 enum record_result {
-	RECORD_STEP, /* a step was read */
-	RECORD_END,  /* the recording ends in good order */
-	RECORD_CUT,  /* the daemon stopped recording here */
-	RECORD_TORN, /* the last record is not whole */
-	RECORD_BAD   /* no record of ours */
+	RECORD_STEP,	  /* a step was read */
+	RECORD_END,	  /* the recording ends in good order */
+	RECORD_STOPPED,	  /* the daemon stopped recording here */
+	RECORD_TRUNCATED, /* the last record is not whole */
+	RECORD_BAD	  /* no record of ours */
 };
 struct recording;
 struct recording *recording_open(const char *path, struct error *e);
@@ -37,8 +37,8 @@
 void recording_close(struct recording *r);
 
 /* The number of the first effect that differs; -1 if none does. */
-ssize_t effects_differ(const effect *a, size_t a_count, const effect *b,
-		       size_t b_count);
+ssize_t effects_mismatch(const effect *a, size_t a_count, const effect *b,
+			 size_t b_count);
 
 /* Values for people: every field, in the schema's order. */
 void xdr_print(FILE *f, xdrproc_t proc, const void *value);
--- a/reduce-call.c
+++ b/reduce-call.c
@@ -112,7 +112,7 @@
 			      "this VM is stopping; nothing was run", 100);
 		return true;
 	}
-	if (!config_pool(st->config, s->pool)) {
+	if (!config_find_pool(st->config, s->pool)) {
 		answer_refuse(st, BSTR_NONE, call, 422, COUNT_REFUSED_POOL,
 			      "there is no such pool", 0);
 		return true;
--- a/reduce-config.c
+++ b/reduce-config.c
@@ -179,7 +179,7 @@
 	json_object_set_new(
 		head, "history",
 		history_add(st, c->base + 1, c->object, c->request.kind));
-	text = config_text(head);
+	text = config_canonical_text(head);
 	commit_check(&commit, bstr_lit(HEAD_KEY), c->head);
 	commit_put_bytes(&commit, bstr_lit(HEAD_KEY), text);
 	table_commit(st, REQ_CHANGE_COMMIT, c->object, &commit, c->deadline);
@@ -225,7 +225,7 @@
 				BSTR_ARG(st->vm),
 				(unsigned long long)st->incarnation,
 				(unsigned long long)++st->next_serial);
-	text = config_text(c->doc);
+	text = config_canonical_text(c->doc);
 	object_put(st, REQ_CHANGE_PUT, c->object, c->object, text);
 	bstr_free(&text);
 	c->flying = true;
--- a/reduce-key.c
+++ b/reduce-key.c
@@ -104,7 +104,7 @@
 		return key_refuse(st, refusal, 503, COUNT_REFUSED_NO_CONFIG,
 				  "no configuration has been read yet",
 				  RETRY_AFTER_MS);
-	k = config_key(st->config, rq->key_id);
+	k = config_find_key(st->config, rq->key_id);
 	if (!k || !secret_matches(rq->key_digest, k->salt, k->hash))
 		return key_refuse(st, refusal, 401, COUNT_REFUSED_KEY,
 				  "no such key", 0);
--- a/reduce-limit.c
+++ b/reduce-limit.c
@@ -56,7 +56,7 @@
 /* The upper limit in force here. */
 static uint32_t team_limit(struct state *st, bstr team)
 {
-	const struct team *t = config_team(st->config, team);
+	const struct team *t = config_find_team(st->config, team);
 
 	return t ? t->limit : 0;
 }
--- a/reduce-op.c
+++ b/reduce-op.c
@@ -18,7 +18,7 @@
 	r.reason = bstr_new(reason);
 	r.detail = bstr_new(detail);
 	if (body)
-		r.body = config_text(body);
+		r.body = config_canonical_text(body);
 	json_decref(body);
 	if (asker.bstr_len) {
 		msg.peer_message_u.op_reply = (pm_op_reply){call, r};
@@ -535,7 +535,7 @@
 			ops[i].exec(st, call, rq);
 		return;
 	}
-	if (config_edits(rq->kind)) {
+	if (config_is_edit(rq->kind)) {
 		change_add(st, call, rq);
 		return;
 	}
--- a/reduce-pool.c
+++ b/reduce-pool.c
@@ -263,7 +263,7 @@
 static op_status edit_add_vm(struct state *st, const op_vm *o,
 			     struct edit_rows *r)
 {
-	struct pool *p = config_pool(st->config, o->pool);
+	struct pool *p = config_find_pool(st->config, o->pool);
 	vm_row *v = &r->vm;
 
 	if (r->vm_revision)
@@ -301,8 +301,8 @@
 static op_status edit_drain(struct state *st, const op_vm *o, bool move,
 			    struct edit_rows *r)
 {
-	struct pool *p = config_pool(st->config, r->vm.pool);
-	struct pool *to = move ? config_pool(st->config, o->pool) : NULL;
+	struct pool *p = config_find_pool(st->config, r->vm.pool);
+	struct pool *to = move ? config_find_pool(st->config, o->pool) : NULL;
 	uint32_t out = r->pool.outs.outs_len;
 
 	if (move && !pool_in_dc(to, r->vm.dc))
@@ -435,7 +435,7 @@
 static op_status edit_wave_drain(struct state *st, struct edit *e,
 				 struct edit_rows *r)
 {
-	struct pool *p = config_pool(st->config, r->vm.pool);
+	struct pool *p = config_find_pool(st->config, r->vm.pool);
 	uint32_t out = r->pool.outs.outs_len;
 	uint32_t worst = worst_rack(st, &r->vm, &r->pool);
 	uint32_t budget = p ? p->budget : 0;
--- a/reduce-queue.c
+++ b/reduce-queue.c
@@ -170,7 +170,7 @@
  */
 static double team_level(struct state *st, const struct cell_team *team)
 {
-	const struct team *t = config_team(st->config, team->team);
+	const struct team *t = config_find_team(st->config, team->team);
 	double share = t && t->share ? t->share : 0.01;
 
 	if (st->queue_policy == QUEUE_ROUND_ROBIN)
@@ -515,7 +515,7 @@
 const char *task_gate(struct state *st, struct cell *c, struct task *t,
 		      bstr *detail)
 {
-	const struct team *team = config_team(st->config, t->team->team);
+	const struct team *team = config_find_team(st->config, t->team->team);
 	unsigned usable, room = cell_room(st, c, &usable);
 	uint32_t used = team_used(t->team);
 
--- a/reduce-wave.c
+++ b/reduce-wave.c
@@ -538,7 +538,8 @@
 			  "expected a name of a-z 0-9 . _ -", 0, NULL);
 		return;
 	}
-	if (rq->kind == OP_WAVE_PLAN && !config_pool(st->config, o->pool)) {
+	if (rq->kind == OP_WAVE_PLAN &&
+	    !config_find_pool(st->config, o->pool)) {
 		op_not_found(st, call, "pool", o->pool);
 		return;
 	}
--- a/reduce-why.c
+++ b/reduce-why.c
@@ -149,7 +149,7 @@
 	struct unit *u, *next;
 	struct cell_team *t;
 
-	if (!config_team(st->config, name)) {
+	if (!config_find_team(st->config, name)) {
 		json_decref(list);
 		op_not_found(st, call, "team", name);
 		return;
--- a/settings.c
+++ b/settings.c
@@ -351,9 +351,9 @@
 	void *field = setting_field(t, s);
 
 	if (t->type == SETTING_U32)
-		*(uint32_t *)field = (uint32_t)t->initial;
+		*(uint32_t *)field = (uint32_t)t->default_value;
 	else if (t->type == SETTING_LEVEL)
-		*(enum log_level *)field = (enum log_level)t->initial;
+		*(enum log_level *)field = (enum log_level)t->default_value;
 }
 
 /* Look up "a" or "a.b". */
@@ -569,7 +569,7 @@
 }
 
 /* What the reducer may look at: names and numbers, no secret, no address. */
-json_t *settings_public(const struct settings *s)
+json_t *settings_to_json(const struct settings *s)
 {
 	json_t *root = json_object(), *group, *j;
 	const char *dot;
@@ -598,8 +598,8 @@
 	return root;
 }
 
-/* Read back what settings_public wrote. */
-bool settings_from_public(const json_t *j, struct settings *s, struct error *e)
+/* Read back what settings_to_json wrote. */
+bool settings_from_json(const json_t *j, struct settings *s, struct error *e)
 {
 	return settings_read(j, "recording", true, s, e);
 }
--- a/settings.h
+++ b/settings.h
@@ -29,7 +29,7 @@
 	bool required;
 	bool secret; /* never written to a recording */
 	const char *unit;
-	uint64_t initial; /* of numbers and the level */
+	uint64_t default_value; /* of numbers and the level */
 	uint64_t min;
 	uint64_t max;
 	size_t offset;
@@ -38,8 +38,8 @@
 extern const size_t settings_count;
 
 /* Everything but secrets, and back from that: for recordings. */
-json_t *settings_public(const struct settings *s);
-bool settings_from_public(const json_t *j, struct settings *s, struct error *e);
+json_t *settings_to_json(const struct settings *s);
+bool settings_from_json(const json_t *j, struct settings *s, struct error *e);
 
 /* The name of a log level, NULL if there is none. */
 const char *settings_level_name(uint64_t level);
--- a/tests/support-fleet.c
+++ b/tests/support-fleet.c
@@ -1941,13 +1941,13 @@
 					      3 + 3 * (int)t, "grace_ms", 0,
 					      "keys", keys));
 	}
-	text = config_text(doc);
+	text = config_canonical_text(doc);
 	fake_object_set(&f->table, bstr_lit("config-1"), text);
 	bstr_free(&text);
 	json_decref(doc);
 	head = json_pack("{s:i,s:s,s:[]}", "revision", 1, "object", "config-1",
 			 "history");
-	text = config_text(head);
+	text = config_canonical_text(head);
 	check_head(f, text);
 	fake_row_set(&f->table, bstr_lit("config/head"), text);
 	bstr_free(&text);
--- a/tests/support-sim.c
+++ b/tests/support-sim.c
@@ -866,12 +866,12 @@
 
 	for (i = 0; i < s->team_count; i++)
 		doc_team(s, doc, i);
-	text = config_text(doc);
+	text = config_canonical_text(doc);
 	fake_object_set(&f->table, bstr_lit("config-1"), text);
 	bstr_free(&text);
 	head = json_pack("{s:i,s:s,s:[]}", "revision", 1, "object", "config-1",
 			 "history");
-	text = config_text(head);
+	text = config_canonical_text(head);
 	fake_row_set(&f->table, bstr_lit("config/head"), text);
 	bstr_free(&text);
 	json_decref(head);
--- a/tests/test-catalogue.c
+++ b/tests/test-catalogue.c
@@ -124,11 +124,11 @@
 			doc_expect(&d,
 				   "| `%s` | %s | %" PRIu64 " | %" PRIu64
 				   " to %" PRIu64 " |",
-				   t->path, t->unit, t->initial, t->min,
+				   t->path, t->unit, t->default_value, t->min,
 				   t->max);
 		else if (t->type == SETTING_LEVEL)
 			doc_expect(&d, "| `%s` | level | %s |", t->path,
-				   settings_level_name(t->initial));
+				   settings_level_name(t->default_value));
 		else
 			doc_expect(&d, "| `%s` |", t->path);
 		cr_expect_eq(t->required, d.line && strstr(d.line, "required"),
--- a/tests/test-record.c
+++ b/tests/test-record.c
@@ -19,7 +19,7 @@
 	error_init(&e);
 	j = json_pack("{s:s, s:s, s:{s:i}}", "vm", "e1", "dc", "east", "timing",
 		      "tick_ms", 42);
-	cr_assert(settings_from_public(j, &settings, &e));
+	cr_assert(settings_from_json(j, &settings, &e));
 	json_decref(j);
 	settings.platform.token = xstrdup("hush-token");
 }
@@ -132,7 +132,7 @@
 	for (size = two.st_size - 1; size > one.st_size; size--) {
 		cr_assert_eq(truncate(path, size), 0);
 		cr_expect_eq(read_steps(&end), 1);
-		cr_expect_eq(end, RECORD_TORN, "at byte %ld", (long)size);
+		cr_expect_eq(end, RECORD_TRUNCATED, "at byte %ld", (long)size);
 	}
 	cr_assert_eq(truncate(path, one.st_size), 0);
 	cr_expect_eq(read_steps(&end), 1);
@@ -150,7 +150,7 @@
 
 	write_steps(3, false);
 	cr_expect_eq(read_steps(&end), 3);
-	cr_expect_eq(end, RECORD_CUT);
+	cr_expect_eq(end, RECORD_STOPPED);
 }
 
 /* Files that are no recordings, or hold a step that is none. */
@@ -213,7 +213,7 @@
 	size_t i;
 
 	for (i = 0; i < NELEMS(cases); i++)
-		cr_expect_eq(effects_differ(a, cases[i].a, b, cases[i].b),
+		cr_expect_eq(effects_mismatch(a, cases[i].a, b, cases[i].b),
 			     cases[i].at, "case %zu", i);
 }
 
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -244,7 +244,7 @@
 		if (t->type == SETTING_U32)
 			cr_expect_eq(
 				*(uint32_t *)(void *)((char *)&s + t->offset),
-				t->initial, "%s", t->path);
+				t->default_value, "%s", t->path);
 	}
 	settings_free(&s);
 }
@@ -260,11 +260,11 @@
 	error_init(&e);
 	s.timing.tick_ms = 77;
 	s.limits.attempts = 9;
-	j = settings_public(&s);
+	j = settings_to_json(&s);
 	text = json_dumps(j, 0);
 	cr_expect_not(strstr(text, "hush"));
 	cr_expect_not(strstr(text, "00010203"));
-	cr_assert(settings_from_public(j, &t, &e));
+	cr_assert(settings_from_json(j, &t, &e));
 	cr_expect(bstr_eq(t.dc, s.dc));
 	cr_expect_eq(t.timing.tick_ms, 77);
 	cr_expect_eq(t.limits.attempts, 9);
