--- a/reduce-boot.c
+++ b/reduce-boot.c
@@ -60,7 +60,7 @@
 		 * is dead or was removed took along what it remembered.
 		 */
 		if (w || !vm_find(st, b[i].vm))
-			row->forgotten = TRUE;
+			row->history_lost = TRUE;
 		xdr_free(XDR_PROC(xdr_worker_boot), (char *)&b[i]);
 		b[i] = b[--row->boots.boots_len];
 	}
@@ -76,7 +76,7 @@
 	if (b && bstr_eq(b->boot, w->boot))
 		return false;
 	if (b) {
-		row->forgotten = TRUE;
+		row->history_lost = TRUE;
 		bstr_set(&b->boot, w->boot);
 		return true;
 	}
@@ -134,14 +134,14 @@
 static void boots_take(struct state *st, struct cell *c, const boots_row *row,
 		       uint64_t revision)
 {
-	bool before = c->boots.forgotten;
+	bool before = c->boots.history_lost;
 
 	xdr_free(XDR_PROC(xdr_boots_row), (char *)&c->boots);
 	xdr_copy(XDR_PROC(xdr_boots_row), &c->boots, row, sizeof(*row));
 	c->boots_revision = revision;
 	c->boots_loaded = true;
 	c->dirty = true;
-	if (row->forgotten && !before)
+	if (row->history_lost && !before)
 		c->forgotten_at = st->now;
 }
 
@@ -205,8 +205,9 @@
 	changed = boots_next(st, c, &row);
 	if (changed) {
 		c->forgotten_at = st->now;
-	} else if (row.forgotten && st->now - c->forgotten_at >= FORGOTTEN_MS) {
-		row.forgotten = FALSE;
+	} else if (row.history_lost &&
+		   st->now - c->forgotten_at >= FORGOTTEN_MS) {
+		row.history_lost = FALSE;
 		changed = true;
 	}
 	if (changed)
--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -23,7 +23,7 @@
 {
 	HASH_DEL(c->teams, t);
 	bstr_free(&t->team);
-	xdr_free(XDR_PROC(xdr_allow_row), (char *)&t->row);
+	xdr_free(XDR_PROC(xdr_allowance_row), (char *)&t->row);
 	free(t);
 }
 
@@ -546,7 +546,7 @@
 		u->view.reason = bstr_lit("owner-taking-over");
 		u->view.detail = bstr_lit("the cell's new owner has not yet "
 					  "heard every worker");
-	} else if (c->boots.forgotten) {
+	} else if (c->boots.history_lost) {
 		u->final = u->started = TRUE;
 		u->view.reason = bstr_lit("worker-lost");
 		u->view.detail = bstr_lit("a worker of its cell restarted and "
--- a/reduce-limit.c
+++ b/reduce-limit.c
@@ -28,12 +28,12 @@
 }
 
 /* The hold of a cell in a row, if it has one. */
-static allow_hold *allow_find(const allow_row *row, const cell_id *cell)
+static allowance_hold *allow_find(const allowance_row *row, const cell_id *cell)
 {
 	u_int i;
 
 	for (i = 0; i < row->holds.holds_len; i++) {
-		allow_hold *h = &row->holds.holds_val[i];
+		allowance_hold *h = &row->holds.holds_val[i];
 
 		if (bstr_eq(h->cell.pool, cell->pool) &&
 		    bstr_eq(h->cell.dc, cell->dc))
@@ -43,7 +43,7 @@
 }
 
 /* The sum of all holds. */
-static uint32_t allow_sum(const allow_row *row)
+static uint32_t allow_sum(const allowance_row *row)
 {
 	uint32_t sum = 0;
 	u_int i;
@@ -114,14 +114,14 @@
 /* Take a row that was read. */
 static void allow_take(struct cell *c, struct cell_team *t, const table_row *r)
 {
-	allow_hold *h;
+	allowance_hold *h;
 
-	xdr_free(XDR_PROC(xdr_allow_row), (char *)&t->row);
+	xdr_free(XDR_PROC(xdr_allowance_row), (char *)&t->row);
 	memset(&t->row, 0, sizeof(t->row));
 	t->revision = r->revision;
 	t->stale = false;
 	if (r->revision)
-		t->loaded = xdr_decode(XDR_PROC(xdr_allow_row), r->value,
+		t->loaded = xdr_decode(XDR_PROC(xdr_allowance_row), r->value,
 				       &t->row, sizeof(t->row));
 	else
 		t->loaded = true;
@@ -183,11 +183,11 @@
 {
 	uint32_t limit = team_limit(st, t->team), sum;
 	bstr key = allow_key(t->team), name;
-	allow_hold *h;
-	allow_row row;
+	allowance_hold *h;
+	allowance_row row;
 	fx_commit k = {0};
 
-	xdr_copy(XDR_PROC(xdr_allow_row), &row, &t->row, sizeof(row));
+	xdr_copy(XDR_PROC(xdr_allowance_row), &row, &t->row, sizeof(row));
 	h = allow_find(&row, &c->unit->id);
 	if (!h) {
 		row.holds.holds_val = xrealloc(row.holds.holds_val,
@@ -205,14 +205,14 @@
 	/* The cell's row too: an owner that was replaced changes nothing. */
 	commit_check(&k, c->unit->name, c->unit->revision);
 	commit_check(&k, key, t->revision);
-	commit_put(&k, key, XDR_PROC(xdr_allow_row), &row);
+	commit_put(&k, key, XDR_PROC(xdr_allowance_row), &row);
 	/* Less is in force at once, more only when it is committed. */
 	if (amount < t->held)
 		t->held = amount;
 	t->wrote = amount;
 	t->request = table_commit(st, REQ_ALLOW_COMMIT, name, &k,
 				  st->now + ALLOW_GIVE_UP_MS);
-	xdr_free(XDR_PROC(xdr_allow_row), (char *)&row);
+	xdr_free(XDR_PROC(xdr_allowance_row), (char *)&row);
 	bstr_free(&key);
 	bstr_free(&name);
 }
@@ -247,7 +247,7 @@
 {
 	struct cell *c = NULL;
 	struct cell_team *t = allow_who(st, rq->name, &c);
-	allow_hold *h;
+	allowance_hold *h;
 	u_int i;
 
 	if (!t || t->request != rq->id)
@@ -265,8 +265,8 @@
 		return;
 	}
 	for (i = 0; i < rq->commit.writes.writes_len; i++) {
-		xdr_free(XDR_PROC(xdr_allow_row), (char *)&t->row);
-		t->loaded = xdr_decode(XDR_PROC(xdr_allow_row),
+		xdr_free(XDR_PROC(xdr_allowance_row), (char *)&t->row);
+		t->loaded = xdr_decode(XDR_PROC(xdr_allowance_row),
 				       rq->commit.writes.writes_val[i].value,
 				       &t->row, sizeof(t->row));
 		t->revision = row_version(ev,
@@ -293,7 +293,7 @@
 	t->want_at = st->now + ALLOW_RETRY_MS * 2;
 	t->stale = true; /* they will change the row */
 	for (i = 0; i < t->row.holds.holds_len; i++) {
-		allow_hold *h = &t->row.holds.holds_val[i];
+		allowance_hold *h = &t->row.holds.holds_val[i];
 
 		u = unit_of_cell(st, &h->cell);
 		if (!h->amount || !u || u == c->unit)
--- a/reduce-op.c
+++ b/reduce-op.c
@@ -73,7 +73,7 @@
 	if (v->row.state == VM_OUT)
 		return "drained";
 	if (v->row.state == VM_DRAINING)
-		return v->row.target.bstr_len ? "moving" : "draining";
+		return v->row.target_pool.bstr_len ? "moving" : "draining";
 	if (vm_leaving(st, v->row.vm))
 		return "leaving";
 	HASH_ITER(hh, st->units, u, next) {
@@ -103,8 +103,8 @@
 	json_set_str(o, "address", v->row.address);
 	json_set_int(o, "slots", v->row.slots);
 	json_object_set_new(o, "state", json_string(vm_words(st, v)));
-	if (v->row.target.bstr_len)
-		json_set_str(o, "moves_to", v->row.target);
+	if (v->row.target_pool.bstr_len)
+		json_set_str(o, "moves_to", v->row.target_pool);
 	return o;
 }
 
--- a/reduce-pool.c
+++ b/reduce-pool.c
@@ -194,8 +194,8 @@
 {
 	u_int i;
 
-	for (i = 0; i < p->outs.outs_len; i++)
-		if (bstr_eq(p->outs.outs_val[i].vm, vm))
+	for (i = 0; i < p->out_vms.out_vms_len; i++)
+		if (bstr_eq(p->out_vms.out_vms_val[i].vm, vm))
 			return (int)i;
 	return -1;
 }
@@ -204,18 +204,19 @@
 static void out_add(struct edit_rows *r, bstr vm, out_reason reason)
 {
 	pool_row *p = &r->pool;
-	u_int n = p->outs.outs_len;
+	u_int n = p->out_vms.out_vms_len;
 	int i = out_find(p, vm);
 
 	if (i >= 0) {
 		r->pool_write = r->pool_write ||
-				p->outs.outs_val[i].reason != reason;
-		p->outs.outs_val[i].reason = reason;
+				p->out_vms.out_vms_val[i].reason != reason;
+		p->out_vms.out_vms_val[i].reason = reason;
 		return;
 	}
-	p->outs.outs_val = xrealloc(p->outs.outs_val, n + 1, sizeof(pool_out));
-	p->outs.outs_val[n] = (pool_out){bstr_copy(vm), reason};
-	p->outs.outs_len++;
+	p->out_vms.out_vms_val = xrealloc(p->out_vms.out_vms_val, n + 1,
+					  sizeof(pool_out_vm));
+	p->out_vms.out_vms_val[n] = (pool_out_vm){bstr_copy(vm), reason};
+	p->out_vms.out_vms_len++;
 	r->pool_write = true;
 }
 
@@ -224,7 +225,7 @@
 {
 	int i = out_find(p, vm);
 
-	return i >= 0 && p->outs.outs_val[i].reason == OUT_FAILED;
+	return i >= 0 && p->out_vms.out_vms_val[i].reason == OUT_FAILED;
 }
 
 /* Count a VM as back. */
@@ -235,8 +236,9 @@
 
 	if (i < 0)
 		return;
-	bstr_free(&p->outs.outs_val[i].vm);
-	p->outs.outs_val[i] = p->outs.outs_val[--p->outs.outs_len];
+	bstr_free(&p->out_vms.out_vms_val[i].vm);
+	p->out_vms.out_vms_val[i] =
+		p->out_vms.out_vms_val[--p->out_vms.out_vms_len];
 	r->pool_write = true;
 }
 
@@ -303,7 +305,7 @@
 {
 	struct pool *p = config_find_pool(st->config, r->vm.pool);
 	struct pool *to = move ? config_find_pool(st->config, o->pool) : NULL;
-	uint32_t out = r->pool.outs.outs_len;
+	uint32_t out = r->pool.out_vms.out_vms_len;
 
 	if (move && !pool_in_dc(to, r->vm.dc))
 		return edit_refuse(
@@ -337,7 +339,7 @@
 	r->vm.deadline_ms = o->deadline_ms;
 	bstr_free(&r->vm.wave);
 	if (move)
-		bstr_set(&r->vm.target, o->pool);
+		bstr_set(&r->vm.target_pool, o->pool);
 	if (!out_failed(&r->pool, o->vm))
 		out_add(r, o->vm, OUT_DRAIN);
 	r->vm_write = true;
@@ -355,7 +357,7 @@
 		return edit_refuse(r, OP_CONFLICT, "active",
 				   xstrdup("it is at work already"));
 	r->vm.state = VM_ACTIVE;
-	bstr_free(&r->vm.target);
+	bstr_free(&r->vm.target_pool);
 	if (!out_failed(&r->pool, r->vm.vm))
 		out_remove(r, r->vm.vm);
 	r->vm_write = true;
@@ -436,7 +438,7 @@
 				 struct edit_rows *r)
 {
 	struct pool *p = config_find_pool(st->config, r->vm.pool);
-	uint32_t out = r->pool.outs.outs_len;
+	uint32_t out = r->pool.out_vms.out_vms_len;
 	uint32_t worst = worst_rack(st, &r->vm, &r->pool);
 	uint32_t budget = p ? p->budget : 0;
 	bool room;
@@ -519,14 +521,14 @@
 		return edit_refuse(r, OP_CONFLICT, "not-draining", NULL);
 	r->vm_write = true;
 	bstr_set(&r->vm.boot, e->boot);
-	if (!r->vm.target.bstr_len) {
+	if (!r->vm.target_pool.bstr_len) {
 		r->vm.state = VM_OUT;
 		r->reason = "drained";
 		return OP_OK;
 	}
 	bstr_free(&r->vm.pool);
-	r->vm.pool = r->vm.target;
-	r->vm.target = BSTR_NONE;
+	r->vm.pool = r->vm.target_pool;
+	r->vm.target_pool = BSTR_NONE;
 	r->vm.state = VM_ACTIVE;
 	out_remove(r, r->vm.vm);
 	r->reason = "moved";
--- a/reduce-wave.c
+++ b/reduce-wave.c
@@ -247,9 +247,9 @@
 	}
 	/* In the row, so that every entry VM can tell an operator. */
 	if (row->state != WAVE_RUNNING)
-		bstr_free(&row->blocked);
-	else if (!bstr_eq(row->blocked, w->blocked)) {
-		bstr_set(&row->blocked, w->blocked);
+		bstr_free(&row->blocked_reason);
+	else if (!bstr_eq(row->blocked_reason, w->blocked)) {
+		bstr_set(&row->blocked_reason, w->blocked);
 		changed = true;
 	}
 	return changed;
@@ -597,7 +597,7 @@
 	json_set_int(o, "skipped", n[STEP_SKIPPED]);
 	json_set_int(o, "out", n[STEP_DRAINING] + n[STEP_REBOOTING]);
 	json_set_int(o, "waiting", n[STEP_WAITING]);
-	json_set_str(o, "blocked", w->row.blocked);
+	json_set_str(o, "blocked", w->row.blocked_reason);
 	json_object_set_new(o, "late", late);
 	/* From what was done since this VM has seen it run. */
 	if (w->row.state == WAVE_RUNNING && w->started_at &&
--- a/reduce.h
+++ b/reduce.h
@@ -310,7 +310,7 @@
 	bool blocked;	  /* in the scheduling pass under way */
 	int64_t long_at;  /* when long work of it was last started */
 	uint64_t started; /* tasks, for the round robin of the bench */
-	allow_row row;
+	allowance_row row;
 	uint64_t revision;
 	uint64_t request; /* read or commit under way */
 	uint32_t wrote;	  /* the hold in that commit */
--- a/rows.h
+++ b/rows.h
@@ -73,20 +73,20 @@
 };
 typedef struct journal_row journal_row;
 
-struct allow_hold {
+struct allowance_hold {
 	cell_id cell;
 	uint32_t amount;
 };
-typedef struct allow_hold allow_hold;
+typedef struct allowance_hold allowance_hold;
 
-struct allow_row {
+struct allowance_row {
 	uint32_t limit;
 	struct {
 		u_int holds_len;
-		allow_hold *holds_val;
+		allowance_hold *holds_val;
 	} holds;
 };
-typedef struct allow_row allow_row;
+typedef struct allowance_row allowance_row;
 
 struct worker_boot {
 	bstr vm;
@@ -95,7 +95,7 @@
 typedef struct worker_boot worker_boot;
 
 struct boots_row {
-	bool_t forgotten;
+	bool_t history_lost;
 	struct {
 		u_int boots_len;
 		worker_boot *boots_val;
@@ -121,7 +121,7 @@
 	uint32_t memory_mb;
 	uint32_t accelerators;
 	vm_state state;
-	bstr target;
+	bstr target_pool;
 	bstr wave;
 	bstr boot;
 	uint32_t deadline_ms;
@@ -149,17 +149,17 @@
 };
 typedef enum out_reason out_reason;
 
-struct pool_out {
+struct pool_out_vm {
 	bstr vm;
 	out_reason reason;
 };
-typedef struct pool_out pool_out;
+typedef struct pool_out_vm pool_out_vm;
 
 struct pool_row {
 	struct {
-		u_int outs_len;
-		pool_out *outs_val;
-	} outs;
+		u_int out_vms_len;
+		pool_out_vm *out_vms_val;
+	} out_vms;
 };
 typedef struct pool_row pool_row;
 
@@ -197,7 +197,7 @@
 		u_int vms_len;
 		wave_vm *vms_val;
 	} vms;
-	bstr blocked;
+	bstr blocked_reason;
 };
 typedef struct wave_row wave_row;
 
@@ -211,8 +211,8 @@
 extern  bool_t xdr_record_move (XDR *, record_move*);
 extern  bool_t xdr_record (XDR *, record*);
 extern  bool_t xdr_journal_row (XDR *, journal_row*);
-extern  bool_t xdr_allow_hold (XDR *, allow_hold*);
-extern  bool_t xdr_allow_row (XDR *, allow_row*);
+extern  bool_t xdr_allowance_hold (XDR *, allowance_hold*);
+extern  bool_t xdr_allowance_row (XDR *, allowance_row*);
 extern  bool_t xdr_worker_boot (XDR *, worker_boot*);
 extern  bool_t xdr_boots_row (XDR *, boots_row*);
 extern  bool_t xdr_vm_state (XDR *, vm_state*);
@@ -220,7 +220,7 @@
 extern  bool_t xdr_vm_change (XDR *, vm_change*);
 extern  bool_t xdr_vms_head (XDR *, vms_head*);
 extern  bool_t xdr_out_reason (XDR *, out_reason*);
-extern  bool_t xdr_pool_out (XDR *, pool_out*);
+extern  bool_t xdr_pool_out_vm (XDR *, pool_out_vm*);
 extern  bool_t xdr_pool_row (XDR *, pool_row*);
 extern  bool_t xdr_wave_state (XDR *, wave_state*);
 extern  bool_t xdr_wave_step (XDR *, wave_step*);
@@ -235,8 +235,8 @@
 extern bool_t xdr_record_move ();
 extern bool_t xdr_record ();
 extern bool_t xdr_journal_row ();
-extern bool_t xdr_allow_hold ();
-extern bool_t xdr_allow_row ();
+extern bool_t xdr_allowance_hold ();
+extern bool_t xdr_allowance_row ();
 extern bool_t xdr_worker_boot ();
 extern bool_t xdr_boots_row ();
 extern bool_t xdr_vm_state ();
@@ -244,7 +244,7 @@
 extern bool_t xdr_vm_change ();
 extern bool_t xdr_vms_head ();
 extern bool_t xdr_out_reason ();
-extern bool_t xdr_pool_out ();
+extern bool_t xdr_pool_out_vm ();
 extern bool_t xdr_pool_row ();
 extern bool_t xdr_wave_state ();
 extern bool_t xdr_wave_step ();
--- a/rows.x
+++ b/rows.x
@@ -56,14 +56,14 @@
 };
 
 /* allow/<team>: the sum of holds never exceeds limit in any version. */
-struct allow_hold {
+struct allowance_hold {
 	cell_id cell;
 	uint32_t amount;
 };
 
-struct allow_row {
+struct allowance_row {
 	uint32_t limit;
-	allow_hold holds<LIST_MAX>;
+	allowance_hold holds<LIST_MAX>;
 };
 
 /*
@@ -77,7 +77,7 @@
 };
 
 struct boots_row {
-	bool forgotten;
+	bool history_lost;
 	worker_boot boots<LIST_MAX>;
 };
 
@@ -99,7 +99,7 @@
 	uint32_t memory_mb;
 	uint32_t accelerators;
 	vm_state state;
-	bstr target;		/* pool it moves to once empty */
+	bstr target_pool;		/* pool it moves to once empty */
 	bstr wave;		/* the wave that drains it */
 	bstr boot;		/* of its worker when it was last drained */
 	uint32_t deadline_ms;	/* tasks may finish for so long */
@@ -122,13 +122,13 @@
 	OUT_FAILED = 1
 };
 
-struct pool_out {
+struct pool_out_vm {
 	bstr vm;
 	out_reason reason;
 };
 
 struct pool_row {
-	pool_out outs<LIST_MAX>;
+	pool_out_vm out_vms<LIST_MAX>;
 };
 
 /* wave/<name>. */
@@ -160,5 +160,5 @@
 	wave_state state;
 	uint32_t deadline_ms;
 	wave_vm vms<LIST_MAX>;
-	bstr blocked;		/* why the next VM is not drained; empty: not */
+	bstr blocked_reason;		/* why the next VM is not drained; empty: not */
 };
--- a/rows_xdr.c
+++ b/rows_xdr.c
@@ -118,7 +118,7 @@
 }
 
 bool_t
-xdr_allow_hold (XDR *xdrs, allow_hold *objp)
+xdr_allowance_hold (XDR *xdrs, allowance_hold *objp)
 {
 	register int32_t *buf;
 
@@ -130,14 +130,14 @@
 }
 
 bool_t
-xdr_allow_row (XDR *xdrs, allow_row *objp)
+xdr_allowance_row (XDR *xdrs, allowance_row *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_uint32_t (xdrs, &objp->limit))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->holds.holds_val, (u_int *) &objp->holds.holds_len, LIST_MAX,
-		sizeof (allow_hold), (xdrproc_t) xdr_allow_hold))
+		sizeof (allowance_hold), (xdrproc_t) xdr_allowance_hold))
 		 return FALSE;
 	return TRUE;
 }
@@ -159,7 +159,7 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_bool (xdrs, &objp->forgotten))
+	 if (!xdr_bool (xdrs, &objp->history_lost))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->boots.boots_val, (u_int *) &objp->boots.boots_len, LIST_MAX,
 		sizeof (worker_boot), (xdrproc_t) xdr_worker_boot))
@@ -202,7 +202,7 @@
 		 return FALSE;
 	 if (!xdr_vm_state (xdrs, &objp->state))
 		 return FALSE;
-	 if (!xdr_bstr (xdrs, &objp->target))
+	 if (!xdr_bstr (xdrs, &objp->target_pool))
 		 return FALSE;
 	 if (!xdr_bstr (xdrs, &objp->wave))
 		 return FALSE;
@@ -249,7 +249,7 @@
 }
 
 bool_t
-xdr_pool_out (XDR *xdrs, pool_out *objp)
+xdr_pool_out_vm (XDR *xdrs, pool_out_vm *objp)
 {
 	register int32_t *buf;
 
@@ -265,8 +265,8 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_array (xdrs, (char **)&objp->outs.outs_val, (u_int *) &objp->outs.outs_len, LIST_MAX,
-		sizeof (pool_out), (xdrproc_t) xdr_pool_out))
+	 if (!xdr_array (xdrs, (char **)&objp->out_vms.out_vms_val, (u_int *) &objp->out_vms.out_vms_len, LIST_MAX,
+		sizeof (pool_out_vm), (xdrproc_t) xdr_pool_out_vm))
 		 return FALSE;
 	return TRUE;
 }
@@ -321,7 +321,7 @@
 	 if (!xdr_array (xdrs, (char **)&objp->vms.vms_val, (u_int *) &objp->vms.vms_len, LIST_MAX,
 		sizeof (wave_vm), (xdrproc_t) xdr_wave_vm))
 		 return FALSE;
-	 if (!xdr_bstr (xdrs, &objp->blocked))
+	 if (!xdr_bstr (xdrs, &objp->blocked_reason))
 		 return FALSE;
 	return TRUE;
 }
--- a/tests/support-fleet.c
+++ b/tests/support-fleet.c
@@ -376,8 +376,8 @@
 {
 	u_int i;
 
-	for (i = 0; i < row->outs.outs_len; i++)
-		if (bstr_eq(row->outs.outs_val[i].vm, vm))
+	for (i = 0; i < row->out_vms.out_vms_len; i++)
+		if (bstr_eq(row->out_vms.out_vms_val[i].vm, vm))
 			return true;
 	return false;
 }
@@ -405,14 +405,14 @@
 	if (old)
 		xdr_decode(XDR_PROC(xdr_pool_row), old->value, &was,
 			   sizeof(was));
-	for (i = 0; i < row.outs.outs_len; i++)
-		taken += row.outs.outs_val[i].reason == OUT_DRAIN &&
-			 !out_has(&was, row.outs.outs_val[i].vm);
-	if (taken && row.outs.outs_len > limit_most(f->budgets[pool],
-						    f->budget_count[pool],
-						    settled_since(f)))
+	for (i = 0; i < row.out_vms.out_vms_len; i++)
+		taken += row.out_vms.out_vms_val[i].reason == OUT_DRAIN &&
+			 !out_has(&was, row.out_vms.out_vms_val[i].vm);
+	if (taken && row.out_vms.out_vms_len > limit_most(f->budgets[pool],
+							  f->budget_count[pool],
+							  settled_since(f)))
 		BREAK(f, "budget: a drain makes %u VMs of %s out",
-		      row.outs.outs_len, pool_names[pool]);
+		      row.out_vms.out_vms_len, pool_names[pool]);
 	xdr_free(XDR_PROC(xdr_pool_row), (char *)&row);
 	xdr_free(XDR_PROC(xdr_pool_row), (char *)&was);
 }
--- a/tests/test-wave.c
+++ b/tests/test-wave.c
@@ -499,7 +499,7 @@
 	sim_run(s, 15000);
 	cr_assert(sim_row(s, "pool/p1", XDR_PROC(xdr_pool_row), &row,
 			  sizeof(row)));
-	cr_expect_eq(row.outs.outs_len, 0);
+	cr_expect_eq(row.out_vms.out_vms_len, 0);
 	xdr_free(XDR_PROC(xdr_pool_row), (char *)&row);
 	cr_expect_eq(sim_vm(s, OP_VM_DRAIN, "w7", "", 0), OP_OK);
 	sim_free(s);
@@ -641,7 +641,7 @@
 			if (!sim_row(s, k ? "pool/p1" : "pool/p0",
 				     XDR_PROC(xdr_pool_row), &row, sizeof(row)))
 				continue;
-			n += row.outs.outs_len;
+			n += row.out_vms.out_vms_len;
 			xdr_free(XDR_PROC(xdr_pool_row), (char *)&row);
 		}
 		cr_expect_eq(n, s->workers[0].state == VM_OUT, "%s: %u out",
