--- a/bamboofront.h
+++ b/bamboofront.h
@@ -1,9 +1,11 @@
 /*
- * bamboofront: the main header.  Every source file includes it first.
+ * The main header of bamboofront, included by every source file.
  *
- * The library is one reducer (reduce.c, reduce-*.c) that takes every
- * decision, edges (edge-*.c) that turn its effects into traffic and traffic
- * into events, and the plumbing declared here.
+ * The library has three parts.  The reducer (reduce.c, reduce-*.c) is a
+ * deterministic state machine that makes all decisions: it consumes events
+ * and produces effects.  The edges (edge-*.c) are its I/O adapters: they
+ * carry out effects over the network and turn incoming traffic into events.
+ * The rest is the utility code declared here.
  */
 #ifndef BAMBOOFRONT_H
 #define BAMBOOFRONT_H
@@ -30,7 +32,7 @@
 #define NELEMS(a) (sizeof(a) / sizeof((a)[0]))
 #define PRINTF_LIKE(f, a) __attribute__((format(printf, f, a)))
 
-/* xmalloc.c: allocation that ends the process when memory is gone. */
+/* xmalloc.c: allocation functions that abort the process on failure. */
 void *xmalloc(size_t size);
 void *xcalloc(size_t count, size_t size);
 void *xrealloc(void *p, size_t count, size_t size);
@@ -38,29 +40,44 @@
 char *xasprintf(const char *fmt, ...) PRINTF_LIKE(1, 2);
 
 /*
- * bstr.c: length-counted strings.  A bstr owns its bytes unless it was made
- * by bstr_lit or bstr_ref.
+ * bstr.c: length-counted strings, which may contain NUL bytes.  A bstr owns
+ * its bytes and is released with bstr_free, unless it comes from bstr_lit or
+ * bstr_ref, which only point to memory of the caller.
  */
+/* The arguments for a "%.*s" conversion. */
 #define BSTR_ARG(b) (int)(b).bstr_len, ((b).bstr_val ? (b).bstr_val : "")
 #define BSTR_NONE ((bstr){0, NULL})
-bstr bstr_lit(const char *s); /* refers to s; never freed */
+bstr bstr_lit(const char *s);
 bstr bstr_ref(const void *p, size_t len);
-bstr bstr_new(const char *s);
+bstr bstr_new(const char *s); /* copies s */
 bstr bstr_copy(bstr b);
 bstr bstr_from_bytes(const void *p, size_t len);
 bstr bstr_printf(const char *fmt, ...) PRINTF_LIKE(1, 2);
 bstr bstr_vprintf(const char *fmt, va_list ap);
-void bstr_set(bstr *dst, bstr src); /* frees the old, copies the new */
+/* Replaces the value of dst with a copy of src and frees the old value. */
+void bstr_set(bstr *dst, bstr src);
 void bstr_free(bstr *b);
+/* Compares bytewise, with a result like that of memcmp. */
 int bstr_cmp(bstr a, bstr b);
 bool bstr_eq(bstr a, bstr b);
 bool bstr_eq_str(bstr a, const char *s);
-bool bstr_is_name(bstr b, size_t max); /* [a-z0-9._-]+, starts alnum */
-char *bstr_cstr(bstr b);	       /* malloced, NUL terminated */
-json_t *bstr_to_json(bstr b);	       /* a JSON string; bad UTF-8 replaced */
-bstr bstr_from_json(const json_t *j);  /* copies; empty if no string */
+/*
+ * Returns true if b is a name of at most max bytes: [a-z0-9._-]+, starting
+ * with a letter or digit.
+ */
+bool bstr_is_name(bstr b, size_t max);
+/* Returns a NUL-terminated copy, to be released with free. */
+char *bstr_cstr(bstr b);
+/* Returns a JSON string; non-ASCII bytes become '?' if b is not UTF-8. */
+json_t *bstr_to_json(bstr b);
+/* Copies the value of a JSON string; empty if j is not a string. */
+bstr bstr_from_json(const json_t *j);
 
-/* codec.c: XDR values to and from bytes, copying, comparing. */
+/*
+ * codec.c: encoding, deep copies and comparison of XDR values.  proc is the
+ * generated codec of the type, wrapped in XDR_PROC; size is that of the type.
+ * xdr_decode returns false if bytes are not exactly one value of the type.
+ */
 bstr xdr_encode(xdrproc_t proc, const void *value);
 bool xdr_decode(xdrproc_t proc, bstr bytes, void *value, size_t size);
 void xdr_copy(xdrproc_t proc, void *dst, const void *src, size_t size);
@@ -69,11 +86,12 @@
 bstr base64_encode(bstr bytes);
 bool base64_decode(bstr text, bstr *bytes);
 bstr hex_encode(const void *p, size_t len);
-bool hex_decode(bstr text, void *p, size_t len); /* exactly len bytes */
+/* Returns false unless text stands for exactly len bytes. */
+bool hex_decode(bstr text, void *p, size_t len);
 
 /*
- * error.c: findings, each with its place ("file.json: $.peers.key"), so that
- * everything that is wrong with an input is reported together.
+ * error.c: a list of errors found in an input, each with its location
+ * ("file.json: $.peers.key"), so that all of them are reported at once.
  */
 struct finding {
 	TAILQ_ENTRY(finding) entry;
@@ -88,10 +106,14 @@
 void error_add(struct error *e, const char *place, const char *fmt, ...)
 	PRINTF_LIKE(3, 4);
 void error_print(const struct error *e, FILE *f);
-char *error_text(const struct error *e); /* malloced, one line */
+/* Returns all findings on one line, to be released with free. */
+char *error_text(const struct error *e);
 void error_free(struct error *e);
 
-/* log.c: numbered events (log.def) as syslog-style lines on stderr. */
+/*
+ * log.c: numbered events (log.def), written to stderr as syslog-style lines
+ * or, after log_open_structured, to a descriptor as key=value lines.
+ */
 enum log_number {
 #define LOG_EVENT(name, number, level, what) LOG_##name = (number),
 #include "log.def"
@@ -112,14 +134,19 @@
 };
 extern const struct log_entry log_entries[];
 extern const size_t log_entry_count;
+/* Sets the program's name and the least severe level that is written. */
 void log_open(const char *program, enum log_level most);
 void log_event(uint32_t number, const char *fmt, ...) PRINTF_LIKE(2, 3);
 void log_debug(const char *fmt, ...) PRINTF_LIKE(1, 2);
-void log_open_structured(int fd, int vm_len,
-			 const char *vm); /* structured from now on */
-void log_flush(void);			  /* never blocks */
+/*
+ * Switches to structured lines, which are buffered in memory until log_flush
+ * writes them.  log_flush never blocks; it leaves what the reader of the
+ * descriptor does not accept at once in the buffer.
+ */
+void log_open_structured(int fd, int vm_len, const char *vm);
+void log_flush(void);
 
-/* counter.c: every counter of the process (counter.def). */
+/* counter.c: the counters and gauges of the process (counter.def). */
 enum counter_id {
 #define COUNTER(name, family, label, value, help) COUNT_##name,
 #include "counter.def"
@@ -127,19 +154,19 @@
 	COUNTER_MAX
 };
 struct counter_entry {
-	const char *family; /* Prometheus name */
-	const char *label;  /* label name, or NULL */
-	const char *value;  /* its value */
+	const char *family; /* Prometheus metric name */
+	const char *label;  /* name of the label, or NULL */
+	const char *value;  /* value of the label */
 	const char *help;
 };
 extern const struct counter_entry counter_entries[COUNTER_MAX];
 void counter_add(enum counter_id id, uint64_t n);
-void counter_set(enum counter_id id, uint64_t n); /* gauges */
+void counter_set(enum counter_id id, uint64_t n); /* for gauges */
 uint64_t counter_get(enum counter_id id);
 bstr counter_text(void); /* Prometheus text exposition format */
 json_t *counter_json(void);
 
-/* histogram.c: every latency histogram of the process (histogram.def). */
+/* histogram.c: latency histograms of the process (histogram.def). */
 enum histogram_id {
 #define HISTOGRAM(name, family, help) HISTOGRAM_##name,
 #include "histogram.def"
@@ -147,43 +174,63 @@
 	HISTOGRAM_MAX
 };
 void histogram_observe(enum histogram_id id, int64_t ms);
-void histograms_print(FILE *f); /* text exposition format */
+void histograms_print(FILE *f); /* Prometheus text exposition format */
 
-/* clock.c: the only place where time is read. */
-int64_t clock_now(void);		    /* monotonic, ms */
-int64_t clock_wall(void);		    /* since 1970, ms */
-int64_t clock_thread_cpu(pthread_t thread); /* its processor time, ms */
+/*
+ * clock.c: the only code that reads a clock, in milliseconds.  clock_now is
+ * monotonic and includes time during which the VM was suspended, clock_wall
+ * counts from the Unix epoch, and clock_thread_cpu is the processor time that
+ * a thread has used.
+ */
+int64_t clock_now(void);
+int64_t clock_wall(void);
+int64_t clock_thread_cpu(pthread_t thread);
 
-/* random.c: numbers that a seed gives. */
+/* random.c: a seeded, reproducible generator of pseudo-random numbers. */
 uint64_t random_next(uint64_t *state);
 
 /*
- * mailbox.c: a bounded queue of pointers, any number of writers and one
- * reader, over a Concurrency Kit ring, with an eventfd to sleep on.
+ * mailbox.c: a bounded queue of pointers with any number of producers and
+ * one consumer, built on a Concurrency Kit ring.  An eventfd lets the
+ * consumer poll for new entries.
  */
 struct mailbox;
-struct mailbox *mailbox_new(unsigned size);   /* a power of two */
-bool mailbox_put(struct mailbox *m, void *p); /* false: full */
-void *mailbox_take(struct mailbox *m);	      /* NULL: empty */
-int mailbox_fd(struct mailbox *m);	      /* readable: look again */
-void mailbox_clear_wakeup(struct mailbox *m); /* before draining it */
-void mailbox_wake(struct mailbox *m);	      /* with nothing to take */
+/* Holds up to size - 1 pointers; size is a power of two. */
+struct mailbox *mailbox_new(unsigned size);
+bool mailbox_put(struct mailbox *m, void *p); /* false if full */
+void *mailbox_take(struct mailbox *m);	      /* NULL if empty */
+/* Returns the eventfd, which becomes readable when entries were added. */
+int mailbox_fd(struct mailbox *m);
+/*
+ * Resets the eventfd.  The consumer calls this before it empties the queue;
+ * in the other order it would not be woken for an entry added in between.
+ */
+void mailbox_clear_wakeup(struct mailbox *m);
+/* Makes the eventfd readable without adding an entry. */
+void mailbox_wake(struct mailbox *m);
+/* Waits for a wake-up and resets the eventfd; false on timeout. */
 bool mailbox_wait(struct mailbox *m, int timeout_ms);
 void mailbox_free(struct mailbox *m);
 
-/* Events put into the daemon's inbox become the reducer's. */
-event *event_new(event_kind kind); /* now is stamped when it is taken */
+/*
+ * codec.c: events and effects on the heap.  An event that is put into the
+ * daemon's inbox belongs to the daemon, which sets its time (now) when it
+ * takes the event out.
+ */
+event *event_new(event_kind kind);
 void event_free(event *ev);
 effect *effect_new(effect_kind kind);
 void effect_free(effect *fx);
-uint64_t effect_request_id(const effect *fx); /* of a request to the platform */
+/* Returns the request id of an effect that is sent to the platform. */
+uint64_t effect_request_id(const effect *fx);
 
 /*
- * settings.c: one JSON file, checked whole.  Lengths of time are in
- * milliseconds; docs/SETTINGS.md gives unit, default and range of each.
+ * settings.c: settings of the daemon, read from one JSON file that is
+ * validated as a whole.  Members ending in _ms are in milliseconds.
+ * docs/SETTINGS.md gives the unit, default and range of each setting.
  */
 struct address {
-	char *host; /* an IP number */
+	char *host; /* a numeric IP address */
 	uint16_t port;
 };
 struct operator_key {
@@ -191,16 +238,16 @@
 	uint8_t key[32];
 };
 struct settings {
-	bstr vm; /* this entry VM */
-	bstr dc; /* its data centre */
+	bstr vm; /* name of this entry VM */
+	bstr dc; /* data centre of this entry VM */
 	struct {
 		struct address listen;
-		char *tls_cert; /* files, or NULL */
-		char *tls_key;
+		char *tls_cert; /* path, or NULL for no TLS */
+		char *tls_key;	/* path, or NULL for no TLS */
 		uint32_t threads;
 		uint32_t max_connections;
-		uint32_t max_body; /* bytes */
-		uint32_t max_wait_ms;
+		uint32_t max_body;    /* bytes */
+		uint32_t max_wait_ms; /* longest wait for a result */
 	} callers;
 	struct {
 		struct address listen;
@@ -216,34 +263,38 @@
 	} peers;
 	struct {
 		char *url;
-		char *token; /* or NULL */
-		char *tls_ca;
+		char *token;  /* or NULL */
+		char *tls_ca; /* path, or NULL */
 		uint32_t timeout_ms;
 		uint32_t max_in_flight;
 	} platform;
 	struct {
-		char *tls_ca;
+		char *tls_ca; /* path, or NULL */
 		uint32_t timeout_ms;
-		uint32_t watch_ms;	  /* longest long poll */
+		uint32_t watch_ms;	  /* limit of a long poll */
 		uint32_t max_connections; /* per worker */
 	} workers;
 	struct {
-		uint32_t tick_ms;
-		uint32_t member_renew_ms;
-		uint32_t member_lease_ms;
-		uint32_t ping_ms;
-		uint32_t fresh_ms; /* age at which a proof is too old */
-		uint32_t commit_window_ms;
-		uint32_t task_lease_ms;
+		uint32_t tick_ms;	  /* interval of EV_TICK */
+		uint32_t member_renew_ms; /* interval of lease renewals */
+		uint32_t member_lease_ms; /* lease of an entry VM */
+		uint32_t ping_ms;	  /* between entry VMs */
+		/*
+		 * Age up to which an entry VM's proof that it knows all
+		 * withdrawn keys is valid.
+		 */
+		uint32_t fresh_ms;
+		uint32_t commit_window_ms; /* records are batched this long */
+		uint32_t task_lease_ms;	   /* lease of a running task */
 		uint32_t config_poll_ms;
-		uint32_t list_poll_ms;
-		uint32_t stop_ms; /* a planned stop takes at most this */
+		uint32_t list_poll_ms; /* of the platform's list of VMs */
+		uint32_t stop_ms;      /* time limit of a planned stop */
 	} timing;
 	struct {
 		uint32_t queue_per_cell;
 		uint32_t queue_per_team;
-		uint32_t retention_ms; /* final answers are kept for */
-		uint32_t attempts;     /* of work that may be repeated */
+		uint32_t retention_ms; /* of final job results */
+		uint32_t attempts;     /* for jobs with may_repeat */
 	} limits;
 	enum log_level log_level;
 };
@@ -253,8 +304,8 @@
 void settings_free(struct settings *s);
 
 /*
- * The reducer.  It takes an event, returns effects, does no I/O, reads no
- * clock and draws no random number of its own.
+ * The reducer.  It turns an event into effects and is deterministic: it does
+ * no I/O, reads no clock and takes random numbers only from its seed.
  */
 struct state;
 struct effects {
@@ -265,15 +316,19 @@
 struct state *state_new(const struct settings *s, uint64_t seed,
 			const char *peer_address);
 void state_free(struct state *st);
+/* Applies ev to the state and appends the resulting effects to out. */
 void reduce(struct state *st, const event *ev, struct effects *out);
 void effects_init(struct effects *fx);
-void effects_free(struct effects *fx); /* with what they hold */
+void effects_free(struct effects *fx); /* frees the effects as well */
 
 /*
- * The edges.  Each runs threads of its own, puts events into inbox, and
- * takes ownership of the effects it is sent.  send returns false if the
- * edge's queue is full: nothing was sent then and the caller still owns fx.
- * stop joins the threads; nothing is put into inbox afterwards.
+ * The edges, the I/O adapters of the reducer.  Each runs its own threads and
+ * puts events into inbox.
+ *
+ * send takes ownership of the effect and returns true, or returns false if
+ * the edge's queue is full: then nothing was sent and the caller still owns
+ * the effect.  stop joins the threads, after which the edge puts nothing
+ * into inbox.  port returns the port that the edge listens on.
  */
 struct edge_platform;
 struct edge_platform *edge_platform_start(const struct settings *s,
@@ -292,7 +347,9 @@
 struct edge_caller *edge_caller_start(const struct settings *s,
 				      struct mailbox *inbox, struct error *e);
 uint16_t edge_caller_port(const struct edge_caller *edge);
-bool edge_caller_send(struct edge_caller *edge, effect *fx); /* FX_ANSWER */
+/* Takes FX_ANSWER only. */
+bool edge_caller_send(struct edge_caller *edge, effect *fx);
+/* Sets whether the readiness check for load balancers succeeds. */
 void edge_caller_ready(struct edge_caller *edge, bool ready);
 void edge_caller_stop(struct edge_caller *edge);
 
@@ -300,7 +357,8 @@
 struct edge_peer *edge_peer_start(const struct settings *s,
 				  struct mailbox *inbox, struct error *e);
 uint16_t edge_peer_port(const struct edge_peer *edge);
-bool edge_peer_send(struct edge_peer *edge, effect *fx); /* FX_PEER */
+/* Takes FX_PEER only. */
+bool edge_peer_send(struct edge_peer *edge, effect *fx);
 void edge_peer_stop(struct edge_peer *edge);
 
 struct edge_operator;
@@ -312,24 +370,40 @@
 void edge_operator_stop(struct edge_operator *edge);
 
 /*
- * sealed.c: a keyed MAC around what travels by RPC.  purpose names program
- * and direction, so that an envelope fits one procedure only.
+ * sealed.c: authenticated envelopes for RPC messages.  The MAC covers the
+ * purpose, which names the program and the direction, so that an envelope is
+ * valid for one procedure only.
  */
 #define SEAL_KEY_BYTES 32
-struct replay_guard; /* nonces seen, bounded, until their deadlines */
+/*
+ * Nonces that have been accepted, at most max of them.  A nonce is dropped
+ * only after its envelope's deadline, from when on the deadline rejects the
+ * envelope.
+ */
+struct replay_guard;
 struct replay_guard *replay_guard_new(size_t max);
 void replay_guard_free(struct replay_guard *g);
 void seal(sealed *out, const char *purpose, bstr from, bstr body,
 	  int64_t deadline, const uint8_t key[SEAL_KEY_BYTES]);
-enum seal_result { SEAL_OK, SEAL_BAD_MAC, SEAL_EXPIRED, SEAL_REPLAYED };
+enum seal_result {
+	SEAL_OK,
+	SEAL_BAD_MAC,
+	SEAL_EXPIRED, /* the deadline has passed or is too far ahead */
+	SEAL_REPLAYED /* the nonce was seen before, or the guard is full */
+};
+/* Verifies an envelope; g may be NULL to skip the replay check. */
 enum seal_result seal_open(const sealed *s, const char *purpose, int64_t wall,
 			   const uint8_t key[SEAL_KEY_BYTES],
 			   struct replay_guard *g);
 
-/* secret.c: team keys.  A secret reads bf_<key id>_<43 characters>. */
+/*
+ * secret.c: secrets of team keys, in the form bf_<key id>_<43 characters>.
+ * Only a salted hash of a secret's digest is stored.
+ */
 void secret_new(bstr key_id, bstr *secret, bstr *salt, bstr *hash);
 bool secret_split(bstr secret, bstr *key_id, bstr *digest);
-bool secret_matches(bstr digest, bstr salt, bstr hash); /* constant time */
+/* Takes constant time, so that timing reveals nothing about the hash. */
+bool secret_matches(bstr digest, bstr salt, bstr hash);
 
 #ifdef __cplusplus
 }
