--- a/bstr-hash.h
+++ b/bstr-hash.h
@@ -1,12 +1,15 @@
 /*
- * Hash tables whose keys are length-counted strings.
+ * uthash tables whose keys are length-counted strings (bstr).
  */
 #ifndef BSTR_HASH_H
 #define BSTR_HASH_H
 
 #include <uthash.h>
 
-/* The bytes of an empty key may be NULL, which memcmp must not be given. */
+/*
+ * The pointer of an empty key may be NULL, which uthash would pass to memcmp:
+ * undefined behaviour even for a length of 0.
+ */
 #define BSTR_KEY(b) ((b).bstr_val ? (b).bstr_val : "")
 
 #define HASH_FIND_BSTR(head, key, out) \
--- a/config.h
+++ b/config.h
@@ -1,6 +1,6 @@
 /*
- * The configuration: pools, teams and keys as one JSON document, checked
- * whole before it is used.
+ * The operators' configuration: pools, teams and their keys.  It is one JSON
+ * document, which is validated as a whole before it is used.
  */
 #ifndef CONFIG_H
 #define CONFIG_H
@@ -11,10 +11,11 @@
 
 #define NAME_MAX_LEN 64
 
+/* A key with which callers authenticate as a team. */
 struct team_key {
 	bstr id;
 	bstr salt;
-	bstr hash;
+	bstr hash; /* of the secret's digest and the salt */
 	bool withdrawn;
 	struct team *team;
 	UT_hash_handle hh;
@@ -22,8 +23,13 @@
 
 struct team {
 	bstr name;
-	uint32_t share;
-	uint32_t limit;
+	uint32_t share; /* weight in fair sharing */
+	uint32_t limit; /* upper limit of tasks that run at a time */
+	/*
+	 * How much longer than timing.fresh_ms an entry VM that cannot prove
+	 * its list of withdrawn keys up to date goes on taking the team's
+	 * submissions; with 0 it refuses them as soon as the proof is too old.
+	 */
 	uint32_t grace_ms;
 	UT_hash_handle hh;
 };
@@ -33,35 +39,42 @@
 	bstr *dcs;
 	size_t dc_count;
 	uint32_t budget; /* VMs that may be out at once */
-	bool spare;
+	bool spare;	 /* this is the spare pool */
 	UT_hash_handle hh;
 };
 
 struct config {
 	uint64_t revision;
-	json_t *doc;
+	json_t *doc; /* the document that the rest was read from */
 	struct pool *pools;
 	struct team *teams;
 	struct team_key *keys;
 };
 
-/* Takes a reference to doc.  NULL with findings if it is not valid. */
+/*
+ * Both validate the document and return NULL, with the findings in e, if it
+ * is invalid.  config_new takes a reference of its own to doc.
+ */
 struct config *config_new(json_t *doc, uint64_t revision, struct error *e);
 struct config *config_parse(bstr text, uint64_t revision, struct error *e);
 void config_free(struct config *c);
-bstr config_canonical_text(const json_t *doc); /* canonical: sorted, compact */
+/* Returns the document as compact JSON with sorted keys. */
+bstr config_canonical_text(const json_t *doc);
+/* These return NULL if there is no such entry. */
 struct pool *config_find_pool(const struct config *c, bstr name);
 struct team *config_find_team(const struct config *c, bstr name);
 struct team_key *config_find_key(const struct config *c, bstr id);
-/* Paths that differ, as an array of {"path", "from", "to"}. */
+/* Returns the differences as an array of {"path", "from", "to"}. */
 json_t *config_diff(const json_t *from, const json_t *to);
 
 /*
- * config-edit.c: apply an operator's change to doc.  OP_OK, or what is
- * wrong with a reason and a detail; doc is not to be used then.
+ * config-edit.c: applies an operator's change to doc and validates the
+ * result.  If the status is not OP_OK, reason and detail tell why, and doc
+ * may be changed in part and must be discarded.
  */
 op_status config_edit(json_t *doc, const op_request *rq, const char **reason,
 		      bstr *detail);
-bool config_is_edit(op_kind kind); /* is it a change of the configuration? */
+/* Returns true if requests of this kind change the configuration. */
+bool config_is_edit(op_kind kind);
 
 #endif
--- a/heap.h
+++ b/heap.h
@@ -1,5 +1,6 @@
 /*
- * A binary heap of what is due, its nodes embedded in what they belong to.
+ * An intrusive binary min-heap, ordered by the time at which nodes are due.
+ * A node is embedded in the structure that it schedules.
  */
 #ifndef HEAP_H
 #define HEAP_H
@@ -9,7 +10,7 @@
 
 struct heap_node {
 	int64_t due;
-	size_t index; /* in the heap, from 1; 0: in none */
+	size_t index; /* position in the heap from 1; 0 if not in a heap */
 };
 
 struct heap {
@@ -18,14 +19,17 @@
 	size_t capacity;
 };
 
-/* What a node is embedded in. */
+/* Returns the structure of the given type that embeds node as its field. */
 #define HEAP_ENTRY(node, type, field) \
 	((type *)(void *)((char *)(node)-offsetof(type, field)))
 
-/* Puts a node in, or moves it, to be due at a time. */
+/* Inserts a node that is due at a time, or changes its time if it is in. */
 void heap_set(struct heap *h, struct heap_node *n, int64_t at);
-void heap_remove(struct heap *h, struct heap_node *n); /* if it is in */
-struct heap_node *heap_first(const struct heap *h);    /* NULL: it is empty */
-void heap_free(struct heap *h); /* the nodes are their owners' */
+/* Removes a node; does nothing if it is not in the heap. */
+void heap_remove(struct heap *h, struct heap_node *n);
+/* Returns the node that is due first, or NULL if the heap is empty. */
+struct heap_node *heap_first(const struct heap *h);
+/* Frees the heap but not the nodes, which belong to the caller. */
+void heap_free(struct heap *h);
 
 #endif
--- a/settings.h
+++ b/settings.h
@@ -1,6 +1,7 @@
 /*
- * The table of settings: what a settings file may hold.  settings.c reads by
- * it, record.c writes by it, and docs/SETTINGS.md is checked against it.
+ * The table of all settings that a settings file may contain.  It drives
+ * reading the file (settings.c) and writing the settings to a recording
+ * (record.c), and a test checks docs/SETTINGS.md against it.
  */
 #ifndef SETTINGS_H
 #define SETTINGS_H
@@ -12,36 +13,37 @@
 #endif
 
 enum setting_type {
-	SETTING_NAME,	 /* bstr, a name */
+	SETTING_NAME,	 /* bstr, see bstr_is_name */
 	SETTING_TEXT,	 /* char *, not empty */
 	SETTING_URL,	 /* char *, http or https */
-	SETTING_FILE,	 /* char *, a readable file */
+	SETTING_FILE,	 /* char *, path of a readable file */
 	SETTING_ADDRESS, /* struct address, "ip:port" */
-	SETTING_KEY,	 /* 32 bytes, as 64 hexadecimal digits */
-	SETTING_KEYS,	 /* operators' names and keys */
+	SETTING_KEY,	 /* uint8_t[32], 64 hexadecimal digits */
+	SETTING_KEYS,	 /* struct operator_key *, by operator's name */
 	SETTING_U32,
 	SETTING_LEVEL /* enum log_level, by name */
 };
 
 struct setting {
-	const char *path; /* below "$.", at most two steps */
+	const char *path; /* "member" or "section.member" */
 	enum setting_type type;
 	bool required;
 	bool secret; /* never written to a recording */
 	const char *unit;
-	uint64_t default_value; /* of numbers and the level */
+	/* These three apply to SETTING_U32 and SETTING_LEVEL only. */
+	uint64_t default_value;
 	uint64_t min;
 	uint64_t max;
-	size_t offset;
+	size_t offset; /* of the member in struct settings */
 };
 extern const struct setting settings_table[];
 extern const size_t settings_count;
 
-/* Everything but secrets, and back from that: for recordings. */
+/* Convert settings to and from JSON for recordings, without the secrets. */
 json_t *settings_to_json(const struct settings *s);
 bool settings_from_json(const json_t *j, struct settings *s, struct error *e);
 
-/* The name of a log level, NULL if there is none. */
+/* Returns the name of a log level, or NULL if there is no such level. */
 const char *settings_level_name(uint64_t level);
 
 #ifdef __cplusplus
