--- a/operator.x
+++ b/operator.x
@@ -1,7 +1,8 @@
 /*
- * The operators' interface.  A request is a tagged union, one arm per
- * command; an answer is a status, a stable reason and a JSON document.
- * Calls are sealed: the MAC covers procedure, nonce, deadline and body.
+ * The RPC interface for operators.  A request is a union discriminated by
+ * the command; a reply is a status, a stable reason and a JSON document.
+ * Both travel in an authenticated envelope (sealed), whose MAC covers the
+ * procedure, nonce, deadline and body.
  */
 %#include "types.h"
 
@@ -50,7 +51,7 @@
 
 struct op_vm {
 	bstr vm;
-	bstr pool;		/* add: its pool; move: the new one */
+	bstr pool;		/* for add, or the target pool for move */
 	bstr dc;
 	bstr rack;
 	bstr address;		/* host:port of the worker */
@@ -58,7 +59,7 @@
 	uint32_t cpu_milli;
 	uint32_t memory_mb;
 	uint32_t accelerators;
-	uint32_t deadline_ms;	/* drain: tasks may finish until */
+	uint32_t deadline_ms;	/* drain: time for tasks to end */
 };
 
 struct op_team {
@@ -71,8 +72,8 @@
 struct op_key {
 	bstr team;
 	bstr key_id;
-	bstr salt;		/* create: filled in by the entry VM */
-	bstr hash;
+	bstr salt;		/* create: set by the entry VM */
+	bstr hash;		/* create: set by the entry VM */
 };
 
 struct op_wave {
@@ -82,7 +83,7 @@
 };
 
 struct op_config {
-	uint64_t revision;	/* show: 0 is the newest; apply: expected */
+	uint64_t revision;	/* show: 0 for the newest; apply: expected */
 	bstr body;		/* JSON */
 };
 
@@ -132,13 +133,13 @@
 
 enum op_status {
 	OP_OK = 0,
-	OP_INVALID = 1,		/* the request is wrong; do not repeat it */
+	OP_INVALID = 1,		/* the request is invalid; do not retry */
 	OP_NOT_FOUND = 2,
-	OP_CONFLICT = 3,	/* somebody else was first */
-	OP_REFUSED = 4,		/* a limit or budget forbids it now */
-	OP_UNAVAILABLE = 5,	/* come back after retry_after_ms */
-	OP_UNKNOWN = 6,		/* may have taken effect: show, then decide */
-	OP_DENIED = 7		/* the MAC, nonce or deadline did not hold */
+	OP_CONFLICT = 3,	/* the current state does not allow it */
+	OP_REFUSED = 4,		/* a limit or budget currently forbids it */
+	OP_UNAVAILABLE = 5,	/* retry after retry_after_ms */
+	OP_UNKNOWN = 6,		/* may have taken effect; check the state */
+	OP_DENIED = 7		/* bad MAC, nonce or deadline */
 };
 
 struct op_reply {
@@ -146,15 +147,15 @@
 	bstr reason;
 	bstr detail;
 	uint32_t retry_after_ms;
-	bstr body;		/* JSON document, empty on error */
-	bstr secret;		/* key create: sealed for the operator */
+	bstr body;		/* JSON document; empty on error */
+	bstr secret;		/* key create: encrypted for the operator */
 };
 
-/* A keyed envelope around an encoded request or answer. */
+/* An envelope, authenticated by a MAC, for an encoded request or reply. */
 struct sealed {
-	bstr from;
+	bstr from;		/* name of the sender */
 	opaque nonce[24];
-	int64_t deadline;	/* wall clock, ms: a stale copy is refused */
+	int64_t deadline;	/* wall clock, ms; then it is rejected */
 	bstr body;
 	opaque mac[32];
 };
--- a/rows.x
+++ b/rows.x
@@ -1,27 +1,37 @@
 /*
- * Rows of the platform's table, other than the configuration's head, which
- * is JSON.  A row's version in the table is the only thing that orders its
- * changes; nothing in a row depends on a clock.
+ * Rows of the platform's table, except the configuration's head, which is
+ * JSON.  Changes of a row are ordered only by its version in the table;
+ * nothing in a row depends on a clock.  Each comment names the row's key.
  */
 %#include "types.h"
 
-/* member/<vm>: an entry VM renews its own row; nobody else writes it. */
+/*
+ * member/<vm>: the membership of an entry VM, which renews its own row;
+ * no other VM writes it.
+ */
 struct member_row {
 	bstr vm;
 	bstr dc;
-	bstr address;		/* of its peers' listener */
-	uint64_t incarnation;
-	uint64_t seq;
-	bool leaving;
+	bstr address;		/* of its listener for peers */
+	uint64_t incarnation;	/* differs between processes of a VM */
+	uint64_t seq;		/* grows with each renewal */
+	bool leaving;		/* a planned stop has begun */
 };
 
-/* cell/<pool>/<dc> and shard/<number>. */
+/*
+ * cell/<pool>/<dc> and shard/<number>: the ownership of a unit, which is
+ * either a cell or a shard of the jobs.
+ */
 struct unit_row {
-	bstr owner;		/* empty: released */
+	bstr owner;		/* entry VM; empty: released */
 	uint64_t epoch;		/* grows with each change of owner */
 };
 
-/* journal/<shard>/<segment>: what was claimed and how it ended. */
+/*
+ * journal/<shard>/<segment>: the journal of a shard's jobs.  It records that
+ * the shard claimed a job, that the job moved to another cell, and its final
+ * state.
+ */
 enum record_kind {
 	RECORD_CLAIM = 1,
 	RECORD_MOVE = 2,
@@ -31,7 +41,7 @@
 struct record_claim {
 	bstr job;
 	job_spec spec;
-	bstr digest;		/* of the request, to tell a reused key */
+	bstr digest;		/* of the request, to detect a reused key */
 	cell_id cell;
 	uint32_t attempt;
 };
@@ -55,7 +65,10 @@
 	record records<LIST_MAX>;
 };
 
-/* allow/<team>: the sum of holds never exceeds limit in any version. */
+/*
+ * allow/<team>: how a team's upper limit is divided among cells.  The sum of
+ * holds never exceeds limit in any version of the row.
+ */
 struct allowance_hold {
 	cell_id cell;
 	uint32_t amount;
@@ -67,13 +80,14 @@
 };
 
 /*
- * boots/<pool>/<dc>: the boot of each worker that may have been given work
- * that must not run twice.  forgotten: some worker of the cell has lost what
- * it remembered, so that "no trace" proves nothing for a while.
+ * boots/<pool>/<dc>: the boot id of each worker that may have received work
+ * that must not run twice.  A worker that restarts loses its record of what
+ * it ran.  While history_lost is set, because that happened in the cell, the
+ * absence of a job from its workers does not prove that the job did not run.
  */
 struct worker_boot {
 	bstr vm;
-	bstr boot;
+	bstr boot;		/* boot id */
 };
 
 struct boots_row {
@@ -81,11 +95,11 @@
 	worker_boot boots<LIST_MAX>;
 };
 
-/* vm/<name>: the one place that says which pool a VM is in. */
+/* vm/<name>: a VM of a pool; the only record of which pool it is in. */
 enum vm_state {
 	VM_ACTIVE = 0,
-	VM_DRAINING = 1,	/* no new work; leaves when empty */
-	VM_OUT = 2		/* drained: may be rebooted */
+	VM_DRAINING = 1,	/* gets no new work; out or moved once empty */
+	VM_OUT = 2		/* drained; may be rebooted */
 };
 
 struct vm_row {
@@ -99,13 +113,17 @@
 	uint32_t memory_mb;
 	uint32_t accelerators;
 	vm_state state;
-	bstr target_pool;		/* pool it moves to once empty */
-	bstr wave;		/* the wave that drains it */
-	bstr boot;		/* of its worker when it was last drained */
-	uint32_t deadline_ms;	/* tasks may finish for so long */
+	bstr target_pool;	/* pool that it moves to once empty */
+	bstr wave;		/* wave that drains it */
+	bstr boot;		/* boot id of its worker when last drained */
+	uint32_t deadline_ms;	/* time for tasks to end during a drain */
 };
 
-/* vms/head: grows with each change of a vm/ row; names the last ones. */
+/*
+ * vms/head: a generation that grows with each change of a vm/ row, and the
+ * latest changes, newest first.  Readers poll this row only and then read
+ * the rows that changed.
+ */
 struct vm_change {
 	uint64_t generation;
 	bstr vm;
@@ -116,7 +134,10 @@
 	vm_change recent<256>;
 };
 
-/* pool/<name>: who is out, and why; the availability budget is kept here. */
+/*
+ * pool/<name>: the VMs of a pool that are out, and why.  The availability
+ * budget is enforced on this row.
+ */
 enum out_reason {
 	OUT_DRAIN = 0,
 	OUT_FAILED = 1
@@ -131,7 +152,7 @@
 	pool_out_vm out_vms<LIST_MAX>;
 };
 
-/* wave/<name>. */
+/* wave/<name>: a maintenance wave, which drains and reboots VMs of a pool. */
 enum wave_state {
 	WAVE_PLANNED = 0,
 	WAVE_RUNNING = 1,
@@ -151,14 +172,14 @@
 struct wave_vm {
 	bstr vm;
 	wave_step step;
-	bstr boot;		/* of its worker before the reboot */
+	bstr boot;		/* boot id of its worker before the reboot */
 };
 
 struct wave_row {
 	bstr wave;
 	bstr pool;
 	wave_state state;
-	uint32_t deadline_ms;
+	uint32_t deadline_ms;	/* per VM drain */
 	wave_vm vms<LIST_MAX>;
-	bstr blocked_reason;		/* why the next VM is not drained; empty: not */
+	bstr blocked_reason;	/* why the next VM is not drained, or empty */
 };
--- a/types.x
+++ b/types.x
@@ -1,13 +1,15 @@
 /*
- * Types shared by every schema file.  Strings are length-counted; times on
- * the wire are spans in milliseconds, because no two VMs share a clock; a
- * receiver turns them into deadlines on its own monotonic clock.
+ * Types shared by all schema files.  Strings are length-counted.  Times on
+ * the wire are durations in milliseconds, because the VMs' clocks are not
+ * synchronized; a receiver converts them to deadlines on its own monotonic
+ * clock.
  */
 const BSTR_MAX = 1048576;
 const LIST_MAX = 65536;
 
 typedef opaque bstr<BSTR_MAX>;
 
+/* A cell is the part of a pool in one data centre. */
 struct cell_id {
 	bstr pool;
 	bstr dc;
@@ -18,8 +20,8 @@
 	JOB_RUNNING = 1,
 	JOB_DONE = 2,
 	JOB_FAILED = 3,
-	JOB_NOT_RUN = 4,
-	JOB_UNKNOWN = 5
+	JOB_NOT_RUN = 4,	/* ended, and certainly never ran */
+	JOB_UNKNOWN = 5		/* ended; whether it ran is not known */
 };
 
 struct job_spec {
@@ -27,29 +29,30 @@
 	bstr pool;
 	bstr key;		/* idempotency key; never empty */
 	bstr label;
-	bstr payload;		/* handed to the worker as it is */
-	bool may_repeat;
+	bstr payload;		/* passed to the worker unchanged */
+	bool may_repeat;	/* idempotent: may run more than once */
 	bool urgent;
 	bool wait;		/* the caller waits for the result */
 	uint32_t cpu_milli;
 	uint32_t memory_mb;
 	uint32_t accelerators;
 	uint32_t run_ms;	/* declared run time; 0: not declared */
-	uint32_t timeout_ms;	/* answer wanted within */
+	uint32_t timeout_ms;	/* for the result; not started after that */
 };
 
+/* The status of a job as reported to callers. */
 struct job_view {
 	bstr job;
 	bstr team;
 	bstr pool;
 	bstr label;
 	job_state state;
-	bstr reason;		/* stable, machine readable */
-	bstr detail;		/* for people */
+	bstr reason;		/* stable, machine-readable code */
+	bstr detail;		/* human-readable explanation */
 	bstr result;
 	bstr worker;
 	uint32_t attempts;
 	uint32_t queued_ms;
 	uint32_t ran_ms;
-	uint32_t retry_after_ms; /* 0: no use in asking again */
+	uint32_t retry_after_ms; /* 0: do not retry */
 };
