--- a/operator.x
+++ b/operator.x
@@ -135,7 +135,7 @@
 	OP_OK = 0,
 	OP_INVALID = 1,		/* the request is invalid; do not retry */
 	OP_NOT_FOUND = 2,
-	OP_CONFLICT = 3,	/* the current state does not allow it */
+	OP_CONFLICT = 3,	/* with the current state or another change */
 	OP_REFUSED = 4,		/* a limit or budget currently forbids it */
 	OP_UNAVAILABLE = 5,	/* retry after retry_after_ms */
 	OP_UNKNOWN = 6,		/* may have taken effect; check the state */
--- a/types.x
+++ b/types.x
@@ -21,7 +21,7 @@
 	JOB_DONE = 2,
 	JOB_FAILED = 3,
 	JOB_NOT_RUN = 4,	/* ended, and certainly never ran */
-	JOB_UNKNOWN = 5		/* ended; whether it ran is not known */
+	JOB_UNKNOWN = 5		/* ended; may have run, wholly or in part */
 };
 
 struct job_spec {
