--- a/reduce-call.c
+++ b/reduce-call.c
@@ -83,7 +83,7 @@
 	crypto_generichash(h, sizeof(h), (unsigned char *)bytes.bstr_val,
 			   bytes.bstr_len, NULL, 0);
 	bstr_free(&bytes);
-	return bstr_from(h, sizeof(h));
+	return bstr_from_bytes(h, sizeof(h));
 }
 
 /* Could any VM of the pool ever hold this?  A pool without VMs may grow. */
@@ -112,7 +112,7 @@
 			      "this VM is stopping; nothing was run", 100);
 		return true;
 	}
-	if (!config_pool(st->config, s->pool)) {
+	if (!config_find_pool(st->config, s->pool)) {
 		answer_refuse(st, BSTR_NONE, call, 422, COUNT_REFUSED_POOL,
 			      "there is no such pool", 0);
 		return true;
--- a/reduce-claim.c
+++ b/reduce-claim.c
@@ -69,11 +69,11 @@
 static bstr record_job(const record *rec)
 {
 	switch (rec->kind) {
-	case RECORD_CLAIM:
+	case JOURNAL_CLAIM:
 		return rec->record_u.claim.job;
-	case RECORD_MOVE:
+	case JOURNAL_MOVE:
 		return rec->record_u.move.job;
-	case RECORD_FINAL:
+	case JOURNAL_FINAL:
 		return rec->record_u.final.job;
 	}
 	return BSTR_NONE;
@@ -156,7 +156,7 @@
 
 	xdr_copy(XDR_PROC(xdr_record), &e->rec, rec, sizeof(*rec));
 	e->job = bstr_copy(record_job(rec));
-	if (rec->kind == RECORD_FINAL &&
+	if (rec->kind == JOURNAL_FINAL &&
 	    rec->record_u.final.state != JOB_NOT_RUN &&
 	    due < st->now + FINAL_WAIT_MS)
 		due = st->now + FINAL_WAIT_MS;
@@ -242,9 +242,9 @@
 		TAILQ_REMOVE(&s->flying, e, entry);
 		j = job_find(st, e->job);
 		if (j && j->shard == s) {
-			if (e->rec.kind != RECORD_MOVE)
+			if (e->rec.kind != JOURNAL_MOVE)
 				j->record_segment = g->number;
-			if (e->rec.kind == RECORD_FINAL)
+			if (e->rec.kind == JOURNAL_FINAL)
 				job_final_durable(st, j);
 			else
 				job_claimed(st, j);
@@ -301,7 +301,7 @@
 		}
 	}
 	TAILQ_FOREACH(e, &s->pending, entry) {
-		if (e->rec.kind != RECORD_CLAIM || !bstr_eq(e->job, job))
+		if (e->rec.kind != JOURNAL_CLAIM || !bstr_eq(e->job, job))
 			continue;
 		TAILQ_REMOVE(&s->pending, e, entry);
 		entry_free(e);
@@ -313,14 +313,14 @@
 /* Write a job's record again, at the end. */
 static void job_rewrite(struct state *st, struct shard *s, struct job *j)
 {
-	record rec = {.kind = RECORD_CLAIM};
+	record rec = {.kind = JOURNAL_CLAIM};
 
 	if (j->phase == PHASE_FINAL) {
-		rec.kind = RECORD_FINAL;
+		rec.kind = JOURNAL_FINAL;
 		rec.record_u.final = j->view;
 	} else {
-		rec.record_u.claim = (record_claim){j->id, j->spec, j->digest,
-						    j->cell, j->attempt};
+		rec.record_u.claim = (journal_claim){j->id, j->spec, j->digest,
+						     j->cell, j->attempt};
 	}
 	shard_append(st, s, &rec);
 }
--- a/reduce-home.c
+++ b/reduce-home.c
@@ -2,7 +2,7 @@
 
 /* A claim, alone or after one of an earlier attempt; NULL: the job is over. */
 static struct job *replay_claim(struct state *st, struct shard *s,
-				const record_claim *c)
+				const journal_claim *c)
 {
 	struct job *j = job_find(st, c->job);
 
@@ -18,7 +18,7 @@
 }
 
 /* The choice of another cell. */
-static void replay_move(struct state *st, const record_move *m)
+static void replay_move(struct state *st, const journal_move *m)
 {
 	struct job *j = job_find(st, m->job);
 
@@ -54,13 +54,13 @@
 	struct job *j = NULL;
 
 	switch (rec->kind) {
-	case RECORD_CLAIM:
+	case JOURNAL_CLAIM:
 		j = replay_claim(st, s, &rec->record_u.claim);
 		break;
-	case RECORD_MOVE:
+	case JOURNAL_MOVE:
 		replay_move(st, &rec->record_u.move);
 		break;
-	case RECORD_FINAL:
+	case JOURNAL_FINAL:
 		j = replay_final(st, s, &rec->record_u.final);
 		break;
 	}
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -25,8 +25,8 @@
 	*vm = BSTR_NONE;
 	if (id.bstr_len <= JOB_ID_LEN + 1 || id.bstr_val[JOB_ID_LEN] != '.')
 		return false;
-	*vm = bstr_from(id.bstr_val + JOB_ID_LEN + 1,
-			id.bstr_len - JOB_ID_LEN - 1);
+	*vm = bstr_from_bytes(id.bstr_val + JOB_ID_LEN + 1,
+			      id.bstr_len - JOB_ID_LEN - 1);
 	return true;
 }
 
@@ -179,7 +179,7 @@
  */
 static void job_finish(struct state *st, struct job *j)
 {
-	record rec = {.kind = RECORD_FINAL};
+	record rec = {.kind = JOURNAL_FINAL};
 
 	/* The last attempt was not run, but the job has been. */
 	if (j->ran && j->view.state == JOB_NOT_RUN) {
@@ -321,7 +321,7 @@
 static void job_place(struct state *st, struct job *j)
 {
 	struct unit *u = job_choose_cell(st, &j->spec);
-	record rec = {.kind = RECORD_MOVE};
+	record rec = {.kind = JOURNAL_MOVE};
 
 	if (!u) {
 		j->phase = PHASE_PARKED;
@@ -335,7 +335,7 @@
 	}
 	j->phase = PHASE_CLAIMING;
 	j->check_at = INT64_MAX;
-	rec.record_u.move = (record_move){j->id, j->cell, j->attempt};
+	rec.record_u.move = (journal_move){j->id, j->cell, j->attempt};
 	shard_append(st, j->shard, &rec);
 }
 
@@ -343,15 +343,15 @@
 static void job_claim(struct state *st, struct job *j)
 {
 	struct unit *u = job_choose_cell(st, &j->spec);
-	record rec = {.kind = RECORD_CLAIM};
+	record rec = {.kind = JOURNAL_CLAIM};
 
 	if (u)
 		xdr_copy(XDR_PROC(xdr_cell_id), &j->cell, &u->id,
 			 sizeof(u->id));
 	j->phase = PHASE_CLAIMING;
 	j->check_at = st->now + CLAIM_MS;
-	rec.record_u.claim = (record_claim){j->id, j->spec, j->digest, j->cell,
-					    j->attempt};
+	rec.record_u.claim = (journal_claim){j->id, j->spec, j->digest, j->cell,
+					     j->attempt};
 	shard_append(st, j->shard, &rec);
 }
 
--- a/reduce-op.c
+++ b/reduce-op.c
@@ -18,7 +18,7 @@
 	r.reason = bstr_new(reason);
 	r.detail = bstr_new(detail);
 	if (body)
-		r.body = config_text(body);
+		r.body = config_canonical_text(body);
 	json_decref(body);
 	if (asker.bstr_len) {
 		msg.peer_message_u.op_reply = (pm_op_reply){call, r};
@@ -56,7 +56,7 @@
 
 void json_set_str(json_t *o, const char *name, bstr value)
 {
-	json_object_set_new(o, name, bstr_json(value));
+	json_object_set_new(o, name, bstr_to_json(value));
 }
 
 void json_set_int(json_t *o, const char *name, uint64_t value)
@@ -73,7 +73,7 @@
 	if (v->row.state == VM_OUT)
 		return "drained";
 	if (v->row.state == VM_DRAINING)
-		return v->row.target.bstr_len ? "moving" : "draining";
+		return v->row.target_pool.bstr_len ? "moving" : "draining";
 	if (vm_leaving(st, v->row.vm))
 		return "leaving";
 	HASH_ITER(hh, st->units, u, next) {
@@ -103,8 +103,8 @@
 	json_set_str(o, "address", v->row.address);
 	json_set_int(o, "slots", v->row.slots);
 	json_object_set_new(o, "state", json_string(vm_words(st, v)));
-	if (v->row.target.bstr_len)
-		json_set_str(o, "moves_to", v->row.target);
+	if (v->row.target_pool.bstr_len)
+		json_set_str(o, "moves_to", v->row.target_pool);
 	return o;
 }
 
@@ -137,7 +137,7 @@
 	size_t i;
 
 	for (i = 0; i < p->dc_count; i++)
-		json_array_append_new(dcs, bstr_json(p->dcs[i]));
+		json_array_append_new(dcs, bstr_to_json(p->dcs[i]));
 	HASH_ITER(hh, st->vms, v, next) {
 		if (!bstr_eq(v->row.pool, p->name))
 			continue;
@@ -252,7 +252,7 @@
 	json_array_foreach(list, i, o) {
 		if ((uint64_t)json_integer_value(
 			    json_object_get(o, "revision")) == revision)
-			name = json_bstr(json_object_get(o, "object"));
+			name = bstr_from_json(json_object_get(o, "object"));
 	}
 	json_decref(list);
 	return name;
@@ -535,7 +535,7 @@
 			ops[i].exec(st, call, rq);
 		return;
 	}
-	if (config_edits(rq->kind)) {
+	if (config_is_edit(rq->kind)) {
 		change_add(st, call, rq);
 		return;
 	}
--- a/reduce-wave.c
+++ b/reduce-wave.c
@@ -247,9 +247,9 @@
 	}
 	/* In the row, so that every entry VM can tell an operator. */
 	if (row->state != WAVE_RUNNING)
-		bstr_free(&row->blocked);
-	else if (!bstr_eq(row->blocked, w->blocked)) {
-		bstr_set(&row->blocked, w->blocked);
+		bstr_free(&row->blocked_reason);
+	else if (!bstr_eq(row->blocked_reason, w->blocked)) {
+		bstr_set(&row->blocked_reason, w->blocked);
 		changed = true;
 	}
 	return changed;
@@ -538,7 +538,8 @@
 			  "expected a name of a-z 0-9 . _ -", 0, NULL);
 		return;
 	}
-	if (rq->kind == OP_WAVE_PLAN && !config_pool(st->config, o->pool)) {
+	if (rq->kind == OP_WAVE_PLAN &&
+	    !config_find_pool(st->config, o->pool)) {
 		op_not_found(st, call, "pool", o->pool);
 		return;
 	}
@@ -585,7 +586,7 @@
 		json_object_set_new(v, "step", json_string(step_words[at]));
 		json_array_append_new(list, v);
 		if (wave_late(st, w, x, at))
-			json_array_append_new(late, bstr_json(x->vm));
+			json_array_append_new(late, bstr_to_json(x->vm));
 	}
 	done = n[STEP_DONE] + n[STEP_SKIPPED];
 	left = w->row.vms.vms_len - done;
@@ -596,7 +597,7 @@
 	json_set_int(o, "skipped", n[STEP_SKIPPED]);
 	json_set_int(o, "out", n[STEP_DRAINING] + n[STEP_REBOOTING]);
 	json_set_int(o, "waiting", n[STEP_WAITING]);
-	json_set_str(o, "blocked", w->row.blocked);
+	json_set_str(o, "blocked", w->row.blocked_reason);
 	json_object_set_new(o, "late", late);
 	/* From what was done since this VM has seen it run. */
 	if (w->row.state == WAVE_RUNNING && w->started_at &&
--- a/rows_xdr.c
+++ b/rows_xdr.c
@@ -39,7 +39,7 @@
 }
 
 bool_t
-xdr_record_kind (XDR *xdrs, record_kind *objp)
+xdr_journal_kind (XDR *xdrs, journal_kind *objp)
 {
 	register int32_t *buf;
 
@@ -49,7 +49,7 @@
 }
 
 bool_t
-xdr_record_claim (XDR *xdrs, record_claim *objp)
+xdr_journal_claim (XDR *xdrs, journal_claim *objp)
 {
 	register int32_t *buf;
 
@@ -67,7 +67,7 @@
 }
 
 bool_t
-xdr_record_move (XDR *xdrs, record_move *objp)
+xdr_journal_move (XDR *xdrs, journal_move *objp)
 {
 	register int32_t *buf;
 
@@ -85,18 +85,18 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_record_kind (xdrs, &objp->kind))
+	 if (!xdr_journal_kind (xdrs, &objp->kind))
 		 return FALSE;
 	switch (objp->kind) {
-	case RECORD_CLAIM:
-		 if (!xdr_record_claim (xdrs, &objp->record_u.claim))
+	case JOURNAL_CLAIM:
+		 if (!xdr_journal_claim (xdrs, &objp->record_u.claim))
 			 return FALSE;
 		break;
-	case RECORD_MOVE:
-		 if (!xdr_record_move (xdrs, &objp->record_u.move))
+	case JOURNAL_MOVE:
+		 if (!xdr_journal_move (xdrs, &objp->record_u.move))
 			 return FALSE;
 		break;
-	case RECORD_FINAL:
+	case JOURNAL_FINAL:
 		 if (!xdr_job_view (xdrs, &objp->record_u.final))
 			 return FALSE;
 		break;
@@ -118,7 +118,7 @@
 }
 
 bool_t
-xdr_allow_hold (XDR *xdrs, allow_hold *objp)
+xdr_allowance_hold (XDR *xdrs, allowance_hold *objp)
 {
 	register int32_t *buf;
 
@@ -130,14 +130,14 @@
 }
 
 bool_t
-xdr_allow_row (XDR *xdrs, allow_row *objp)
+xdr_allowance_row (XDR *xdrs, allowance_row *objp)
 {
 	register int32_t *buf;
 
 	 if (!xdr_uint32_t (xdrs, &objp->limit))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->holds.holds_val, (u_int *) &objp->holds.holds_len, LIST_MAX,
-		sizeof (allow_hold), (xdrproc_t) xdr_allow_hold))
+		sizeof (allowance_hold), (xdrproc_t) xdr_allowance_hold))
 		 return FALSE;
 	return TRUE;
 }
@@ -159,7 +159,7 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_bool (xdrs, &objp->forgotten))
+	 if (!xdr_bool (xdrs, &objp->history_lost))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->boots.boots_val, (u_int *) &objp->boots.boots_len, LIST_MAX,
 		sizeof (worker_boot), (xdrproc_t) xdr_worker_boot))
@@ -202,7 +202,7 @@
 		 return FALSE;
 	 if (!xdr_vm_state (xdrs, &objp->state))
 		 return FALSE;
-	 if (!xdr_bstr (xdrs, &objp->target))
+	 if (!xdr_bstr (xdrs, &objp->target_pool))
 		 return FALSE;
 	 if (!xdr_bstr (xdrs, &objp->wave))
 		 return FALSE;
@@ -249,7 +249,7 @@
 }
 
 bool_t
-xdr_pool_out (XDR *xdrs, pool_out *objp)
+xdr_pool_out_vm (XDR *xdrs, pool_out_vm *objp)
 {
 	register int32_t *buf;
 
@@ -265,8 +265,8 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_array (xdrs, (char **)&objp->outs.outs_val, (u_int *) &objp->outs.outs_len, LIST_MAX,
-		sizeof (pool_out), (xdrproc_t) xdr_pool_out))
+	 if (!xdr_array (xdrs, (char **)&objp->out_vms.out_vms_val, (u_int *) &objp->out_vms.out_vms_len, LIST_MAX,
+		sizeof (pool_out_vm), (xdrproc_t) xdr_pool_out_vm))
 		 return FALSE;
 	return TRUE;
 }
@@ -321,7 +321,7 @@
 	 if (!xdr_array (xdrs, (char **)&objp->vms.vms_val, (u_int *) &objp->vms.vms_len, LIST_MAX,
 		sizeof (wave_vm), (xdrproc_t) xdr_wave_vm))
 		 return FALSE;
-	 if (!xdr_bstr (xdrs, &objp->blocked))
+	 if (!xdr_bstr (xdrs, &objp->blocked_reason))
 		 return FALSE;
 	return TRUE;
 }
--- a/tests/support-fleet.c
+++ b/tests/support-fleet.c
@@ -321,7 +321,7 @@
 	json_t *head = json_loadb(value.bstr_val, value.bstr_len, 0, NULL);
 	uint64_t revision = (uint64_t)json_integer_value(
 		json_object_get(head, "revision"));
-	bstr name = json_bstr(json_object_get(head, "object"));
+	bstr name = bstr_from_json(json_object_get(head, "object"));
 	struct fake_row *o = fake_row_get(f->table.objects, name);
 	json_t *doc = o ? json_loadb(o->value.bstr_val, o->value.bstr_len, 0,
 				     NULL)
@@ -376,8 +376,8 @@
 {
 	u_int i;
 
-	for (i = 0; i < row->outs.outs_len; i++)
-		if (bstr_eq(row->outs.outs_val[i].vm, vm))
+	for (i = 0; i < row->out_vms.out_vms_len; i++)
+		if (bstr_eq(row->out_vms.out_vms_val[i].vm, vm))
 			return true;
 	return false;
 }
@@ -405,14 +405,14 @@
 	if (old)
 		xdr_decode(XDR_PROC(xdr_pool_row), old->value, &was,
 			   sizeof(was));
-	for (i = 0; i < row.outs.outs_len; i++)
-		taken += row.outs.outs_val[i].reason == OUT_DRAIN &&
-			 !out_has(&was, row.outs.outs_val[i].vm);
-	if (taken && row.outs.outs_len > limit_most(f->budgets[pool],
-						    f->budget_count[pool],
-						    settled_since(f)))
+	for (i = 0; i < row.out_vms.out_vms_len; i++)
+		taken += row.out_vms.out_vms_val[i].reason == OUT_DRAIN &&
+			 !out_has(&was, row.out_vms.out_vms_val[i].vm);
+	if (taken && row.out_vms.out_vms_len > limit_most(f->budgets[pool],
+							  f->budget_count[pool],
+							  settled_since(f)))
 		BREAK(f, "budget: a drain makes %u VMs of %s out",
-		      row.outs.outs_len, pool_names[pool]);
+		      row.out_vms.out_vms_len, pool_names[pool]);
 	xdr_free(XDR_PROC(xdr_pool_row), (char *)&row);
 	xdr_free(XDR_PROC(xdr_pool_row), (char *)&was);
 }
@@ -483,7 +483,7 @@
 	event *ev = event_new(EV_PLATFORM);
 	ev_platform *p = &ev->body.event_body_u.platform;
 
-	p->req = effect_request(fx);
+	p->req = effect_request_id(fx);
 	p->outcome = PLATFORM_UNKNOWN;
 	if (f->platform_mode == PLATFORM_SLOW)
 		there += (int64_t)fleet_random(f, 2500);
@@ -518,7 +518,7 @@
 {
 	event *ev = event_new(EV_PLATFORM);
 
-	ev->body.event_body_u.platform.req = effect_request(q->fx);
+	ev->body.event_body_u.platform.req = effect_request_id(q->fx);
 	platform_do(f, q->fx, &ev->body.event_body_u.platform);
 	if (q->n)
 		entry_tell(f, q->a, q->b, (int64_t)q->n, ev);
@@ -1924,9 +1924,9 @@
 			name = bstr_cstr(id);
 			json_object_set_new(keys, name,
 					    json_pack("{s:o,s:o,s:b}", "salt",
-						      bstr_json(s), "hash",
-						      bstr_json(h), "withdrawn",
-						      0));
+						      bstr_to_json(s), "hash",
+						      bstr_to_json(h),
+						      "withdrawn", 0));
 			free(name);
 			bstr_free(&id);
 			bstr_free(&secret);
@@ -1941,13 +1941,13 @@
 					      3 + 3 * (int)t, "grace_ms", 0,
 					      "keys", keys));
 	}
-	text = config_text(doc);
+	text = config_canonical_text(doc);
 	fake_object_set(&f->table, bstr_lit("config-1"), text);
 	bstr_free(&text);
 	json_decref(doc);
 	head = json_pack("{s:i,s:s,s:[]}", "revision", 1, "object", "config-1",
 			 "history");
-	text = config_text(head);
+	text = config_canonical_text(head);
 	check_head(f, text);
 	fake_row_set(&f->table, bstr_lit("config/head"), text);
 	bstr_free(&text);
--- a/tests/support-sim.c
+++ b/tests/support-sim.c
@@ -201,7 +201,7 @@
 		memset(p, 0, sizeof(*p));
 		p->outcome = PLATFORM_UNKNOWN;
 	}
-	p->req = effect_request(it->fx);
+	p->req = effect_request_id(it->fx);
 	entry_tell(s, it->entry, it->gen,
 		   p->outcome == PLATFORM_UNKNOWN ? SILENCE_MS : HOP_MS, ev);
 	effect_free(it->fx);
@@ -846,8 +846,8 @@
 				      "share", (int)s->plan.teams[i].share,
 				      "limit", (int)s->plan.teams[i].limit,
 				      "grace_ms", 0, "keys", key, "salt",
-				      bstr_json(sa), "hash", bstr_json(ha),
-				      "withdrawn", 0));
+				      bstr_to_json(sa), "hash",
+				      bstr_to_json(ha), "withdrawn", 0));
 	bstr_free(&id);
 	bstr_free(&secret);
 	bstr_free(&salt);
@@ -866,12 +866,12 @@
 
 	for (i = 0; i < s->team_count; i++)
 		doc_team(s, doc, i);
-	text = config_text(doc);
+	text = config_canonical_text(doc);
 	fake_object_set(&f->table, bstr_lit("config-1"), text);
 	bstr_free(&text);
 	head = json_pack("{s:i,s:s,s:[]}", "revision", 1, "object", "config-1",
 			 "history");
-	text = config_text(head);
+	text = config_canonical_text(head);
 	fake_row_set(&f->table, bstr_lit("config/head"), text);
 	bstr_free(&text);
 	json_decref(head);
