--- a/edge-platform.c
+++ b/edge-platform.c
@@ -349,7 +349,7 @@
 }
 
 /* Count a page; false: the scan has become too much. */
-static bool scan_count(struct exchange *x, const struct http_answer *a)
+static bool scan_count(struct exchange *x, const struct http_response *a)
 {
 	x->pages++;
 	x->scan_bytes += a->body.bstr_len;
@@ -357,7 +357,7 @@
 }
 
 /* Read the JSON of an answer that is not an error's. */
-static bool json_answer_read(struct exchange *x, const struct http_answer *a,
+static bool json_answer_read(struct exchange *x, const struct http_response *a,
 			     bool *more)
 {
 	json_t *j = json_read(a->body), *rows = json_object_get(j, "rows");
@@ -385,7 +385,7 @@
 
 /* Read an answer that has a status. */
 static platform_outcome answer_read(struct exchange *x,
-				    const struct http_answer *a, bool *more)
+				    const struct http_response *a, bool *more)
 {
 	ev_platform *out = &x->ev->body.event_body_u.platform;
 	effect_kind kind = x->fx->kind;
@@ -425,7 +425,7 @@
 
 /* What an exchange amounts to. */
 static platform_outcome exchange_outcome(struct exchange *x,
-					 const struct http_answer *a,
+					 const struct http_response *a,
 					 bool *more)
 {
 	switch (a->outcome) {
@@ -433,7 +433,7 @@
 		return answer_read(x, a, more);
 	case HTTP_NOT_SENT:
 		return PLATFORM_REFUSED;
-	case HTTP_NO_ANSWER:
+	case HTTP_NO_RESPONSE:
 		return PLATFORM_UNKNOWN;
 	default:
 		return PLATFORM_INVALID;
@@ -465,7 +465,7 @@
  * platform's limit on reads, which a scan of a few thousand rows always
  * meets: begun anew it would meet it again, so it waits and goes on.
  */
-static bool scan_goes_on(struct exchange *x, const struct http_answer *a,
+static bool scan_goes_on(struct exchange *x, const struct http_response *a,
 			 platform_outcome outcome, bool more)
 {
 	struct http_request *r = &x->http;
@@ -491,7 +491,8 @@
 }
 
 /* Count an answer that makes no sense. */
-static void garbage_count(const struct exchange *x, const struct http_answer *a)
+static void garbage_count(const struct exchange *x,
+			  const struct http_response *a)
 {
 	counter_add(COUNT_DROPPED_PLATFORM_GARBAGE, 1);
 	log_event(LOG_BAD_INPUT, "platform %s: status %ld, %u bytes",
@@ -510,7 +511,7 @@
 
 /* Turn the outcome into the effect's one event, or ask for the next page. */
 static struct http_request *exchange_done(struct http_request *r,
-					  const struct http_answer *a)
+					  const struct http_response *a)
 {
 	struct exchange *x = (struct exchange *)r;
 	ev_platform *out = &x->ev->body.event_body_u.platform;
@@ -637,8 +638,8 @@
 	x->ev = event_new(EV_PLATFORM);
 	x->page_size = SCAN_PAGE;
 	x->scan_until = clock_now() + (int64_t)SCAN_TIMEOUTS * edge->timeout_ms;
-	r->queue = xstrdup("platform");
-	r->max_answer = fx->kind == FX_OBJECT_GET ? BSTR_MAX : ANSWER_MAX;
+	r->queue_name = xstrdup("platform");
+	r->max_response = fx->kind == FX_OBJECT_GET ? BSTR_MAX : ANSWER_MAX;
 	r->deadline = clock_now() + edge->timeout_ms;
 	r->build = exchange_build;
 	r->done = exchange_done;
--- a/edge-worker.c
+++ b/edge-worker.c
@@ -222,7 +222,7 @@
 }
 
 /* Read an answer with a status. */
-static worker_outcome answer_read(const struct http_answer *a,
+static worker_outcome answer_read(const struct http_response *a,
 				  const fx_worker *w, ev_worker *ev)
 {
 	bool ok = false;
@@ -252,7 +252,7 @@
 
 /* Turn the outcome into the effect's one event. */
 static struct http_request *exchange_done(struct http_request *r,
-					  const struct http_answer *a)
+					  const struct http_response *a)
 {
 	struct exchange *x = (struct exchange *)r;
 	const fx_worker *w = &x->fx->effect_u.worker;
@@ -266,7 +266,7 @@
 	case HTTP_NOT_SENT:
 		out->outcome = WORKER_NOT_SENT;
 		break;
-	case HTTP_NO_ANSWER:
+	case HTTP_NO_RESPONSE:
 		out->outcome = WORKER_NO_ANSWER;
 		break;
 	case HTTP_INVALID:
@@ -322,7 +322,7 @@
 	x->edge = edge;
 	x->fx = fx;
 	r->method = "POST";
-	r->max_answer = ANSWER_MAX;
+	r->max_response = ANSWER_MAX;
 	r->deadline = clock_now() + edge->timeout_ms +
 		      (w->watch ? w->wait_ms : 0);
 	r->build = exchange_build;
@@ -331,8 +331,8 @@
 	 * Commands and watches have queues and places of their own: a watch
 	 * is a long poll, and a command must not wait for its end.
 	 */
-	r->queue = xasprintf("%s %.*s", w->watch ? "watch" : "command",
-			     BSTR_ARG(w->address));
+	r->queue_name = xasprintf("%s %.*s", w->watch ? "watch" : "command",
+				  BSTR_ARG(w->address));
 	r->url = xasprintf("%s://%.*s/v1/%s", edge->tls ? "https" : "http",
 			   BSTR_ARG(w->address),
 			   w->watch ? "watch" : "command");
--- a/http-client.c
+++ b/http-client.c
@@ -30,8 +30,8 @@
 		r->headers[i] = NULL;
 	}
 	free(r->url);
-	free(r->queue);
-	r->url = r->queue = NULL;
+	free(r->queue_name);
+	r->url = r->queue_name = NULL;
 	bstr_free(&r->body);
 }
 
@@ -40,17 +40,17 @@
 {
 	struct http_request *r;
 
-	http_transfers_abandon(c);
+	http_transfers_abort(c);
 	while ((r = mailbox_take(c->mailbox)))
-		http_request_wait(c, r);
-	http_queues_abandon(c);
+		http_request_enqueue(c, r);
+	http_queues_abort(c);
 }
 
 /* How long the loop may sleep. */
 static int client_sleep_ms(const struct http_client *c)
 {
-	const struct heap_node *timer = heap_first(&c->timers);
-	const struct heap_node *due = heap_first(&c->due);
+	const struct heap_node *timer = heap_first(&c->shard_timers);
+	const struct heap_node *due = heap_first(&c->request_timers);
 	int64_t now = clock_now(), at = now + POLL_MS;
 
 	if (!TAILQ_EMPTY(&c->ready))
@@ -69,7 +69,7 @@
 
 	mailbox_clear(c->mailbox);
 	while ((r = mailbox_take(c->mailbox)))
-		http_request_wait(c, r);
+		http_request_enqueue(c, r);
 	http_queues_start(c);
 }
 
@@ -82,8 +82,8 @@
 
 	while (!atomic_load(&c->stopping)) {
 		client_take(c);
-		http_shards_tick(c, clock_now());
-		http_queues_forget(c, clock_now());
+		http_shards_run_timers(c, clock_now());
+		http_queues_expire(c, clock_now());
 		n = epoll_wait(c->epoll, events, EVENTS_AT_ONCE,
 			       client_sleep_ms(c));
 		for (i = 0; i < n; i++)
@@ -98,11 +98,11 @@
 /* Free a client whose thread has ended. */
 static void client_free(struct http_client *c)
 {
-	http_queues_forget(c, INT64_MAX);
+	http_queues_expire(c, INT64_MAX);
 	http_transfers_free(c);
 	http_sockets_free(c);
-	heap_free(&c->timers);
-	heap_free(&c->due);
+	heap_free(&c->shard_timers);
+	heap_free(&c->request_timers);
 	curl_slist_free_all(c->headers);
 	mailbox_free(c->mailbox);
 	close(c->epoll);
@@ -135,10 +135,10 @@
 	c->tls_ca = o->tls_ca ? xstrdup(o->tls_ca) : NULL;
 	TAILQ_INIT(&c->ready);
 	TAILQ_INIT(&c->idle);
-	TAILQ_INIT(&c->roomy);
+	TAILQ_INIT(&c->available_shards);
 	TAILQ_INIT(&c->running);
-	TAILQ_INIT(&c->spare);
-	TAILQ_INIT(&c->unnamed);
+	TAILQ_INIT(&c->free_transfers);
+	TAILQ_INIT(&c->unhashed);
 	c->epoll = epoll_create1(EPOLL_CLOEXEC);
 	e.data.fd = mailbox_fd(c->mailbox);
 	if (c->epoll < 0 ||
@@ -191,15 +191,15 @@
 /* Send a request, from any thread. */
 bool http_client_send(struct http_client *c, struct http_request *r)
 {
-	if (atomic_fetch_add(&c->held, 1) < c->options.max_requests &&
+	if (atomic_fetch_add(&c->request_count, 1) < c->options.max_requests &&
 	    mailbox_put(c->mailbox, r))
 		return true;
-	atomic_fetch_sub(&c->held, 1);
+	atomic_fetch_sub(&c->request_count, 1);
 	return false;
 }
 
 /* The processor time that a client's thread has used. */
-int64_t http_client_used(const struct http_client *c)
+int64_t http_client_cpu_ms(const struct http_client *c)
 {
 	return clock_thread(c->thread);
 }
@@ -214,9 +214,9 @@
 	static const struct timespec pause = {0, 1000000};
 
 	while (!mailbox_put(inbox, ev)) {
-		if (atomic_load(&c->stopping) && !c->post_until)
-			c->post_until = clock_now() + POST_STOP_MS;
-		if (c->post_until && clock_now() > c->post_until) {
+		if (atomic_load(&c->stopping) && !c->post_deadline)
+			c->post_deadline = clock_now() + POST_STOP_MS;
+		if (c->post_deadline && clock_now() > c->post_deadline) {
 			log_event(LOG_OVERRUN, "inbox full while stopping");
 			event_free(ev);
 			return;
--- a/http-client.h
+++ b/http-client.h
@@ -1,8 +1,9 @@
 /*
- * An HTTP/1.1 client: one thread that runs many exchanges at once.
+ * HTTP/1.1 client. One thread runs many concurrent requests over libcurl.
  *
- * Requests that name the same queue share max_per_queue places; a request
- * waits for a place until its deadline, and queues don't wait for each other.
+ * Requests with the same queue name share max_per_queue concurrent transfers.
+ * A request waits in its queue for a free transfer until its deadline; queues
+ * do not block each other.
  */
 #ifndef HTTP_CLIENT_H
 #define HTTP_CLIENT_H
@@ -11,66 +12,84 @@
 #include "heap.h"
 
 enum http_outcome {
-	HTTP_OK,	/* a whole answer with a status, maybe an error's */
-	HTTP_NOT_SENT,	/* no byte of the request can have arrived */
-	HTTP_NO_ANSWER, /* the request may have arrived */
-	HTTP_INVALID	/* it arrived; the answer is none, or too long */
+	HTTP_OK,       /* complete response with any status, also 4xx or 5xx */
+	HTTP_NOT_SENT, /* the server cannot have received any of it */
+	HTTP_NO_RESPONSE, /* the server may have received the request */
+	HTTP_INVALID	  /* sent; the response is malformed or too long */
 };
 
-struct http_answer {
+/* conn_opened_at: when the last connection tried was opened; 0: not sent. */
+struct http_response {
 	enum http_outcome outcome;
-	bool too_long; /* that is why it is HTTP_INVALID */
+	bool too_long; /* the reason for HTTP_INVALID */
 	long status;
-	uint32_t retry_after_ms; /* 0: the answer gave none */
-	int64_t opened_at; /* its connection, the newest tried; 0: not sent */
-	bstr body;	   /* the client's: copy what is kept */
+	uint32_t retry_after_ms; /* 0: no Retry-After header */
+	int64_t conn_opened_at;
+	bstr body; /* owned by the client, valid only during done */
 };
 
 /*
- * A request, set up by its sender and embedded in what the sender wants back.
- * build and done run on the client's thread.  build makes the body; false: it
- * can't be said on this wire, and the outcome is HTTP_NOT_SENT.  done owns
- * the request again and returns it for another round (a further page), which
- * is never refused, or NULL.
+ * A request, filled in by the sender and embedded in the sender's own state.
+ * The client's thread calls build and done.
+ *
+ * build creates the body, if it is set. It returns false if the request cannot
+ * be encoded; the outcome is then HTTP_NOT_SENT.
+ *
+ * done returns ownership of the request to the sender. It may return a request
+ * to be queued again (for example to fetch the next page), which is accepted
+ * even at max_requests, or NULL.
+ *
+ * entry, waiting_in and timer belong to the client.
  */
 #define HTTP_HEADERS_MAX 3
 struct http_queue;
 struct http_request {
-	TAILQ_ENTRY(http_request) entry; /* this, waits_in, due: the client's */
-	struct http_queue *waits_in;
-	struct heap_node due;
+	TAILQ_ENTRY(http_request) entry;
+	struct http_queue *waiting_in;
+	struct heap_node timer;
 	const char *method;
 	char *url;
-	char *queue;
-	char *headers[HTTP_HEADERS_MAX]; /* whole lines, or NULL */
+	char *queue_name;
+	char *headers[HTTP_HEADERS_MAX]; /* "Name: value", or NULL */
 	bstr body;
-	size_t max_answer; /* bytes */
-	int64_t start_at;  /* not before; 0: at once */
-	int64_t deadline;  /* none is begun to be written from here on */
+	size_t max_response; /* bytes */
+	int64_t start_at;    /* earliest start; 0: at once */
+	int64_t deadline;    /* never sent at or after this time */
 	bool (*build)(struct http_request *r);
 	struct http_request *(*done)(struct http_request *r,
-				     const struct http_answer *a);
+				     const struct http_response *a);
 };
+/* Frees the members of a request, but not the request itself. */
 void http_request_clear(struct http_request *r);
 
 struct http_client_options {
-	const char *name;	/* of its thread, or NULL */
-	const char *token;	/* or NULL */
-	const char *tls_ca;	/* file, or NULL */
-	unsigned max_per_queue; /* requests at once of one queue */
-	unsigned max_requests;	/* held by the client, waiting ones too */
+	const char *name;	/* thread name, or NULL */
+	const char *token;	/* bearer token, or NULL */
+	const char *tls_ca;	/* CA file, or NULL */
+	unsigned max_per_queue; /* concurrent requests of a queue */
+	unsigned max_requests;	/* in all queues, waiting ones included */
 	uint32_t connect_ms;
 };
 
 struct http_client;
 struct http_client *http_client_start(const struct http_client_options *o,
 				      struct error *e);
-/* False: the client holds max_requests; r is still the caller's. */
+/*
+ * Returns false if the client already has max_requests requests; the caller
+ * then keeps ownership of r.
+ */
 bool http_client_send(struct http_client *c, struct http_request *r);
-int64_t http_client_used(const struct http_client *c); /* processor, ms */
-/* Put an event into an inbox from done, waiting while the inbox is full. */
+/* Returns the CPU time that the client's thread has used. */
+int64_t http_client_cpu_ms(const struct http_client *c);
+/*
+ * Posts an event to an inbox. For use in done only: it blocks the client's
+ * thread while the inbox is full.
+ */
 void http_client_post(struct http_client *c, struct mailbox *inbox, event *ev);
-/* Ends every request with its outcome, joins the thread and frees c. */
+/*
+ * Completes every remaining request with its outcome, joins the thread and
+ * frees the client.
+ */
 void http_client_stop(struct http_client *c);
 
 #endif
--- a/http-queue.c
+++ b/http-queue.c
@@ -15,7 +15,7 @@
 	struct http_queue *q = xcalloc(1, sizeof(*q));
 
 	q->name = xstrdup(name);
-	q->shard = http_shard_take(c);
+	q->shard = http_shard_acquire(c);
 	TAILQ_INIT(&q->waiting);
 	HASH_ADD_KEYPTR(hh, c->queues, q->name, strlen(q->name), q);
 	return q;
@@ -57,13 +57,13 @@
 {
 	if (c->queues)
 		HASH_DEL(c->queues, q);
-	http_shard_leave(q->shard);
+	http_shard_release(q->shard);
 	free(q->name);
 	free(q);
 }
 
 /* Forget the queues that have been idle until a time. */
-void http_queues_forget(struct http_client *c, int64_t now)
+void http_queues_expire(struct http_client *c, int64_t now)
 {
 	struct http_queue *q, *next;
 
@@ -93,16 +93,16 @@
 static void request_due(struct http_client *c, struct http_request *r,
 			int64_t now)
 {
-	heap_set(&c->due, &r->due,
+	heap_set(&c->request_timers, &r->timer,
 		 r->start_at > now ? r->start_at : r->deadline);
 }
 
 /* Let a request wait for a place in its queue. */
-void http_request_wait(struct http_client *c, struct http_request *r)
+void http_request_enqueue(struct http_client *c, struct http_request *r)
 {
-	struct http_queue *q = http_queue_get(c, r->queue);
+	struct http_queue *q = http_queue_get(c, r->queue_name);
 
-	r->waits_in = q;
+	r->waiting_in = q;
 	TAILQ_INSERT_TAIL(&q->waiting, r, entry);
 	request_due(c, r, clock_now());
 	queue_ready(c, q);
@@ -111,26 +111,26 @@
 /* A request waits no more. */
 static void request_leave(struct http_client *c, struct http_request *r)
 {
-	TAILQ_REMOVE(&r->waits_in->waiting, r, entry);
-	heap_remove(&c->due, &r->due);
+	TAILQ_REMOVE(&r->waiting_in->waiting, r, entry);
+	heap_remove(&c->request_timers, &r->timer);
 }
 
 /* Tell the outcome of a request; it may come back for another round. */
 void http_request_end(struct http_client *c, struct http_request *r,
-		      const struct http_answer *a)
+		      const struct http_response *a)
 {
 	struct http_request *again = r->done(r, a);
 
 	if (again)
-		http_request_wait(c, again);
+		http_request_enqueue(c, again);
 	else
-		atomic_fetch_sub(&c->held, 1);
+		atomic_fetch_sub(&c->request_count, 1);
 }
 
 /* Tell that a request never left. */
 void http_request_not_sent(struct http_client *c, struct http_request *r)
 {
-	struct http_answer a = {.outcome = HTTP_NOT_SENT};
+	struct http_response a = {.outcome = HTTP_NOT_SENT};
 
 	http_request_end(c, r, &a);
 }
@@ -158,15 +158,15 @@
 	struct heap_node *n;
 	struct http_request *r;
 
-	while ((n = heap_first(&c->due)) && n->at <= now) {
-		r = HEAP_ENTRY(n, struct http_request, due);
+	while ((n = heap_first(&c->request_timers)) && n->at <= now) {
+		r = HEAP_ENTRY(n, struct http_request, timer);
 		if (now < r->deadline) {
 			request_due(c, r, now);
-			queue_ready(c, r->waits_in);
+			queue_ready(c, r->waiting_in);
 			continue;
 		}
 		request_leave(c, r);
-		queue_settle(c, r->waits_in);
+		queue_settle(c, r->waiting_in);
 		http_request_not_sent(c, r);
 	}
 }
@@ -187,15 +187,15 @@
 }
 
 /* End all that waits: it never left. */
-void http_queues_abandon(struct http_client *c)
+void http_queues_abort(struct http_client *c)
 {
 	struct heap_node *n;
 	struct http_request *r;
 
-	while ((n = heap_first(&c->due))) {
-		r = HEAP_ENTRY(n, struct http_request, due);
+	while ((n = heap_first(&c->request_timers))) {
+		r = HEAP_ENTRY(n, struct http_request, timer);
 		request_leave(c, r);
-		queue_ready(c, r->waits_in);
+		queue_ready(c, r->waiting_in);
 		http_request_not_sent(c, r);
 	}
 	http_queues_start(c); /* all are idle then */
--- a/http-shard.c
+++ b/http-shard.c
@@ -13,9 +13,9 @@
 
 	(void)multi;
 	if (ms < 0)
-		heap_remove(&c->timers, &sh->timer);
+		heap_remove(&c->shard_timers, &sh->timer);
 	else
-		heap_set(&c->timers, &sh->timer, clock_now() + ms);
+		heap_set(&c->shard_timers, &sh->timer, clock_now() + ms);
 	return 0;
 }
 
@@ -38,47 +38,47 @@
 	curl_multi_setopt(m, CURLMOPT_SOCKETDATA, sh);
 	curl_multi_setopt(m, CURLMOPT_TIMERFUNCTION, shard_timer);
 	curl_multi_setopt(m, CURLMOPT_TIMERDATA, sh);
-	TAILQ_INSERT_HEAD(&c->roomy, sh, entry);
+	TAILQ_INSERT_HEAD(&c->available_shards, sh, entry);
 	return sh;
 }
 
 /* A shard for one more queue. */
-struct http_shard *http_shard_take(struct http_client *c)
+struct http_shard *http_shard_acquire(struct http_client *c)
 {
-	struct http_shard *sh = TAILQ_FIRST(&c->roomy);
+	struct http_shard *sh = TAILQ_FIRST(&c->available_shards);
 
 	if (!sh)
 		sh = shard_new(c);
 	if (++sh->queues == SHARD_QUEUES)
-		TAILQ_REMOVE(&c->roomy, sh, entry);
+		TAILQ_REMOVE(&c->available_shards, sh, entry);
 	return sh;
 }
 
 /* A queue leaves its shard; the last one takes its connections with it. */
-void http_shard_leave(struct http_shard *sh)
+void http_shard_release(struct http_shard *sh)
 {
 	struct http_client *c = sh->client;
 
 	if (sh->queues-- == SHARD_QUEUES)
-		TAILQ_INSERT_HEAD(&c->roomy, sh, entry);
+		TAILQ_INSERT_HEAD(&c->available_shards, sh, entry);
 	if (sh->queues)
 		return;
-	TAILQ_REMOVE(&c->roomy, sh, entry);
+	TAILQ_REMOVE(&c->available_shards, sh, entry);
 	curl_multi_cleanup(sh->multi);
-	heap_remove(&c->timers, &sh->timer);
+	heap_remove(&c->shard_timers, &sh->timer);
 	free(sh);
 }
 
 /* Have the shards look at the clock that want to. */
-void http_shards_tick(struct http_client *c, int64_t now)
+void http_shards_run_timers(struct http_client *c, int64_t now)
 {
 	struct heap_node *n;
 	struct http_shard *sh;
 	int running;
 
-	while ((n = heap_first(&c->timers)) && n->at <= now) {
+	while ((n = heap_first(&c->shard_timers)) && n->at <= now) {
 		sh = HEAP_ENTRY(n, struct http_shard, timer);
-		heap_remove(&c->timers, n);
+		heap_remove(&c->shard_timers, n);
 		curl_multi_socket_action(sh->multi, CURL_SOCKET_TIMEOUT, 0,
 					 &running);
 		http_transfers_reap(sh);
--- a/http-socket.c
+++ b/http-socket.c
@@ -44,8 +44,8 @@
 
 	if (a->sa_family == AF_INET6)
 		ip = &((const struct sockaddr_in6 *)a)->sin6_addr;
-	inet_ntop(a->sa_family, ip, s->name.peer_ip, sizeof(s->name.peer_ip));
-	s->name.peer_port = address_port(a);
+	inet_ntop(a->sa_family, ip, s->key.peer_ip, sizeof(s->key.peer_ip));
+	s->key.peer_port = address_port(a);
 }
 
 /* Forget what was known of a socket that is closed. */
@@ -53,10 +53,10 @@
 {
 	int fd = s->fd;
 
-	if (s->named)
-		HASH_DEL(c->named, s);
+	if (s->hashed)
+		HASH_DEL(c->socket_hash, s);
 	else if (s->serial)
-		TAILQ_REMOVE(&c->unnamed, s, entry);
+		TAILQ_REMOVE(&c->unhashed, s, entry);
 	memset(s, 0, sizeof(*s));
 	s->fd = fd;
 }
@@ -78,7 +78,7 @@
 	s->serial = ++c->last_serial;
 	s->opened_at = clock_now();
 	socket_peer(s, &a->addr);
-	TAILQ_INSERT_TAIL(&c->unnamed, s, entry);
+	TAILQ_INSERT_TAIL(&c->unhashed, s, entry);
 	return fd;
 }
 
@@ -106,18 +106,18 @@
 	struct http_socket *s, *next;
 	socklen_t len;
 
-	for (s = TAILQ_FIRST(&c->unnamed); s; s = next) {
+	for (s = TAILQ_FIRST(&c->unhashed); s; s = next) {
 		next = TAILQ_NEXT(s, entry);
 		memset(&a, 0, sizeof(a));
 		len = sizeof(a);
 		if (getsockname(s->fd, (struct sockaddr *)&a, &len))
 			continue;
-		s->name.local_port = address_port((struct sockaddr *)&a);
-		if (!s->name.local_port)
+		s->key.local_port = address_port((struct sockaddr *)&a);
+		if (!s->key.local_port)
 			continue;
-		TAILQ_REMOVE(&c->unnamed, s, entry);
-		HASH_ADD(hh, c->named, name, sizeof(s->name), s);
-		s->named = true;
+		TAILQ_REMOVE(&c->unhashed, s, entry);
+		HASH_ADD(hh, c->socket_hash, key, sizeof(s->key), s);
+		s->hashed = true;
 	}
 }
 
@@ -128,16 +128,16 @@
 struct http_socket *http_socket_find(struct http_client *c, const char *peer_ip,
 				     int peer_port, int local_port)
 {
-	struct http_socket_name name = {.peer_port = (uint16_t)peer_port,
-					.local_port = (uint16_t)local_port};
+	struct http_socket_key name = {.peer_port = (uint16_t)peer_port,
+				       .local_port = (uint16_t)local_port};
 	struct http_socket *s;
 
 	snprintf(name.peer_ip, sizeof(name.peer_ip), "%s", peer_ip);
-	HASH_FIND(hh, c->named, &name, sizeof(name), s);
+	HASH_FIND(hh, c->socket_hash, &name, sizeof(name), s);
 	if (s)
 		return s;
 	sockets_name(c);
-	HASH_FIND(hh, c->named, &name, sizeof(name), s);
+	HASH_FIND(hh, c->socket_hash, &name, sizeof(name), s);
 	return s;
 }
 
@@ -148,7 +148,7 @@
  * older than the last silence on this queue, because something in between may
  * have lost track of it, and each such connection would cost a timeout.
  */
-bool http_socket_is_good(struct http_socket *s, const struct http_queue *q)
+bool http_socket_is_reusable(struct http_socket *s, const struct http_queue *q)
 {
 	char byte;
 
@@ -156,7 +156,7 @@
 		s->used = true;
 		return true;
 	}
-	if (s->serial <= q->silent_serial)
+	if (s->serial <= q->timeout_serial)
 		return false;
 	return recv(s->fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
 	       errno == EAGAIN;
@@ -167,13 +167,13 @@
 			    uint32_t events)
 {
 	struct epoll_event e = {.events = events, .data.fd = s->fd};
-	int op = !events      ? EPOLL_CTL_DEL
-		 : s->watched ? EPOLL_CTL_MOD
-			      : EPOLL_CTL_ADD;
+	int op = !events	     ? EPOLL_CTL_DEL
+		 : s->watched_events ? EPOLL_CTL_MOD
+				     : EPOLL_CTL_ADD;
 
-	if (events == s->watched)
+	if (events == s->watched_events)
 		return;
-	s->watched = events;
+	s->watched_events = events;
 	if (epoll_ctl(c->epoll, op, s->fd, &e) != 0 && events)
 		abort(); /* out of memory: nothing would wake the transfer */
 }
@@ -199,10 +199,10 @@
 	(void)easy;
 	(void)unused;
 	s->shard = sh;
-	s->wanted = events[what];
-	if (s->wanted || !s->used || s->watched != EPOLLIN)
-		socket_register(sh->client, s, s->wanted);
-	if (!s->wanted && !s->used)
+	s->wanted_events = events[what];
+	if (s->wanted_events || !s->used || s->watched_events != EPOLLIN)
+		socket_register(sh->client, s, s->wanted_events);
+	if (!s->wanted_events && !s->used)
 		socket_forget(sh->client, s);
 	return 0;
 }
@@ -215,9 +215,9 @@
 	int mask = 0, running;
 
 	/* Closed since, and perhaps opened anew, by what came before. */
-	if (!s->watched)
+	if (!s->watched_events)
 		return;
-	if (!s->wanted) {
+	if (!s->wanted_events) {
 		/* The peer has closed an idle connection: seen at its next
 		 * use. */
 		socket_register(c, s, 0);
--- a/http-state.h
+++ b/http-state.h
@@ -1,9 +1,9 @@
 /*
- * Inside of the HTTP client: its state, and what its files offer each other.
+ * Internal state of the HTTP client, shared by the http-*.c files.
  *
- * Nothing here is walked as a whole for a request or an answer: queues are
- * found by hash, what is due by heaps, sockets that are ready by epoll, and
- * libcurl's own lists are kept short by many shards.
+ * No request or response costs a walk over a whole collection: queues are
+ * found by hash, timers are in heaps, ready sockets come from epoll, and the
+ * use of many shards keeps the internal lists of libcurl short.
  */
 #ifndef HTTP_STATE_H
 #define HTTP_STATE_H
@@ -19,73 +19,89 @@
 TAILQ_HEAD(http_request_list, http_request);
 
 /*
- * A part of the queues, with an instance of libcurl's multi interface.  It
- * looks at all of its idle connections once a second, and begins again with
- * each that it finds closed: with those of all hosts in one instance that is
- * the square of their number.
+ * A group of queues that share one libcurl multi handle.
+ *
+ * Once a second a multi handle walks its idle connections, and restarts the
+ * walk after each one that it finds closed. With the connections of all hosts
+ * in one handle this cost is quadratic in their number, so there are many.
  */
 struct http_shard {
-	TAILQ_ENTRY(http_shard) entry; /* among those with room */
+	TAILQ_ENTRY(http_shard) entry; /* in available_shards */
 	struct http_client *client;
-	struct heap_node timer; /* when libcurl wants to look at its clock */
-	unsigned queues;
+	struct heap_node timer; /* next libcurl timeout */
+	unsigned queues;	/* number of queues */
 	CURLM *multi;
 };
 TAILQ_HEAD(http_shard_list, http_shard);
 
-/* The requests of one name. */
+/*
+ * The requests with one queue name. timeout_serial is the serial number of the
+ * newest socket at the last timeout of a request; the connections of the queue
+ * up to that one are not reused.
+ */
 struct http_queue {
-	TAILQ_ENTRY(http_queue) entry; /* of the ready or of the idle ones */
+	TAILQ_ENTRY(http_queue) entry; /* in ready or idle */
 	struct http_shard *shard;
 	char *name;
-	bool ready; /* it may have something to begin */
+	bool ready; /* may have requests to start */
 	bool idle;
-	int64_t idle_until; /* it is forgotten then */
+	int64_t idle_until; /* freed at this time */
 	unsigned in_flight;
-	uint64_t silent_serial; /* newest socket at the last time-out */
+	uint64_t timeout_serial;
 	struct http_request_list waiting;
 	UT_hash_handle hh;
 };
 TAILQ_HEAD(http_queue_list, http_queue);
 
-/* An exchange under way, with the easy handle that is kept for the next. */
+/*
+ * A request in progress. The struct and its easy handle are reused for later
+ * requests. A transfer whose connection turns out to be stale is repeated once
+ * on a new connection (fresh_connect).
+ */
 struct http_transfer {
 	TAILQ_ENTRY(http_transfer) entry;
 	struct http_client *client;
 	struct http_queue *queue;
 	struct http_request *request;
 	CURL *easy;
-	bool sent;  /* from here on the request may have arrived */
-	bool stale; /* the connection it was given is a bad one */
-	bool fresh; /* so it goes by a fresh one */
-	bool headers_whole;
-	bool framed; /* the answer's length is known from its headers */
+	bool sent;	    /* the server may have received the request */
+	bool stale;	    /* libcurl chose an unusable connection */
+	bool fresh_connect; /* uses a new connection */
+	bool headers_done;
+	bool framed; /* headers tell the length of the body */
 	size_t header_bytes;
-	size_t room;
-	struct curl_slist headers[HTTP_HEADERS_MAX]; /* of the request */
-	struct http_answer answer;
+	size_t body_capacity;
+	struct curl_slist headers[HTTP_HEADERS_MAX]; /* request headers */
+	struct http_response response;
 };
 TAILQ_HEAD(http_transfer_list, http_transfer);
 
-/* The numbers that name a connection; kept free of padding's noise. */
-struct http_socket_name {
+/*
+ * Hash key of a connection. The members leave no padding, so keys can be
+ * hashed and compared as bytes.
+ */
+struct http_socket_key {
 	char peer_ip[INET6_ADDRSTRLEN];
 	uint16_t peer_port;
 	uint16_t local_port;
 };
 
-/* What is known of a socket. */
+/*
+ * State of a socket, kept for each file descriptor. serial numbers the sockets
+ * that the client opened; 0 is a socket that libcurl opened itself, such as a
+ * resolver's.
+ */
 struct http_socket {
-	TAILQ_ENTRY(http_socket) entry; /* among the unnamed */
-	uint64_t serial; /* counts those opened by us; 0: none of them */
+	TAILQ_ENTRY(http_socket) entry; /* in unhashed */
+	uint64_t serial;
 	int64_t opened_at;
 	int fd;
-	bool used; /* it has carried a request */
-	bool named;
-	struct http_socket_name name; /* its local port once it is named */
+	bool used; /* has carried a request */
+	bool hashed;
+	struct http_socket_key key; /* local_port is valid once hashed */
 	struct http_shard *shard;
-	uint32_t wanted;  /* epoll events that libcurl waits for */
-	uint32_t watched; /* those that are registered */
+	uint32_t wanted_events;	 /* epoll events wanted by libcurl */
+	uint32_t watched_events; /* registered with epoll */
 	UT_hash_handle hh;
 };
 TAILQ_HEAD(http_socket_list, http_socket);
@@ -99,57 +115,57 @@
 	char *tls_ca;
 	struct http_queue *queues;
 	struct http_queue_list ready;
-	struct http_queue_list idle; /* first those that are forgotten first */
-	struct http_shard_list roomy;
-	struct heap timers; /* of shards */
-	struct heap due;    /* waiting requests: to begin, or out of time */
+	struct http_queue_list idle; /* by idle_until */
+	struct http_shard_list available_shards;
+	struct heap shard_timers;
+	struct heap request_timers; /* start or deadline of those waiting */
 	struct http_transfer_list running;
-	struct http_transfer_list spare;
-	struct http_socket **sockets; /* by descriptor */
+	struct http_transfer_list free_transfers;
+	struct http_socket **sockets; /* by file descriptor */
 	size_t socket_count;
-	struct http_socket *named;
-	struct http_socket_list unnamed;
+	struct http_socket *socket_hash;
+	struct http_socket_list unhashed; /* no local port yet */
 	uint64_t last_serial;
-	int64_t post_until;
-	atomic_uint held;
+	int64_t post_deadline;
+	atomic_uint request_count;
 	atomic_bool stopping;
 };
 
-/* http-socket.c: connections' sockets, and which of them are ready */
+/* http-socket.c: sockets of connections and their epoll events */
 struct http_socket *http_socket_get(struct http_client *c, int fd);
 curl_socket_t http_socket_open(void *arg, curlsocktype purpose,
 			       struct curl_sockaddr *a);
 int http_socket_close(void *arg, curl_socket_t fd);
 struct http_socket *http_socket_find(struct http_client *c, const char *peer_ip,
 				     int peer_port, int local_port);
-bool http_socket_is_good(struct http_socket *s, const struct http_queue *q);
+bool http_socket_is_reusable(struct http_socket *s, const struct http_queue *q);
 int http_socket_watch(CURL *easy, curl_socket_t fd, int what, void *arg,
 		      void *unused);
 void http_socket_ready(struct http_client *c, int fd, uint32_t events);
 void http_sockets_free(struct http_client *c);
 
-/* http-shard.c: instances of libcurl, and their timers */
-struct http_shard *http_shard_take(struct http_client *c);
-void http_shard_leave(struct http_shard *sh);
-void http_shards_tick(struct http_client *c, int64_t now);
+/* http-shard.c: libcurl multi handles and their timers */
+struct http_shard *http_shard_acquire(struct http_client *c);
+void http_shard_release(struct http_shard *sh);
+void http_shards_run_timers(struct http_client *c, int64_t now);
 
-/* http-queue.c: requests that wait for a place */
+/* http-queue.c: queues of requests */
 struct http_queue *http_queue_get(struct http_client *c, const char *name);
 void http_queue_begin(struct http_queue *q);
 void http_queue_end(struct http_client *c, struct http_queue *q);
-void http_request_wait(struct http_client *c, struct http_request *r);
+void http_request_enqueue(struct http_client *c, struct http_request *r);
 void http_request_end(struct http_client *c, struct http_request *r,
-		      const struct http_answer *a);
+		      const struct http_response *a);
 void http_request_not_sent(struct http_client *c, struct http_request *r);
 void http_queues_start(struct http_client *c);
-void http_queues_abandon(struct http_client *c);
-void http_queues_forget(struct http_client *c, int64_t now);
+void http_queues_abort(struct http_client *c);
+void http_queues_expire(struct http_client *c, int64_t now);
 
-/* http-transfer.c: exchanges by libcurl's easy interface */
+/* http-transfer.c: transfers with libcurl easy handles */
 void http_transfer_start(struct http_client *c, struct http_queue *q,
 			 struct http_request *r);
 void http_transfers_reap(struct http_shard *sh);
-void http_transfers_abandon(struct http_client *c);
+void http_transfers_abort(struct http_client *c);
 void http_transfers_free(struct http_client *c);
 
 #endif
--- a/http-transfer.c
+++ b/http-transfer.c
@@ -13,16 +13,18 @@
 static size_t answer_write(char *p, size_t size, size_t count, void *arg)
 {
 	struct http_transfer *t = arg;
-	bstr *body = &t->answer.body;
+	bstr *body = &t->response.body;
 	size_t n = size * count, need = body->bstr_len + n;
 
-	if (need > t->request->max_answer) {
-		t->answer.too_long = true;
+	if (need > t->request->max_response) {
+		t->response.too_long = true;
 		return 0;
 	}
-	if (need > t->room) {
-		t->room = need < 2 * t->room ? 2 * t->room : need;
-		body->bstr_val = xrealloc(body->bstr_val, t->room, 1);
+	if (need > t->body_capacity) {
+		t->body_capacity = need < 2 * t->body_capacity
+					   ? 2 * t->body_capacity
+					   : need;
+		body->bstr_val = xrealloc(body->bstr_val, t->body_capacity, 1);
 	}
 	if (n)
 		memcpy(body->bstr_val + body->bstr_len, p, n);
@@ -73,20 +75,20 @@
 
 	t->header_bytes += n;
 	if (t->header_bytes > HEADERS_MAX) {
-		t->answer.too_long = true;
+		t->response.too_long = true;
 		return 0;
 	}
 	if (n > 5 && strncasecmp(p, "HTTP/", 5) == 0) {
 		/* The headers before were those of an interim answer. */
-		t->headers_whole = false;
-		t->answer.retry_after_ms = 0;
+		t->headers_done = false;
+		t->response.retry_after_ms = 0;
 		t->framed = false;
 	}
 	if (n == 2 && memcmp(p, "\r\n", 2) == 0)
-		t->headers_whole = true;
+		t->headers_done = true;
 	value = header_value(p, n, "Retry-After", &len);
 	if (value)
-		t->answer.retry_after_ms = retry_after_parse(value, len);
+		t->response.retry_after_ms = retry_after_parse(value, len);
 	if (header_value(p, n, "Content-Length", &len))
 		t->framed = true;
 	value = header_value(p, n, "Transfer-Encoding", &len);
@@ -122,16 +124,17 @@
 						 local_port);
 
 	(void)local_ip;
-	if (!t->fresh && (!s || !http_socket_is_good(s, t->queue))) {
+	if (!t->fresh_connect &&
+	    (!s || !http_socket_is_reusable(s, t->queue))) {
 		t->stale = true;
 		return CURL_PREREQFUNC_ABORT;
 	}
 	if (t->request->deadline <= clock_now())
 		return CURL_PREREQFUNC_ABORT;
-	t->answer.opened_at = clock_now();
+	t->response.conn_opened_at = clock_now();
 	if (s) {
 		s->used = true;
-		t->answer.opened_at = s->opened_at;
+		t->response.conn_opened_at = s->opened_at;
 	}
 	t->sent = true;
 	return CURL_PREREQFUNC_OK;
@@ -189,11 +192,11 @@
 static void transfer_end(struct http_transfer *t, enum http_outcome outcome)
 {
 	struct http_client *c = t->client;
-	struct http_answer a = t->answer;
+	struct http_response a = t->response;
 
 	a.outcome = outcome;
 	TAILQ_REMOVE(&c->running, t, entry);
-	TAILQ_INSERT_HEAD(&c->spare, t, entry);
+	TAILQ_INSERT_HEAD(&c->free_transfers, t, entry);
 	http_queue_end(c, t->queue);
 	http_request_end(c, t->request, &a);
 	bstr_free(&a.body);
@@ -243,7 +246,7 @@
 void http_transfer_start(struct http_client *c, struct http_queue *q,
 			 struct http_request *r)
 {
-	struct http_transfer *t = TAILQ_FIRST(&c->spare);
+	struct http_transfer *t = TAILQ_FIRST(&c->free_transfers);
 	CURL *h;
 
 	if (r->deadline <= clock_now() || (r->build && !r->build(r))) {
@@ -251,17 +254,17 @@
 		return;
 	}
 	if (t)
-		TAILQ_REMOVE(&c->spare, t, entry);
+		TAILQ_REMOVE(&c->free_transfers, t, entry);
 	else
 		t = transfer_new(c);
 	TAILQ_INSERT_TAIL(&c->running, t, entry);
 	http_queue_begin(q);
 	t->queue = q;
 	t->request = r;
-	t->sent = t->stale = t->fresh = false;
-	t->headers_whole = t->framed = false;
-	t->header_bytes = t->room = 0;
-	memset(&t->answer, 0, sizeof(t->answer));
+	t->sent = t->stale = t->fresh_connect = false;
+	t->headers_done = t->framed = false;
+	t->header_bytes = t->body_capacity = 0;
+	memset(&t->response, 0, sizeof(t->response));
 
 	h = t->easy;
 	curl_easy_setopt(h, CURLOPT_URL, r->url);
@@ -279,12 +282,12 @@
  */
 static enum http_outcome transfer_outcome(struct http_transfer *t, CURLcode rc)
 {
-	if (rc == CURLE_OK && !t->headers_whole)
-		return HTTP_NO_ANSWER;
+	if (rc == CURLE_OK && !t->headers_done)
+		return HTTP_NO_RESPONSE;
 	if (rc == CURLE_OK)
-		return t->framed || t->answer.status == 204 ? HTTP_OK
-							    : HTTP_INVALID;
-	if (t->answer.too_long)
+		return t->framed || t->response.status == 204 ? HTTP_OK
+							      : HTTP_INVALID;
+	if (t->response.too_long)
 		return HTTP_INVALID;
 	if (!t->sent)
 		return HTTP_NOT_SENT;
@@ -294,7 +297,7 @@
 	case CURLE_BAD_CONTENT_ENCODING:
 		return HTTP_INVALID;
 	default:
-		return HTTP_NO_ANSWER;
+		return HTTP_NO_RESPONSE;
 	}
 }
 
@@ -303,16 +306,16 @@
 {
 	struct http_client *c = t->client;
 
-	curl_easy_getinfo(t->easy, CURLINFO_RESPONSE_CODE, &t->answer.status);
+	curl_easy_getinfo(t->easy, CURLINFO_RESPONSE_CODE, &t->response.status);
 	curl_multi_remove_handle(t->queue->shard->multi, t->easy);
-	if (t->stale && !t->fresh) {
-		t->fresh = true;
+	if (t->stale && !t->fresh_connect) {
+		t->fresh_connect = true;
 		curl_easy_setopt(t->easy, CURLOPT_FRESH_CONNECT, 1L);
 		if (transfer_add(t))
 			return;
 	}
 	if (rc == CURLE_OPERATION_TIMEDOUT && t->sent)
-		t->queue->silent_serial = c->last_serial;
+		t->queue->timeout_serial = c->last_serial;
 	if (rc != CURLE_OK)
 		log_debug("%s %s: %s", t->request->method, t->request->url,
 			  curl_easy_strerror(rc));
@@ -335,13 +338,13 @@
 }
 
 /* End all that is under way: what was sent has no answer. */
-void http_transfers_abandon(struct http_client *c)
+void http_transfers_abort(struct http_client *c)
 {
 	struct http_transfer *t;
 
 	while ((t = TAILQ_FIRST(&c->running))) {
 		curl_multi_remove_handle(t->queue->shard->multi, t->easy);
-		transfer_end(t, t->sent ? HTTP_NO_ANSWER : HTTP_NOT_SENT);
+		transfer_end(t, t->sent ? HTTP_NO_RESPONSE : HTTP_NOT_SENT);
 	}
 }
 
@@ -350,8 +353,8 @@
 {
 	struct http_transfer *t;
 
-	while ((t = TAILQ_FIRST(&c->spare))) {
-		TAILQ_REMOVE(&c->spare, t, entry);
+	while ((t = TAILQ_FIRST(&c->free_transfers))) {
+		TAILQ_REMOVE(&c->free_transfers, t, entry);
 		curl_easy_cleanup(t->easy);
 		free(t);
 	}
--- a/tests/test-http-client.c
+++ b/tests/test-http-client.c
@@ -80,14 +80,14 @@
 
 /* Note the outcome; a call with a listener holds the thread up here. */
 static struct http_request *call_done(struct http_request *r,
-				      const struct http_answer *a)
+				      const struct http_response *a)
 {
 	struct call *c = (struct call *)r;
 	struct pollfd p = {.fd = c->listener, .events = POLLIN};
 	int first;
 
 	c->outcome = a->outcome;
-	c->opened_at = a->opened_at;
+	c->opened_at = a->conn_opened_at;
 	if (c->listener) {
 		/* Make room for the connection that hangs, and wait for it. */
 		first = accept(c->listener, NULL, NULL);
@@ -113,9 +113,9 @@
 	c->accepted = -1;
 	c->http.method = "POST";
 	c->http.url = xasprintf("http://127.0.0.1:%u/%s", port, name);
-	c->http.queue = xstrdup("cloud");
+	c->http.queue_name = xstrdup("cloud");
 	c->http.body = bstr_new("order");
-	c->http.max_answer = 1000;
+	c->http.max_response = 1000;
 	c->http.deadline = clock_now() + timeout_ms;
 	c->http.done = call_done;
 }
@@ -263,7 +263,7 @@
 	call_set(&second, fake_port(f), "second", SHORT_MS, &ended);
 	cr_assert(http_client_send(client, &second.http));
 	gate_wait(&ended, 2);
-	cr_expect_eq(second.outcome, HTTP_NO_ANSWER);
+	cr_expect_eq(second.outcome, HTTP_NO_RESPONSE);
 	cr_expect_eq(second.opened_at, first.opened_at);
 	cr_expect_leq(second.opened_at, between);
 	http_client_stop(client);
@@ -277,8 +277,8 @@
 	struct gate ended = GATE;
 
 	call_set(c, port, "once", LONG_MS, &ended);
-	free(c->http.queue);
-	c->http.queue = xstrdup(queue);
+	free(c->http.queue_name);
+	c->http.queue_name = xstrdup(queue);
 	cr_assert(http_client_send(client, &c->http));
 	gate_wait(&ended, 1);
 	return c->outcome;
@@ -304,9 +304,9 @@
 	cr_expect_eq(call_once(client, &c, fake_port(f), "q"), HTTP_OK);
 	cr_expect_eq(call_once(client, &c, fake_port(f), "q"), HTTP_OK);
 	fake_stop(f);
-	used = http_client_used(client);
+	used = http_client_cpu_ms(client);
 	poll(NULL, 0, 300);
-	cr_expect_leq(http_client_used(client) - used, 100);
+	cr_expect_leq(http_client_cpu_ms(client) - used, 100);
 	http_client_stop(client);
 }
 
