--- a/caller-decode.c
+++ b/caller-decode.c
@@ -115,7 +115,7 @@
 }
 
 /* Is this an idempotency key: 1 to 128 visible ASCII characters? */
-bool caller_is_key(bstr key)
+bool caller_key_is_valid(bstr key)
 {
 	u_int i;
 
@@ -327,7 +327,7 @@
  * Take wait=SECONDS out of a Prefer field.  RFC 7240 has a server pass over
  * preferences that it doesn't know, so only a bad wait is a finding.
  */
-static void prefer_take(bstr field, const struct caller_bounds *b,
+static void prefer_take(bstr field, const struct caller_limits *b,
 			struct caller_call *c)
 {
 	const char *p = field.bstr_val, *end = p + field.bstr_len, *next;
@@ -347,21 +347,21 @@
 		if (item.bstr_len < 5 || strncasecmp(p, "wait=", 5) != 0)
 			continue;
 		item = bstr_ref(p + 5, item.bstr_len - 5);
-		if (c->prefer_ms ||
+		if (c->prefer_wait_ms ||
 		    !number_read(item, 1, CALLER_TIMEOUT_MAX / 1000, &seconds))
 			finding_add(c, "Prefer",
 				    "expected one wait=SECONDS, 1 to %d",
 				    CALLER_TIMEOUT_MAX / 1000);
 		else
-			c->prefer_ms = seconds * 1000 < b->max_wait_ms
-					       ? seconds * 1000
-					       : b->max_wait_ms;
+			c->prefer_wait_ms = seconds * 1000 < b->max_wait_ms
+						    ? seconds * 1000
+						    : b->max_wait_ms;
 	}
 }
 
 /* Take the query arguments; only a get has one. */
 static void queries_take(const struct caller_head *h,
-			 const struct caller_bounds *b, struct caller_call *c)
+			 const struct caller_limits *b, struct caller_call *c)
 {
 	size_t i, n = h->query_count;
 	bool seen = false;
@@ -405,7 +405,7 @@
  * alone don't refuse yet, so that the body's are told together with them.
  */
 bool caller_decode_head(const struct caller_head *h,
-			const struct caller_bounds *b, struct caller_call *c)
+			const struct caller_limits *b, struct caller_call *c)
 {
 	bstr fields[FIELD_COUNT] = {BSTR_NONE};
 	uint32_t length;
@@ -431,7 +431,7 @@
 		return true;
 	if (fields[FIELD_PREFER].bstr_len)
 		prefer_take(fields[FIELD_PREFER], b, c);
-	if (caller_is_key(fields[FIELD_KEY]))
+	if (caller_key_is_valid(fields[FIELD_KEY]))
 		bstr_set(&c->request.body.caller_body_u.spec.key,
 			 fields[FIELD_KEY]);
 	else if (fields[FIELD_KEY].bstr_len)
@@ -618,14 +618,14 @@
 }
 
 /* Settle the waiting of a submission once all its members are known. */
-static void wait_settle(struct caller_call *c, const struct caller_bounds *b,
+static void wait_settle(struct caller_call *c, const struct caller_limits *b,
 			job_spec *s)
 {
-	if (c->prefer_ms)
+	if (c->prefer_wait_ms)
 		s->wait = true;
 	if (!s->timeout_ms) {
-		s->timeout_ms = c->prefer_ms ? c->prefer_ms
-					     : CALLER_TIMEOUT_DEFAULT;
+		s->timeout_ms = c->prefer_wait_ms ? c->prefer_wait_ms
+						  : CALLER_TIMEOUT_DEFAULT;
 		if (s->wait && s->timeout_ms > b->max_wait_ms)
 			s->timeout_ms = b->max_wait_ms;
 	}
@@ -640,7 +640,7 @@
  * payload is written anew from what was parsed, which can be longer than it
  * came (1e9 becomes 1000000000.0), so its length is bounded here too.
  */
-bool caller_decode_body(bstr body, const struct caller_bounds *b,
+bool caller_decode_body(bstr body, const struct caller_limits *b,
 			struct caller_call *c)
 {
 	job_spec *s = &c->request.body.caller_body_u.spec, label = {0};
--- a/caller-encode.c
+++ b/caller-encode.c
@@ -158,7 +158,7 @@
 	memset(r, 0, sizeof(*r));
 	r->http = p->http;
 	r->retry_after_s = seconds_of(p->retry_after_ms);
-	if (p->unknown)
+	if (p->outcome_unknown)
 		json_object_set_new(j, "state", json_string("unknown"));
 	problem_set(j, p->http, bstr_lit(p->reason), bstr_lit(p->detail),
 		    p->retry_after_ms);
--- a/caller.h
+++ b/caller.h
@@ -1,6 +1,6 @@
 /*
- * caller.h: what the callers' edge, its decoder and its encoder share.
- * Decoder and encoder know no socket; docs/API.md describes what they do.
+ * Types shared by the callers' HTTP server and its request decoder and reply
+ * encoder. The decoder and encoder do no I/O; docs/API.md describes the API.
  */
 #ifndef CALLER_H
 #define CALLER_H
@@ -12,20 +12,20 @@
 #endif
 
 #define CALLER_HEADER_MAX 16384	  /* bytes of all header fields */
-#define CALLER_FIELDS_MAX 64	  /* header fields, and query arguments */
-#define CALLER_DEPTH_MAX 32	  /* arrays and objects in each other */
-#define CALLER_FINDINGS_MAX 32	  /* told at once */
-#define CALLER_KEY_MAX 128	  /* idempotency key */
-#define CALLER_LABEL_MAX 128	  /* bytes */
-#define CALLER_POOL_MAX 64	  /* a name */
-#define CALLER_JOB_MAX 128	  /* a name */
+#define CALLER_FIELDS_MAX 64	  /* header fields; also query arguments */
+#define CALLER_DEPTH_MAX 32	  /* nesting of JSON arrays and objects */
+#define CALLER_FINDINGS_MAX 32	  /* reported in one response */
+#define CALLER_KEY_MAX 128	  /* bytes of an idempotency key */
+#define CALLER_LABEL_MAX 128	  /* bytes of a label */
+#define CALLER_POOL_MAX 64	  /* bytes of a pool name */
+#define CALLER_JOB_MAX 128	  /* bytes of a job ID */
 #define CALLER_CPU_MAX 1024000	  /* thousandths of a core */
 #define CALLER_MEMORY_MAX 4194304 /* MB */
 #define CALLER_ACCELERATORS_MAX 64
 #define CALLER_RUN_MAX 604800000    /* ms: a week */
 #define CALLER_TIMEOUT_MAX 86400000 /* ms: a day */
 #define CALLER_TIMEOUT_DEFAULT 60000
-#define CALLER_CANCEL_MS 10000 /* a cancellation is answered within */
+#define CALLER_CANCEL_MS 10000 /* time limit to answer a cancellation */
 
 enum caller_route {
 	ROUTE_NONE,
@@ -38,64 +38,71 @@
 	ROUTE_METRICS
 };
 
-/* A header field or a query argument. */
+/* A header field or query argument. */
 struct caller_field {
 	bstr name;
 	bstr value;
 };
 
-/* A request without its body; refers to the edge's memory. */
+/*
+ * A request without its body. The strings are not owned: they point into the
+ * server's memory. The counts may exceed CALLER_FIELDS_MAX, although no more
+ * fields than that are stored. The decoder refuses such a header.
+ */
 struct caller_head {
 	bstr method;
 	bstr path;
 	struct caller_field headers[CALLER_FIELDS_MAX];
-	size_t header_count; /* may be above the maximum: refused then */
+	size_t header_count;
 	struct caller_field queries[CALLER_FIELDS_MAX];
 	size_t query_count;
 };
 
-struct caller_bounds {
+struct caller_limits {
 	uint32_t max_body;
 	uint32_t max_wait_ms;
 };
 
-/* Why a request is refused; http 0: it is not. */
+/*
+ * The error of a refused request; http is 0 if it is not refused.
+ * outcome_unknown is set if the request may have been carried out all the same.
+ */
 struct caller_problem {
 	uint32_t http;
 	const char *reason;
-	const char *allow; /* the methods that there are, or NULL */
+	const char *allow; /* value of the Allow header, or NULL */
 	enum counter_id counter;
 	char *detail;
 	struct error findings;
 	uint32_t retry_after_ms;
-	bool unknown; /* whether the request was carried out */
+	bool outcome_unknown;
 };
 
-/* A request, decoded. */
+/* A decoded request. */
 struct caller_call {
 	enum caller_route route;
 	caller_request request;
-	bstr key;	    /* idempotency key, for the answer */
-	uint32_t prefer_ms; /* Prefer: wait; 0: not given */
-	uint32_t answer_ms; /* the reducer has this long to answer */
+	bstr key;		 /* idempotency key, for the reply */
+	uint32_t prefer_wait_ms; /* from Prefer: wait; 0: none */
+	uint32_t answer_ms;	 /* time limit for the reducer to answer */
 	struct caller_problem problem;
 };
 
-/* An HTTP response; body is malloced. */
+/* An HTTP response. body is allocated with malloc. */
 struct caller_reply {
 	uint32_t http;
 	const char *type;
 	bstr body;
 	bstr location;
-	uint32_t retry_after_s; /* 0: no such header */
+	uint32_t retry_after_s; /* 0: no Retry-After header */
 };
 
 /* caller-decode.c */
 bool caller_decode_head(const struct caller_head *h,
-			const struct caller_bounds *b, struct caller_call *c);
-bool caller_decode_body(bstr body, const struct caller_bounds *b,
+			const struct caller_limits *b, struct caller_call *c);
+bool caller_decode_body(bstr body, const struct caller_limits *b,
 			struct caller_call *c);
-bool caller_is_key(bstr key);
+bool caller_key_is_valid(bstr key);
 void caller_refuse(struct caller_problem *p, uint32_t http, const char *reason,
 		   enum counter_id counter, const char *fmt, ...)
 	PRINTF_LIKE(5, 6);
@@ -110,11 +117,15 @@
 			   struct caller_reply *r);
 void caller_encode_text(uint32_t http, bstr text, struct caller_reply *r);
 
-/* edge-caller.c: times of the edge's own, shorter in tests. */
+/*
+ * edge-caller.c: timeouts of the server, shortened by tests. idle_ms limits the
+ * time to receive a complete request and to send a reply. margin_ms is added to
+ * answer_ms; after that time the server itself reports that no answer arrived.
+ */
 struct caller_timing {
-	uint32_t idle_ms;   /* a whole request arrives, an answer leaves */
-	uint32_t margin_ms; /* over answer_ms before the edge answers */
-	uint32_t sweep_ms;  /* deadlines are looked at this often */
+	uint32_t idle_ms;
+	uint32_t margin_ms;
+	uint32_t sweep_ms; /* interval between checks of all deadlines */
 };
 struct edge_caller *edge_caller_start_timed(const struct settings *s,
 					    const struct caller_timing *t,
--- a/edge-caller-conn.c
+++ b/edge-caller-conn.c
@@ -28,34 +28,36 @@
  * were it lost, the reducer would hold the call for good.  There are never
  * more than calls were put into the inbox, and a full inbox takes none.
  */
-void caller_conn_gone(struct edge_caller *edge, const struct conn *cn)
+void caller_conn_notify_gone(struct edge_caller *edge, const struct conn *cn)
 {
 	uint64_t call = caller_conn_call(edge, cn);
 
 	pthread_mutex_lock(&edge->lock);
 	if (!gone_put(edge, call)) {
-		if (edge->gone_count == edge->gone_room) {
-			edge->gone_room = edge->gone_room * 2 + 16;
-			edge->gone = xrealloc(edge->gone, edge->gone_room,
-					      sizeof(*edge->gone));
+		if (edge->unsent_gone_count == edge->unsent_gone_capacity) {
+			edge->unsent_gone_capacity =
+				edge->unsent_gone_capacity * 2 + 16;
+			edge->unsent_gone = xrealloc(
+				edge->unsent_gone, edge->unsent_gone_capacity,
+				sizeof(*edge->unsent_gone));
 		}
-		edge->gone[edge->gone_count++] = call;
+		edge->unsent_gone[edge->unsent_gone_count++] = call;
 	}
 	pthread_mutex_unlock(&edge->lock);
 }
 
-/* Put what caller_conn_gone could not. */
+/* Put what caller_conn_notify_gone could not. */
 static void gone_retry(struct edge_caller *edge)
 {
 	pthread_mutex_lock(&edge->lock);
-	while (edge->gone_count &&
-	       gone_put(edge, edge->gone[edge->gone_count - 1]))
-		edge->gone_count--;
+	while (edge->unsent_gone_count &&
+	       gone_put(edge, edge->unsent_gone[edge->unsent_gone_count - 1]))
+		edge->unsent_gone_count--;
 	pthread_mutex_unlock(&edge->lock);
 }
 
 /* Set when what is awaited of a connection is overdue. */
-void caller_conn_expect(struct conn *cn, uint32_t ms)
+void caller_conn_set_deadline(struct conn *cn, uint32_t ms)
 {
 	pthread_mutex_lock(&cn->lock);
 	cn->deadline = clock_now() + ms;
@@ -86,11 +88,11 @@
 static void conn_expire(struct edge_caller *edge, struct conn *cn)
 {
 	if (cn->state == CONN_PENDING) {
-		caller_conn_gone(edge, cn);
-		caller_conn_resume(edge, cn, CONN_LATE);
+		caller_conn_notify_gone(edge, cn);
+		caller_conn_resume(edge, cn, CONN_TIMED_OUT);
 		return;
 	}
-	if (!cn->served)
+	if (!cn->got_request)
 		counter_add(COUNT_REFUSED_SLOW, 1);
 	cn->deadline = INT64_MAX;
 	shutdown(cn->fd, SHUT_RDWR);
@@ -103,7 +105,7 @@
 	uint32_t i, used;
 
 	pthread_mutex_lock(&edge->lock);
-	used = edge->used;
+	used = edge->slot_high_water;
 	pthread_mutex_unlock(&edge->lock);
 	for (i = 0; i < used; i++) {
 		struct conn *cn = &edge->conns[i];
@@ -122,10 +124,10 @@
 
 	pthread_mutex_lock(&cn->lock);
 	if (cn->mhd && cn->incarnation == id >> SLOT_BITS) {
-		cn->left = true;
+		cn->client_closed = true;
 		if (cn->state == CONN_PENDING) {
-			caller_conn_gone(edge, cn);
-			caller_conn_resume(edge, cn, CONN_GONE);
+			caller_conn_notify_gone(edge, cn);
+			caller_conn_resume(edge, cn, CONN_CLIENT_GONE);
 		}
 	}
 	pthread_mutex_unlock(&cn->lock);
@@ -170,12 +172,13 @@
 	uint32_t slot;
 
 	pthread_mutex_lock(&edge->lock);
-	if (edge->slot_count) {
-		slot = edge->slots[--edge->slot_count];
+	if (edge->free_slot_count) {
+		slot = edge->free_slots[--edge->free_slot_count];
 		cn = &edge->conns[slot];
-		if (slot >= edge->used)
-			edge->used = slot + 1;
-		over = edge->room - edge->slot_count > edge->max_connections;
+		if (slot >= edge->slot_high_water)
+			edge->slot_high_water = slot + 1;
+		over = edge->slot_total - edge->free_slot_count >
+		       edge->max_connections;
 	}
 	pthread_mutex_unlock(&edge->lock);
 	if (!cn)
@@ -185,8 +188,8 @@
 	cn->fd = info->connect_fd;
 	cn->incarnation++;
 	cn->state = CONN_IDLE;
-	cn->left = cn->served = false;
-	cn->over = over;
+	cn->client_closed = cn->got_request = false;
+	cn->over_limit = over;
 	cn->deadline = clock_now() + edge->timing.idle_ms;
 	ev.data.u64 = cn->incarnation << SLOT_BITS | slot;
 	/* a connection that can't be watched is served, and swept */
@@ -202,7 +205,8 @@
 	cn->mhd = NULL;
 	pthread_mutex_unlock(&cn->lock);
 	pthread_mutex_lock(&edge->lock);
-	edge->slots[edge->slot_count++] = (uint32_t)(cn - edge->conns);
+	edge->free_slots[edge->free_slot_count++] = (uint32_t)(cn -
+							       edge->conns);
 	pthread_mutex_unlock(&edge->lock);
 }
 
@@ -231,7 +235,7 @@
 
 	(void)sa, (void)len;
 	pthread_mutex_lock(&edge->lock);
-	room = edge->slot_count > 0;
+	room = edge->free_slot_count > 0;
 	pthread_mutex_unlock(&edge->lock);
 	if (room)
 		return MHD_YES;
--- a/edge-caller-reply.c
+++ b/edge-caller-reply.c
@@ -9,20 +9,20 @@
  * Count a refusal, and log it, but not more a second than somebody would read.
  * What the client is not at fault for is only counted.
  */
-void caller_refusal_note(struct edge_caller *edge,
-			 const struct caller_problem *p)
+void caller_refusal_record(struct edge_caller *edge,
+			   const struct caller_problem *p)
 {
 	uint64_t now = (uint64_t)clock_now() / 1000 << 8, was;
 
 	counter_add(p->counter, 1);
 	if (p->http >= 500)
 		return;
-	was = ck_pr_load_64(&edge->logged);
+	was = ck_pr_load_64(&edge->log_window);
 	if ((was & ~(uint64_t)0xff) != now)
 		was = now;
 	if ((was & 0xff) >= CALLER_LOGGED_MAX)
 		return;
-	ck_pr_store_64(&edge->logged, was + 1);
+	ck_pr_store_64(&edge->log_window, was + 1);
 	log_event(LOG_BAD_INPUT, "caller: %u %s: %s", p->http, p->reason,
 		  p->detail);
 }
@@ -77,7 +77,7 @@
 	struct caller_problem *p = &rq->call.problem;
 	struct caller_reply r;
 
-	caller_refusal_note(edge, p);
+	caller_refusal_record(edge, p);
 	caller_encode_problem(&rq->call, p, &r);
 	return caller_reply_send(mhd, rq, &r, p->allow, close);
 }
@@ -91,16 +91,17 @@
 	struct caller_problem *p = &rq->call.problem;
 
 	p->retry_after_ms = 1000;
-	p->unknown = rq->sent;
-	if (state == CONN_LATE)
+	p->outcome_unknown = rq->submitted;
+	if (state == CONN_TIMED_OUT)
 		caller_refuse(p, 504, "no-answer", COUNT_REFUSED_NO_ANSWER,
 			      "no answer in time; what was asked for may "
 			      "have been done");
 	else if (state == CONN_STOPPED)
 		caller_refuse(p, 503, "stopping", COUNT_REFUSED_STOPPING,
 			      "this entry VM stops; %s",
-			      rq->sent ? "what was asked for may have been done"
-				       : "nothing was done");
+			      rq->submitted
+				      ? "what was asked for may have been done"
+				      : "nothing was done");
 	else
 		caller_refuse(p, 503, "overload", COUNT_REFUSED_OVERLOAD,
 			      "too many requests wait here; nothing was done");
--- a/edge-caller-request.c
+++ b/edge-caller-request.c
@@ -42,8 +42,8 @@
 	pthread_mutex_lock(&cn->lock);
 	cn->generation++;
 	call->call = caller_conn_call(edge, cn);
-	if (cn->left)
-		state = CONN_GONE;
+	if (cn->client_closed)
+		state = CONN_CLIENT_GONE;
 	else if (ck_pr_load_int(&edge->stopping))
 		state = CONN_STOPPED;
 	else if (!mailbox_put(edge->inbox, ev))
@@ -56,11 +56,11 @@
 	}
 	pthread_mutex_unlock(&cn->lock);
 	if (state == CONN_PENDING) {
-		rq->sent = true;
+		rq->submitted = true;
 		return MHD_YES;
 	}
 	event_free(ev);
-	if (state == CONN_GONE)
+	if (state == CONN_CLIENT_GONE)
 		return MHD_NO; /* nobody is there to be answered */
 	return caller_reply_unavailable(edge, mhd, rq, state);
 }
@@ -87,7 +87,7 @@
 		effect_free(fx);
 		return caller_reply_send(mhd, rq, &r, NULL, false);
 	}
-	if (state == CONN_LATE || state == CONN_STOPPED)
+	if (state == CONN_TIMED_OUT || state == CONN_STOPPED)
 		return caller_reply_unavailable(edge, mhd, rq, state);
 	return MHD_NO;
 }
@@ -136,7 +136,7 @@
 
 	*con_cls = rq;
 	pthread_mutex_lock(&edge->lock);
-	edge->busy++;
+	edge->active_requests++;
 	pthread_mutex_unlock(&edge->lock);
 	h.method = bstr_lit(method);
 	h.path = bstr_lit(path);
@@ -144,14 +144,14 @@
 	MHD_get_connection_values_n(mhd, MHD_HEADER_KIND, field_collect, &h);
 	MHD_get_connection_values_n(mhd, MHD_GET_ARGUMENT_KIND, field_collect,
 				    &h);
-	if (!caller_decode_head(&h, &edge->bounds, &rq->call)) {
+	if (!caller_decode_head(&h, &edge->limits, &rq->call)) {
 		length = MHD_lookup_connection_value(mhd, MHD_HEADER_KIND,
 						     "Content-Length");
 		if (rq->call.problem.http == 400 || client_holds(mhd) ||
 		    (length && strtoull(length, NULL, 10) > CALLER_DRAIN_MAX))
 			return caller_reply_problem(edge, mhd, rq, true);
 	}
-	if (!cn || cn->over) {
+	if (!cn || cn->over_limit) {
 		caller_refuse(&rq->call.problem, 503, "connections",
 			      COUNT_REFUSED_CONNECTIONS,
 			      "all connections are in use");
@@ -159,7 +159,7 @@
 	}
 	if (!cn)
 		return caller_reply_problem(edge, mhd, rq, true);
-	caller_conn_expect(cn, edge->timing.idle_ms);
+	caller_conn_set_deadline(cn, edge->timing.idle_ms);
 	return MHD_YES;
 }
 
@@ -170,20 +170,21 @@
 {
 	size_t whole = rq->body.bstr_len + len;
 
-	if (rq->call.problem.http || whole > edge->bounds.max_body) {
+	if (rq->call.problem.http || whole > edge->limits.max_body) {
 		caller_refuse(&rq->call.problem, 413, "body-too-large",
 			      COUNT_REFUSED_BODY_TOO_LARGE,
 			      "a body has at most %u bytes",
-			      edge->bounds.max_body);
-		rq->drained += len;
-		if (rq->drained <= CALLER_DRAIN_MAX)
+			      edge->limits.max_body);
+		rq->discarded += len;
+		if (rq->discarded <= CALLER_DRAIN_MAX)
 			return MHD_YES;
-		caller_refusal_note(edge, &rq->call.problem);
+		caller_refusal_record(edge, &rq->call.problem);
 		return MHD_NO;
 	}
-	if (whole > rq->room) {
-		rq->room = whole < 512 ? 512 : whole * 2;
-		rq->body.bstr_val = xrealloc(rq->body.bstr_val, rq->room, 1);
+	if (whole > rq->body_capacity) {
+		rq->body_capacity = whole < 512 ? 512 : whole * 2;
+		rq->body.bstr_val = xrealloc(rq->body.bstr_val,
+					     rq->body_capacity, 1);
 	}
 	memcpy(rq->body.bstr_val + rq->body.bstr_len, data, len);
 	rq->body.bstr_len = (u_int)whole;
@@ -196,16 +197,16 @@
 				   struct request *rq)
 {
 	bool ok = !rq->call.problem.http &&
-		  caller_decode_body(rq->body, &edge->bounds, &rq->call);
+		  caller_decode_body(rq->body, &edge->limits, &rq->call);
 
 	bstr_free(&rq->body);
-	rq->room = 0;
+	rq->body_capacity = 0;
 	pthread_mutex_lock(&cn->lock);
-	cn->served = true;
+	cn->got_request = true;
 	cn->deadline = clock_now() + edge->timing.idle_ms;
 	pthread_mutex_unlock(&cn->lock);
 	if (!ok)
-		return caller_reply_problem(edge, mhd, rq, cn->over);
+		return caller_reply_problem(edge, mhd, rq, cn->over_limit);
 	if (rq->call.route >= ROUTE_HEALTH)
 		return caller_reply_local(edge, mhd, rq);
 	return call_send(edge, mhd, cn, rq);
@@ -232,8 +233,8 @@
 		*len = 0;
 		return ok;
 	}
-	return rq->sent ? call_end(edge, mhd, cn, rq)
-			: request_end(edge, mhd, cn, rq);
+	return rq->submitted ? call_end(edge, mhd, cn, rq)
+			     : request_end(edge, mhd, cn, rq);
 }
 
 /*
@@ -255,7 +256,7 @@
 	if (cn) {
 		pthread_mutex_lock(&cn->lock);
 		if (cn->state == CONN_PENDING)
-			caller_conn_gone(edge, cn);
+			caller_conn_notify_gone(edge, cn);
 		cn->state = CONN_IDLE;
 		effect_free(cn->answer);
 		cn->answer = NULL;
@@ -267,7 +268,7 @@
 	free(rq);
 	*con_cls = NULL;
 	pthread_mutex_lock(&edge->lock);
-	if (!--edge->busy)
-		pthread_cond_signal(&edge->quiet);
+	if (!--edge->active_requests)
+		pthread_cond_signal(&edge->idle_cond);
 	pthread_mutex_unlock(&edge->lock);
 }
--- a/edge-caller.c
+++ b/edge-caller.c
@@ -107,7 +107,7 @@
 			edge, MHD_OPTION_SOCK_ADDR, &addr.sa,
 			MHD_OPTION_CONNECTION_MEMORY_LIMIT,
 			(size_t)CALLER_MEMORY, MHD_OPTION_CONNECTION_LIMIT,
-			edge->room * (threads ? threads : 1),
+			edge->slot_total * (threads ? threads : 1),
 			MHD_OPTION_STRICT_FOR_CLIENT, 1,
 			MHD_OPTION_NOTIFY_CONNECTION, edge_caller_connection,
 			edge, MHD_OPTION_NOTIFY_COMPLETED,
@@ -132,15 +132,15 @@
 {
 	uint32_t i;
 
-	free(edge->gone);
-	for (i = 0; i < edge->room; i++)
+	free(edge->unsent_gone);
+	for (i = 0; i < edge->slot_total; i++)
 		pthread_mutex_destroy(&edge->conns[i].lock);
 	pthread_mutex_destroy(&edge->lock);
-	pthread_cond_destroy(&edge->quiet);
+	pthread_cond_destroy(&edge->idle_cond);
 	close(edge->epoll);
 	close(edge->wake);
 	free(edge->conns);
-	free(edge->slots);
+	free(edge->free_slots);
 	free(edge);
 }
 
@@ -156,22 +156,22 @@
 
 	edge->inbox = inbox;
 	edge->timing = *t;
-	edge->bounds.max_body = s->callers.max_body;
-	edge->bounds.max_wait_ms = s->callers.max_wait_ms;
+	edge->limits.max_body = s->callers.max_body;
+	edge->limits.max_wait_ms = s->callers.max_wait_ms;
 	edge->max_connections = s->callers.max_connections;
 	if (edge->max_connections > SLOT_MASK - CALLER_SPARE)
 		edge->max_connections = SLOT_MASK - CALLER_SPARE;
-	edge->room = edge->max_connections + CALLER_SPARE;
-	edge->conns = xcalloc(edge->room, sizeof(*edge->conns));
-	edge->slots = xcalloc(edge->room, sizeof(*edge->slots));
-	for (i = edge->room; i-- > 0;) {
-		edge->slots[edge->slot_count++] = i;
+	edge->slot_total = edge->max_connections + CALLER_SPARE;
+	edge->conns = xcalloc(edge->slot_total, sizeof(*edge->conns));
+	edge->free_slots = xcalloc(edge->slot_total, sizeof(*edge->free_slots));
+	for (i = edge->slot_total; i-- > 0;) {
+		edge->free_slots[edge->free_slot_count++] = i;
 		pthread_mutex_init(&edge->conns[i].lock, NULL);
 	}
 	pthread_mutex_init(&edge->lock, NULL);
 	pthread_condattr_init(&attr);
 	pthread_condattr_setclock(&attr, CLOCK_MONOTONIC);
-	pthread_cond_init(&edge->quiet, &attr);
+	pthread_cond_init(&edge->idle_cond, &attr);
 	pthread_condattr_destroy(&attr);
 	edge->epoll = epoll_create1(EPOLL_CLOEXEC);
 	edge->wake = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
@@ -239,7 +239,7 @@
 	bool taken = false;
 	struct conn *cn;
 
-	if (fx->kind == FX_ANSWER && slot < edge->room) {
+	if (fx->kind == FX_ANSWER && slot < edge->slot_total) {
 		cn = &edge->conns[slot];
 		pthread_mutex_lock(&cn->lock);
 		taken = cn->state == CONN_PENDING &&
@@ -265,8 +265,8 @@
 	clock_gettime(CLOCK_MONOTONIC, &until);
 	until.tv_sec += CALLER_STOP_MS / 1000;
 	pthread_mutex_lock(&edge->lock);
-	while (edge->busy &&
-	       !pthread_cond_timedwait(&edge->quiet, &edge->lock, &until))
+	while (edge->active_requests &&
+	       !pthread_cond_timedwait(&edge->idle_cond, &edge->lock, &until))
 		;
 	pthread_mutex_unlock(&edge->lock);
 }
@@ -287,7 +287,7 @@
 		log_debug("the watcher wakes by its tick");
 	pthread_join(edge->watcher, NULL);
 	listener = MHD_quiesce_daemon(edge->daemon);
-	for (i = 0; i < edge->room; i++) {
+	for (i = 0; i < edge->slot_total; i++) {
 		cn = &edge->conns[i];
 		pthread_mutex_lock(&cn->lock);
 		if (cn->state == CONN_PENDING)
--- a/edge-caller.h
+++ b/edge-caller.h
@@ -1,7 +1,7 @@
 /*
- * What the files of the callers' edge share: edge-caller.c listens, starts
- * and stops, edge-caller-conn.c has a connection's life, edge-caller-request.c
- * reads requests and edge-caller-reply.c writes replies.
+ * Internal interfaces of the callers' HTTP server. edge-caller.c starts and
+ * stops the listener, edge-caller-conn.c manages connections,
+ * edge-caller-request.c reads requests and edge-caller-reply.c writes replies.
  */
 #ifndef EDGE_CALLER_H
 #define EDGE_CALLER_H
@@ -15,78 +15,92 @@
 #define SLOT_MASK ((1U << SLOT_BITS) - 1)
 
 /*
- * IDLE: no call is with the reducer.  PENDING: one is, and the connection is
- * suspended.  ANSWERED, LATE, GONE, STOPPED: it was resumed with an answer,
- * without one in time, because the client left, because the daemon stops.
+ * IDLE: the reducer has no call of this connection. PENDING: it has one, and
+ * the connection is suspended. In the other states the connection was resumed:
+ * ANSWERED with the reducer's answer, TIMED_OUT because no answer arrived in
+ * time, CLIENT_GONE because the client closed the connection, STOPPED because
+ * the daemon is stopping.
  */
 enum conn_state {
 	CONN_IDLE,
 	CONN_PENDING,
 	CONN_ANSWERED,
-	CONN_LATE,
-	CONN_GONE,
+	CONN_TIMED_OUT,
+	CONN_CLIENT_GONE,
 	CONN_STOPPED
 };
 
 /*
- * A connection's slot.  A call's id is its slot with the generation above,
- * and the generation grows with each call and is kept from one connection to
- * the next, so no id comes twice and an answer finds its own call or none.
+ * A slot of the connection table. A call ID consists of the slot number and,
+ * above it, the generation. The generation is incremented for each call and
+ * survives the connection, so no call ID is used twice and a late answer cannot
+ * reach another call.
  */
 struct conn {
 	pthread_mutex_t lock;
-	struct MHD_Connection *mhd; /* NULL: the slot is free */
+	struct MHD_Connection *mhd; /* NULL if the slot is free */
 	int fd;
 	uint64_t generation;
-	uint64_t incarnation; /* of the slot: one for each connection */
+	uint64_t incarnation; /* number of connections so far */
 	enum conn_state state;
 	effect *answer;
-	int64_t deadline; /* for what is awaited, see conn_expire */
-	bool over;	  /* above the limit: told so */
-	bool left;	  /* the client has closed its side */
-	bool served;	  /* one request at least has been whole */
+	int64_t deadline;   /* see conn_expire */
+	bool over_limit;    /* over max_connections, refused */
+	bool client_closed; /* the client has closed its side */
+	bool got_request;   /* received a complete request */
 };
 
-/* A request on its way in; MHD's con_cls. */
+/*
+ * A request that is being received; the con_cls of libmicrohttpd. discarded
+ * counts the body bytes that were read and dropped after a refusal.
+ */
 struct request {
 	struct caller_call call;
 	bstr body;
-	size_t room;
-	size_t drained;
-	bool sent; /* to the reducer */
+	size_t body_capacity;
+	size_t discarded;
+	bool submitted; /* sent to the reducer */
 };
 
+/*
+ * The server. unsent_gone lists the calls whose EV_CALL_GONE could not be
+ * posted because the inbox was full; the watcher retries them. log_window holds
+ * a second and the number of refusals logged in it, to limit their rate.
+ *
+ * Lock order: lock may be taken while the lock of a conn is held, but not the
+ * other way round.
+ */
 struct edge_caller {
 	struct MHD_Daemon *daemon;
 	struct mailbox *inbox;
-	struct caller_bounds bounds;
+	struct caller_limits limits;
 	struct caller_timing timing;
 	uint16_t port;
 	uint32_t max_connections;
 	struct conn *conns;
-	uint32_t room;
-	uint32_t *slots; /* free ones, under lock */
-	uint32_t slot_count;
-	uint32_t used;	      /* slots below this have ever been used */
-	uint32_t busy;	      /* requests under way, under lock */
-	pthread_mutex_t lock; /* taken inside a conn's, never around */
-	pthread_cond_t quiet;
+	uint32_t slot_total;
+	uint32_t *free_slots; /* stack, under lock */
+	uint32_t free_slot_count;
+	uint32_t slot_high_water; /* first slot never used so far */
+	uint32_t active_requests; /* under lock */
+	pthread_mutex_t lock;	  /* see above */
+	pthread_cond_t idle_cond; /* active_requests is 0 */
 	int epoll;
 	int wake;
 	pthread_t watcher;
-	uint64_t *gone; /* calls whose EV_CALL_GONE found no room, under lock */
-	uint32_t gone_count;
-	uint32_t gone_room;
-	int ready;	 /* by ck_pr */
-	int stopping;	 /* by ck_pr */
-	uint64_t logged; /* second and count, by ck_pr */
+	uint64_t *unsent_gone; /* under lock */
+	uint32_t unsent_gone_count;
+	uint32_t unsent_gone_capacity;
+	int ready;	     /* atomic (ck_pr) */
+	int stopping;	     /* atomic (ck_pr) */
+	uint64_t log_window; /* atomic (ck_pr) */
 };
 
 /* edge-caller-conn.c */
 uint64_t caller_conn_call(const struct edge_caller *edge,
 			  const struct conn *cn);
-void caller_conn_gone(struct edge_caller *edge, const struct conn *cn);
-void caller_conn_expect(struct conn *cn, uint32_t ms);
+void caller_conn_notify_gone(struct edge_caller *edge, const struct conn *cn);
+void caller_conn_set_deadline(struct conn *cn, uint32_t ms);
 void caller_conn_resume(struct edge_caller *edge, struct conn *cn,
 			enum conn_state state);
 void *edge_caller_watch(void *arg);
@@ -106,8 +120,8 @@
 			   enum MHD_RequestTerminationCode code);
 
 /* edge-caller-reply.c */
-void caller_refusal_note(struct edge_caller *edge,
-			 const struct caller_problem *p);
+void caller_refusal_record(struct edge_caller *edge,
+			   const struct caller_problem *p);
 enum MHD_Result caller_reply_send(struct MHD_Connection *mhd,
 				  const struct request *rq,
 				  struct caller_reply *r, const char *allow,
--- a/tests/prop-caller-decode.cc
+++ b/tests/prop-caller-decode.cc
@@ -5,7 +5,7 @@
 #include <rapidcheck.h>
 #include <string>
 
-static const caller_bounds bounds = {2048, 30000};
+static const caller_limits bounds = {2048, 30000};
 
 static bstr ref(const std::string &s)
 {
@@ -55,7 +55,7 @@
 
 		RC_ASSERT(c.request.key_digest.bstr_len == 32);
 		RC_ASSERT(bstr_is_name(s->pool, CALLER_POOL_MAX));
-		RC_ASSERT(!s->key.bstr_len || caller_is_key(s->key));
+		RC_ASSERT(!s->key.bstr_len || caller_key_is_valid(s->key));
 		RC_ASSERT(s->label.bstr_len <= CALLER_LABEL_MAX);
 		RC_ASSERT(s->cpu_milli <= CALLER_CPU_MAX);
 		RC_ASSERT(s->memory_mb <= CALLER_MEMORY_MAX);
--- a/tests/test-caller-decode.c
+++ b/tests/test-caller-decode.c
@@ -15,7 +15,7 @@
 /* wait, with the rest of a body that is right */
 #define OK(more) "{\"pool\":\"p\",\"payload\":1" more "}"
 
-static const struct caller_bounds bounds = {4096, 30000};
+static const struct caller_limits bounds = {4096, 30000};
 
 /* Decode a request whose header has the fields given, two by two. */
 static bool decode(struct caller_call *c, const char *method, const char *path,
