--- a/edge-operator.c
+++ b/edge-operator.c
@@ -188,7 +188,7 @@
 
 	p->call = call;
 	p->signer = signer;
-	p->deadline = clock_now() + rpc_limits.answer_ms;
+	p->deadline = clock_now() + rpc_timeouts.answer_ms;
 	memcpy(p->nonce, envelope->nonce, sizeof(p->nonce));
 	edge->pending[edge->pending_count++] = p;
 	ok = xdr_decode(XDR_PROC(xdr_op_request), envelope->body, req,
@@ -310,8 +310,8 @@
 		.version = BAMBOO_OPERATOR_V1,
 		.procedure = OPERATE,
 		.max_connections = s->operators.max_connections,
-		.call = edge_call,
-		.turn = edge_turn,
+		.on_call = edge_call,
+		.on_loop = edge_turn,
 		.arg = edge,
 	};
 
--- a/edge-peer.c
+++ b/edge-peer.c
@@ -309,7 +309,8 @@
 	while (TAILQ_EMPTY(&sd->queue)) {
 		if (sd->edge->stopping)
 			return false;
-		if (sender_sleep(sd, rpc_limits.sender_ms) == ETIMEDOUT &&
+		if (sender_sleep(sd, rpc_timeouts.sender_idle_ms) ==
+			    ETIMEDOUT &&
 		    TAILQ_EMPTY(&sd->queue))
 			return false;
 	}
@@ -432,7 +433,7 @@
 		.version = BAMBOO_PEER_V1,
 		.procedure = DELIVER,
 		.max_connections = s->peers.max_connections,
-		.call = edge_call,
+		.on_call = edge_call,
 		.arg = edge,
 	};
 
--- a/rpc-client.c
+++ b/rpc-client.c
@@ -35,8 +35,8 @@
 };
 
 /* Is a whole record at the start of these bytes? */
-enum record_result record_find(const uint8_t *p, size_t len, size_t *payload,
-			       size_t *raw)
+enum rpc_record_result rpc_record_find(const uint8_t *p, size_t len,
+				       size_t *payload, size_t *raw)
 {
 	size_t at = 0, total = 0, fragment;
 	uint32_t mark;
@@ -44,28 +44,28 @@
 
 	for (n = 0; n < FRAGMENTS_MAX; n++) {
 		if (len - at < FRAGMENT_MARK)
-			return RECORD_PART;
+			return RPC_RECORD_PARTIAL;
 		memcpy(&mark, p + at, FRAGMENT_MARK);
 		mark = ntohl(mark);
 		fragment = mark & ~FRAGMENT_LAST;
 		total += fragment;
 		at += FRAGMENT_MARK;
 		if (total > RPC_RECORD_MAX)
-			return RECORD_LONG;
+			return RPC_RECORD_TOO_LONG;
 		if (len - at < fragment)
-			return RECORD_PART;
+			return RPC_RECORD_PARTIAL;
 		at += fragment;
 		if (mark & FRAGMENT_LAST) {
 			*payload = total;
 			*raw = at;
-			return RECORD_WHOLE;
+			return RPC_RECORD_COMPLETE;
 		}
 	}
-	return RECORD_BAD;
+	return RPC_RECORD_INVALID;
 }
 
 /* Join the fragments of a whole record, taking out the marks. */
-void record_join(uint8_t *p, size_t payload)
+void rpc_record_join(uint8_t *p, size_t payload)
 {
 	size_t from = 0, to = 0, fragment;
 	uint32_t mark;
@@ -80,7 +80,7 @@
 }
 
 /* Make a record of one fragment from the two parts of a message. */
-bstr record_new(bstr head, bstr body)
+bstr rpc_record_new(bstr head, bstr body)
 {
 	uint32_t mark = htonl(FRAGMENT_LAST | (head.bstr_len + body.bstr_len));
 	bstr b;
@@ -288,19 +288,19 @@
 	uint32_t xid = 0;
 
 	for (;;) {
-		switch (record_find(c->in, c->in_len, &payload, &raw)) {
-		case RECORD_PART:
+		switch (rpc_record_find(c->in, c->in_len, &payload, &raw)) {
+		case RPC_RECORD_PARTIAL:
 			stat = client_read(c, deadline);
 			if (stat != RPC_SUCCESS)
 				return stat;
 			continue;
-		case RECORD_LONG:
-		case RECORD_BAD:
+		case RPC_RECORD_TOO_LONG:
+		case RPC_RECORD_INVALID:
 			return RPC_CANTDECODERES;
-		case RECORD_WHOLE:
+		case RPC_RECORD_COMPLETE:
 			break;
 		}
-		record_join(c->in, payload);
+		rpc_record_join(c->in, payload);
 		if (payload >= sizeof(xid))
 			memcpy(&xid, c->in, sizeof(xid));
 		if (payload >= sizeof(xid) && ntohl(xid) == c->xid)
@@ -332,7 +332,7 @@
 	if (!body.bstr_len)
 		return RPC_CANTENCODEARGS;
 	head = xdr_encode(XDR_PROC(xdr_callmsg), &msg);
-	record = record_new(head, body);
+	record = rpc_record_new(head, body);
 	sent = client_write(c, record, deadline);
 	bstr_free(&head);
 	bstr_free(&body);
--- a/rpc-client.h
+++ b/rpc-client.h
@@ -1,6 +1,6 @@
 /*
  * rpc-client.c: ONC RPC calls with deadlines, without a port mapper, and the
- * records that calls and answers travel in.
+ * record marking of ONC RPC over TCP.
  */
 #ifndef RPC_CLIENT_H
 #define RPC_CLIENT_H
@@ -13,26 +13,43 @@
 extern "C" {
 #endif
 
-/* Turn an IP number and a port into a socket address; no resolver. */
+/*
+ * Converts a numeric IP address and a port to a socket address. Returns false
+ * if host is not an IP address; no name is resolved.
+ */
 bool socket_address(const char *host, uint16_t port,
 		    struct sockaddr_storage *sa, socklen_t *len);
 
 /*
- * A record is a message in fragments, each led by a mark: its length, and
- * whether it is the last.  record_find says whether a whole one is at the
- * start of some bytes: its length without and with the marks.
+ * A record is one RPC message, sent as one or more fragments. A mark before
+ * each fragment holds its length and whether it is the last.
+ *
+ * rpc_record_find checks whether the buffer starts with a complete record. If
+ * so, payload is the length of the message and raw the length including marks.
+ * rpc_record_join removes the marks in place. rpc_record_new creates a record
+ * of one fragment from the two parts of a message.
  */
-#define RPC_RECORD_MAX (BSTR_MAX + 4096) /* an envelope, and room */
-enum record_result { RECORD_PART, RECORD_WHOLE, RECORD_LONG, RECORD_BAD };
-enum record_result record_find(const uint8_t *p, size_t len, size_t *payload,
-			       size_t *raw);
-void record_join(uint8_t *p, size_t payload);
-bstr record_new(bstr head, bstr body);
+#define RPC_RECORD_MAX (BSTR_MAX + 4096) /* an envelope and RPC headers */
+enum rpc_record_result {
+	RPC_RECORD_PARTIAL,
+	RPC_RECORD_COMPLETE,
+	RPC_RECORD_TOO_LONG,
+	RPC_RECORD_INVALID
+};
+enum rpc_record_result rpc_record_find(const uint8_t *p, size_t len,
+				       size_t *payload, size_t *raw);
+void rpc_record_join(uint8_t *p, size_t payload);
+bstr rpc_record_new(bstr head, bstr body);
 
 /*
- * A connection for calls of one program, one at a time.  address reads
- * "ip:port" or "[ip]:port".  After a call that gave anything but RPC_SUCCESS
- * the connection's state is not known: close it and open a fresh one.
+ * A connection for calls to one RPC program, one call at a time. address is
+ * "ip:port" or "[ip]:port". rpc_client_open returns NULL if the connection is
+ * not established by the deadline.
+ *
+ * If a call returns anything but RPC_SUCCESS, the state of the connection is
+ * unknown: close it and open a new one. rpc_client_alive returns whether an
+ * idle connection can carry another call. It cannot if the server has closed it
+ * or has sent unsolicited data.
  */
 struct rpc_client;
 struct rpc_client *rpc_client_open(bstr address, uint32_t program,
--- a/rpc-server.c
+++ b/rpc-server.c
@@ -28,11 +28,11 @@
 #define ACCEPT_PAUSE_MS 100
 #define STOP_MS 1000 /* answers are still written for so long */
 
-struct rpc_limits rpc_limits = {
+struct rpc_timeouts rpc_timeouts = {
 	.record_ms = 5000,
 	.idle_ms = 120000,
 	.answer_ms = 15000,
-	.sender_ms = 60000,
+	.sender_idle_ms = 60000,
 };
 
 enum conn_state {
@@ -94,11 +94,11 @@
 	conn->state = state;
 	switch (state) {
 	case CONN_IDLE:
-		conn->deadline = clock_now() + rpc_limits.idle_ms;
+		conn->deadline = clock_now() + rpc_timeouts.idle_ms;
 		break;
 	case CONN_READING:
 	case CONN_WRITING:
-		conn->deadline = clock_now() + rpc_limits.record_ms;
+		conn->deadline = clock_now() + rpc_timeouts.record_ms;
 		break;
 	case CONN_CALLED:
 		conn->deadline = INT64_MAX; /* the edge answers in time */
@@ -169,7 +169,7 @@
 	msg->rm_xid = conn->xid;
 	msg->rm_direction = REPLY;
 	b = xdr_encode(XDR_PROC(xdr_replymsg), msg);
-	record = record_new(b, BSTR_NONE);
+	record = rpc_record_new(b, BSTR_NONE);
 	conn->out = (uint8_t *)record.bstr_val;
 	conn->out_len = record.bstr_len;
 	bstr_free(&b);
@@ -271,7 +271,7 @@
 	} else {
 		memset(&envelope, 0, sizeof(envelope));
 		if (xdr_sealed(x, &envelope) && xdr_getpos(x) == payload) {
-			service->call(service->arg, conn->call, &envelope);
+			service->on_call(service->arg, conn->call, &envelope);
 		} else {
 			counter_add(COUNT_REFUSED_MALFORMED, 1);
 			log_event(LOG_BAD_INPUT, "%s: arguments don't decode",
@@ -311,22 +311,22 @@
 {
 	size_t payload, raw;
 
-	switch (record_find(conn->in + conn->in_at, conn->in_len - conn->in_at,
-			    &payload, &raw)) {
-	case RECORD_PART:
+	switch (rpc_record_find(conn->in + conn->in_at,
+				conn->in_len - conn->in_at, &payload, &raw)) {
+	case RPC_RECORD_PARTIAL:
 		return false;
-	case RECORD_LONG:
+	case RPC_RECORD_TOO_LONG:
 		conn_refuse(srv, conn, COUNT_REFUSED_BODY_TOO_LARGE,
 			    "a record over the bound");
 		return false;
-	case RECORD_BAD:
+	case RPC_RECORD_INVALID:
 		conn_refuse(srv, conn, COUNT_REFUSED_MALFORMED,
 			    "a record in too many fragments");
 		return false;
-	case RECORD_WHOLE:
+	case RPC_RECORD_COMPLETE:
 		break;
 	}
-	record_join(conn->in + conn->in_at, payload);
+	rpc_record_join(conn->in + conn->in_at, payload);
 	conn_call(srv, conn, payload);
 	conn->in_at += raw;
 	return true;
@@ -551,8 +551,8 @@
 		if (srv->fds[POLL_WAKE].revents)
 			mailbox_clear(service->wake);
 		server_round(srv);
-		if (service->turn)
-			until = service->turn(service->arg, clock_now());
+		if (service->on_loop)
+			until = service->on_loop(service->arg, clock_now());
 		writing = server_sweep(srv); /* makes room for new ones */
 		if (srv->fds[POLL_LISTEN].revents)
 			server_accept(srv);
--- a/rpc-server.h
+++ b/rpc-server.h
@@ -1,6 +1,6 @@
 /*
- * rpc-server.c: a listener for one ONC RPC procedure whose argument is a
- * sealed envelope, in a thread of its own.
+ * rpc-server.c: a server for a single ONC RPC procedure whose argument is a
+ * sealed envelope. Each server has its own thread.
  */
 #ifndef RPC_SERVER_H
 #define RPC_SERVER_H
@@ -16,24 +16,32 @@
 struct rpc_server;
 
 /*
- * call is handed each envelope, and the call is answered by one of
- * rpc_server_reply, _deny and _fail, at once or later.  turn is called after
- * each round of the loop and whenever wake has something; it returns when it
- * wants to be called again at the latest.  Both run in the server's thread.
+ * The procedure that a server offers. Both callbacks run in the server's
+ * thread.
+ *
+ * on_call receives each envelope. The call is answered with rpc_server_reply,
+ * rpc_server_deny or rpc_server_fail, either at once or later.
+ *
+ * on_loop, if set, is called after each iteration of the event loop and when a
+ * message arrives in wake. It returns the latest time of its next call.
  */
 struct rpc_service {
-	const char *name; /* of the listener, in findings and log lines */
+	const char *name; /* name in error messages and log lines */
 	uint32_t program;
 	uint32_t version;
 	uint32_t procedure;
 	uint32_t max_connections;
-	void (*call)(void *arg, uint64_t call, const sealed *envelope);
-	int64_t (*turn)(void *arg, int64_t now); /* or NULL */
-	struct mailbox *wake;			 /* or NULL */
+	void (*on_call)(void *arg, uint64_t call, const sealed *envelope);
+	int64_t (*on_loop)(void *arg, int64_t now); /* or NULL */
+	struct mailbox *wake;			    /* or NULL */
 	void *arg;
 };
 
-/* service is copied; its arg must be ready for calls before this returns. */
+/*
+ * Creates a server that is bound but not started, or returns NULL with an
+ * error. service is copied; its arg must be ready to receive calls when this
+ * returns.
+ */
 struct rpc_server *rpc_server_new(const struct rpc_service *service,
 				  const struct address *listen,
 				  struct error *e);
@@ -41,7 +49,11 @@
 uint16_t rpc_server_port(const struct rpc_server *srv);
 void rpc_server_stop(struct rpc_server *srv);
 
-/* From the server's thread; false: that connection is gone. */
+/*
+ * Answer a call: with its result, with a rejected seal or with an RPC error.
+ * For use in the server's thread only. Return false if the caller has
+ * disconnected.
+ */
 bool rpc_server_reply(struct rpc_server *srv, uint64_t call, xdrproc_t proc,
 		      const void *result);
 bool rpc_server_deny(struct rpc_server *srv, uint64_t call,
@@ -49,16 +61,19 @@
 bool rpc_server_fail(struct rpc_server *srv, uint64_t call,
 		     enum accept_stat why);
 
-/* Start a thread that takes no signals: they are the main thread's. */
+/*
+ * Starts a thread with all signals blocked; signals are handled by the main
+ * thread.
+ */
 void rpc_thread_start(pthread_t *thread, void *(*run)(void *), void *arg);
 
-/* Bounds in time; tests shorten them before they start an edge. */
-extern struct rpc_limits {
-	int64_t record_ms; /* to read a record whole, to have one taken */
-	int64_t idle_ms;   /* a connection stays open without a call */
-	int64_t answer_ms; /* an operator waits for the reducer */
-	int64_t sender_ms; /* a peer's sender stays without a message */
-} rpc_limits;
+/* Timeouts. Tests shorten them before they start a server. */
+extern struct rpc_timeouts {
+	int64_t record_ms;	/* to receive or to send one record */
+	int64_t idle_ms;	/* connection without a call */
+	int64_t answer_ms;	/* reducer's answer to an operator */
+	int64_t sender_idle_ms; /* sender thread without a message */
+} rpc_timeouts;
 
 #ifdef __cplusplus
 }
--- a/tests/race-edge-rpc.c
+++ b/tests/race-edge-rpc.c
@@ -176,7 +176,7 @@
 	int half[NODES * 2], i;
 	unsigned bad;
 
-	rpc_limits.sender_ms = 1;
+	rpc_timeouts.sender_idle_ms = 1;
 	done = mailbox_new(8);
 	for (i = 0; i < NODES; i++)
 		node_start(&nodes[i], names[i]);
--- a/tests/rpc-faults.h
+++ b/tests/rpc-faults.h
@@ -218,7 +218,7 @@
 	size_t i;
 	int fd;
 
-	rpc_limits.record_ms = rpc_limits.idle_ms = 200;
+	rpc_timeouts.record_ms = rpc_timeouts.idle_ms = 200;
 	for (i = 0; i < NELEMS(faults); i++) {
 		f = &faults[i];
 		before = f->counter < 0 ? 0 : counter_get(f->counter);
@@ -288,7 +288,7 @@
 	size_t i, at = 0;
 	ssize_t n;
 
-	rpc_limits.record_ms = 300;
+	rpc_timeouts.record_ms = 300;
 	for (i = 0; i < sizeof(calls); i += 44) { /* no such procedure */
 		memcpy(calls + i, call.bstr_val, 44);
 		memcpy(calls + i, &mark, 4);
--- a/tests/test-edge-operator.c
+++ b/tests/test-edge-operator.c
@@ -255,7 +255,7 @@
 	struct host h;
 	size_t i;
 
-	rpc_limits.answer_ms = 100;
+	rpc_timeouts.answer_ms = 100;
 	for (i = 0; i < NELEMS(cases); i++) {
 		counter_set(cases[i].counter, 0);
 		counter_set(COUNT_DROPPED_LATE, 0);
@@ -475,7 +475,7 @@
 	bstr call;
 	int i;
 
-	rpc_limits.record_ms = 200;
+	rpc_timeouts.record_ms = 200;
 	host_start(&h);
 	h.body = 1000000;
 	t.envelope = target_envelope;
--- a/tests/test-edge-peer.c
+++ b/tests/test-edge-peer.c
@@ -488,7 +488,7 @@
 	struct node a, b;
 	uint64_t i;
 
-	rpc_limits.sender_ms = 1;
+	rpc_timeouts.sender_idle_ms = 1;
 	node_start(&a, "a1");
 	node_start(&b, "b1");
 	for (i = 0; i < 50; i++) {
