--- a/peer.h
+++ b/peer.h
@@ -26,7 +26,7 @@
 	PM_UPDATE = 6,
 	PM_CANCEL = 7,
 	PM_QUERY = 8,
-	PM_WANT = 9,
+	PM_LIMIT_REQUEST = 9,
 	PM_OPERATE = 10,
 	PM_OP_REPLY = 11,
 	PM_LEAVING = 12,
@@ -115,7 +115,7 @@
 	cell_id cell;
 	bstr job;
 	uint32_t attempt;
-	uint64_t serial;
+	uint64_t query_id;
 	bool_t known;
 	bool_t final;
 	bool_t started;
@@ -123,13 +123,13 @@
 };
 typedef struct pm_update pm_update;
 
-struct pm_cancel {
+struct pm_attempt {
 	cell_id cell;
 	bstr job;
 	uint32_t attempt;
-	uint64_t serial;
+	uint64_t query_id;
 };
-typedef struct pm_cancel pm_cancel;
+typedef struct pm_attempt pm_attempt;
 
 struct pm_unowned {
 	peer_kind kind;
@@ -141,12 +141,12 @@
 };
 typedef struct pm_unowned pm_unowned;
 
-struct pm_want {
+struct pm_limit_request {
 	cell_id cell;
 	bstr team;
 	uint32_t amount;
 };
-typedef struct pm_want pm_want;
+typedef struct pm_limit_request pm_limit_request;
 
 struct pm_operate {
 	uint64_t call;
@@ -168,9 +168,9 @@
 		pm_answer answer;
 		pm_dispatch dispatch;
 		pm_update update;
-		pm_cancel cancel;
+		pm_attempt attempt;
 		pm_unowned unowned;
-		pm_want want;
+		pm_limit_request limit_request;
 		pm_operate operate;
 		pm_op_reply op_reply;
 	} peer_message_u;
@@ -216,9 +216,9 @@
 extern  bool_t xdr_pm_answer (XDR *, pm_answer*);
 extern  bool_t xdr_pm_dispatch (XDR *, pm_dispatch*);
 extern  bool_t xdr_pm_update (XDR *, pm_update*);
-extern  bool_t xdr_pm_cancel (XDR *, pm_cancel*);
+extern  bool_t xdr_pm_attempt (XDR *, pm_attempt*);
 extern  bool_t xdr_pm_unowned (XDR *, pm_unowned*);
-extern  bool_t xdr_pm_want (XDR *, pm_want*);
+extern  bool_t xdr_pm_limit_request (XDR *, pm_limit_request*);
 extern  bool_t xdr_pm_operate (XDR *, pm_operate*);
 extern  bool_t xdr_pm_op_reply (XDR *, pm_op_reply*);
 extern  bool_t xdr_peer_message (XDR *, peer_message*);
@@ -236,9 +236,9 @@
 extern bool_t xdr_pm_answer ();
 extern bool_t xdr_pm_dispatch ();
 extern bool_t xdr_pm_update ();
-extern bool_t xdr_pm_cancel ();
+extern bool_t xdr_pm_attempt ();
 extern bool_t xdr_pm_unowned ();
-extern bool_t xdr_pm_want ();
+extern bool_t xdr_pm_limit_request ();
 extern bool_t xdr_pm_operate ();
 extern bool_t xdr_pm_op_reply ();
 extern bool_t xdr_peer_message ();
--- a/peer.x
+++ b/peer.x
@@ -1,6 +1,6 @@
 /*
- * Messages between entry VMs.  Each is one way; an answer is a message of
- * its own, matched by the identifiers in it.  A call carries a batch.
+ * Messages between entry VMs. Each message is one-way; a reply is a separate
+ * message, matched by the identifiers in it. An RPC carries a batch of them.
  */
 %#include "types.h"
 %#include "operator.h"
@@ -14,7 +14,7 @@
 	PM_UPDATE = 6,
 	PM_CANCEL = 7,
 	PM_QUERY = 8,
-	PM_WANT = 9,
+	PM_LIMIT_REQUEST = 9,
 	PM_OPERATE = 10,
 	PM_OP_REPLY = 11,
 	PM_LEAVING = 12,
@@ -31,7 +31,7 @@
 
 struct caller_job {
 	bstr job;
-	uint32_t wait_ms;	/* get: answer when final, or after this */
+	uint32_t wait_ms;	/* get: answer when final or after this time */
 };
 
 union caller_body switch (caller_kind kind) {
@@ -45,8 +45,8 @@
 };
 
 /*
- * A caller's request.  key_digest is a digest of the presented secret, so
- * that neither a recording nor a peer ever holds the secret itself.
+ * A caller's request. key_digest is a digest of the secret that the caller
+ * presented, so that recordings and peers never contain the secret itself.
  */
 struct caller_request {
 	bstr key_id;
@@ -54,7 +54,7 @@
 	caller_body body;
 };
 
-/* http: the HTTP status; jobs: what the caller asked about. */
+/* http is the HTTP status, jobs the jobs that the request selected. */
 struct caller_answer {
 	uint32_t http;
 	bstr reason;
@@ -63,15 +63,22 @@
 	job_view jobs<LIST_MAX>;
 };
 
+/*
+ * A ping or its reply, which repeats seq. proof is set if the platform has
+ * recently answered the sender; proof_age_ms is how long ago.
+ */
 struct pm_ping {
 	uint64_t seq;
 	uint64_t incarnation;
 	uint64_t config_revision;
-	bool proof;		/* the platform answered within proof_age_ms */
+	bool proof;
 	uint32_t proof_age_ms;
 };
 
-/* The sender has checked the key; team is whose it was. */
+/*
+ * A caller's request, forwarded to the owner of its shard. The sender has
+ * already checked the key; team is the team of that key.
+ */
 struct pm_forward {
 	uint64_t call;
 	bstr team;
@@ -80,11 +87,13 @@
 	caller_request request;
 };
 
+/* The reply to a forwarded request. */
 struct pm_answer {
 	uint64_t call;
 	caller_answer answer;
 };
 
+/* Hands an attempt of a job to the owner of a cell. */
 struct pm_dispatch {
 	cell_id cell;
 	bstr job;
@@ -94,44 +103,59 @@
 };
 
 /*
- * What a cell's owner knows of a job.  final: nothing more will happen to
- * this attempt.  started: a start may have reached a worker.  known: false
- * if the owner, with every worker of the cell fenced, has no trace of it.
+ * What the owner of a cell knows about an attempt of a job. final: the attempt
+ * has ended. started: a start may have reached a worker. known is false if the
+ * owner has no record of the attempt although every worker of the cell is
+ * fenced. query_id is that of the query answered, or 0.
  */
 struct pm_update {
 	cell_id cell;
 	bstr job;
 	uint32_t attempt;
-	uint64_t serial;	/* of the query that it answers, or 0 */
+	uint64_t query_id;
 	bool known;
 	bool final;
 	bool started;
 	job_view view;
 };
 
-struct pm_cancel {
+/*
+ * Names an attempt, to cancel it, to query it or to acknowledge its end. A
+ * query or cancellation sets query_id, which the update repeats.
+ */
+struct pm_attempt {
 	cell_id cell;
 	bstr job;
 	uint32_t attempt;
-	uint64_t serial;	/* query, cancel: echoed by the update */
+	uint64_t query_id;
 };
 
-/* The receiver does not own what a message was for; it was not handled. */
+/*
+ * The reply to a message for a shard or cell that the receiver does not own.
+ * The message had no effect. call is set for PM_FORWARD and PM_OPERATE, the
+ * members from cell to attempt for messages about an attempt. leaving: the
+ * receiver is shutting down.
+ */
 struct pm_unowned {
-	peer_kind kind;		/* of the message that was refused */
-	uint64_t call;		/* forward, operate */
+	peer_kind kind;		/* of the refused message */
+	uint64_t call;
 	cell_id cell;
 	bstr job;
 	uint32_t attempt;
 	bool leaving;
 };
 
-struct pm_want {
+/*
+ * Asks a cell that holds part of a team's upper limit to give some of it back,
+ * because another cell of the team needs amount more.
+ */
+struct pm_limit_request {
 	cell_id cell;
 	bstr team;
 	uint32_t amount;
 };
 
+/* An operator's request, forwarded to the owner, and its reply. */
 struct pm_operate {
 	uint64_t call;
 	op_request request;
@@ -157,11 +181,11 @@
 case PM_CANCEL:
 case PM_QUERY:
 case PM_ACK:
-	pm_cancel cancel;
+	pm_attempt attempt;
 case PM_UNOWNED:
 	pm_unowned unowned;
-case PM_WANT:
-	pm_want want;
+case PM_LIMIT_REQUEST:
+	pm_limit_request limit_request;
 case PM_OPERATE:
 	pm_operate operate;
 case PM_OP_REPLY:
@@ -177,7 +201,7 @@
 
 program BAMBOO_PEER {
 	version BAMBOO_PEER_V1 {
-		/* The body of the envelope is an encoded peer_batch. */
+		/* The envelope contains an encoded peer_batch. */
 		void DELIVER(sealed) = 1;
 	} = 1;
 } = 0x20bf0002;
--- a/peer_xdr.c
+++ b/peer_xdr.c
@@ -178,7 +178,7 @@
 			 return FALSE;
 		 if (!xdr_uint32_t (xdrs, &objp->attempt))
 			 return FALSE;
-		 if (!xdr_uint64_t (xdrs, &objp->serial))
+		 if (!xdr_uint64_t (xdrs, &objp->query_id))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 3 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -204,7 +204,7 @@
 			 return FALSE;
 		 if (!xdr_uint32_t (xdrs, &objp->attempt))
 			 return FALSE;
-		 if (!xdr_uint64_t (xdrs, &objp->serial))
+		 if (!xdr_uint64_t (xdrs, &objp->query_id))
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 3 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
@@ -231,7 +231,7 @@
 		 return FALSE;
 	 if (!xdr_uint32_t (xdrs, &objp->attempt))
 		 return FALSE;
-	 if (!xdr_uint64_t (xdrs, &objp->serial))
+	 if (!xdr_uint64_t (xdrs, &objp->query_id))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->known))
 		 return FALSE;
@@ -245,7 +245,7 @@
 }
 
 bool_t
-xdr_pm_cancel (XDR *xdrs, pm_cancel *objp)
+xdr_pm_attempt (XDR *xdrs, pm_attempt *objp)
 {
 	register int32_t *buf;
 
@@ -255,7 +255,7 @@
 		 return FALSE;
 	 if (!xdr_uint32_t (xdrs, &objp->attempt))
 		 return FALSE;
-	 if (!xdr_uint64_t (xdrs, &objp->serial))
+	 if (!xdr_uint64_t (xdrs, &objp->query_id))
 		 return FALSE;
 	return TRUE;
 }
@@ -281,7 +281,7 @@
 }
 
 bool_t
-xdr_pm_want (XDR *xdrs, pm_want *objp)
+xdr_pm_limit_request (XDR *xdrs, pm_limit_request *objp)
 {
 	register int32_t *buf;
 
@@ -350,15 +350,15 @@
 	case PM_CANCEL:
 	case PM_QUERY:
 	case PM_ACK:
-		 if (!xdr_pm_cancel (xdrs, &objp->peer_message_u.cancel))
+		 if (!xdr_pm_attempt (xdrs, &objp->peer_message_u.attempt))
 			 return FALSE;
 		break;
 	case PM_UNOWNED:
 		 if (!xdr_pm_unowned (xdrs, &objp->peer_message_u.unowned))
 			 return FALSE;
 		break;
-	case PM_WANT:
-		 if (!xdr_pm_want (xdrs, &objp->peer_message_u.want))
+	case PM_LIMIT_REQUEST:
+		 if (!xdr_pm_limit_request (xdrs, &objp->peer_message_u.limit_request))
 			 return FALSE;
 		break;
 	case PM_OPERATE:
--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -157,7 +157,7 @@
 	m->cell = c->unit->id;
 	m->job = t->job;
 	m->attempt = t->attempt;
-	m->serial = serial;
+	m->query_id = serial;
 	m->known = TRUE;
 	m->final = t->phase == TASK_ENDED;
 	m->started = t->started;
@@ -531,7 +531,7 @@
  * what it ran, the job may have been among that, for good.
  */
 static void cell_untraced(struct state *st, struct cell *c, bstr from,
-			  const pm_cancel *m)
+			  const pm_attempt *m)
 {
 	peer_message msg = {.kind = PM_UPDATE};
 	pm_update *u = &msg.peer_message_u.update;
@@ -539,7 +539,7 @@
 	u->cell = m->cell;
 	u->job = m->job;
 	u->attempt = m->attempt;
-	u->serial = m->serial;
+	u->query_id = m->query_id;
 	u->view.state = JOB_UNKNOWN;
 	u->known = TRUE;
 	if (!cell_adopted(st, c)) {
@@ -559,7 +559,7 @@
 }
 
 /* A home asks what has become of a job. */
-void cell_query(struct state *st, bstr from, const pm_cancel *m)
+void cell_query(struct state *st, bstr from, const pm_attempt *m)
 {
 	struct unit *u = unit_of_cell(st, &m->cell);
 	struct task *t;
@@ -570,13 +570,13 @@
 	}
 	HASH_FIND_BSTR(u->cell->tasks, m->job, t);
 	if (t && t->attempt == m->attempt)
-		task_tell(st, u->cell, t, from, m->serial);
+		task_tell(st, u->cell, t, from, m->query_id);
 	else if (!t)
 		cell_untraced(st, u->cell, from, m);
 }
 
 /* A home cancels a job. */
-void cell_cancel(struct state *st, bstr from, const pm_cancel *m)
+void cell_cancel(struct state *st, bstr from, const pm_attempt *m)
 {
 	struct unit *u = unit_of_cell(st, &m->cell);
 	struct task *t;
@@ -598,7 +598,7 @@
 		return;
 	}
 	if (t->phase == TASK_ENDED) {
-		task_tell(st, u->cell, t, from, m->serial);
+		task_tell(st, u->cell, t, from, m->query_id);
 		return;
 	}
 	t->stopping = true;
@@ -609,7 +609,7 @@
 }
 
 /* The home has kept the final word: worker and cell may forget the task. */
-void cell_ack(struct state *st, const pm_cancel *m)
+void cell_ack(struct state *st, const pm_attempt *m)
 {
 	struct unit *u = unit_of_cell(st, &m->cell);
 	struct task *t;
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -150,7 +150,8 @@
 {
 	peer_message msg = {.kind = PM_ACK};
 
-	msg.peer_message_u.cancel = (pm_cancel){m->cell, m->job, m->attempt, 0};
+	msg.peer_message_u.attempt = (pm_attempt){m->cell, m->job, m->attempt,
+						  0};
 	peer_send(st, to, &msg);
 }
 
@@ -457,8 +458,8 @@
 {
 	j->query = ++st->next_serial;
 	j->query_at = st->now;
-	msg->peer_message_u.cancel = (pm_cancel){j->cell, j->id, j->attempt,
-						 j->query};
+	msg->peer_message_u.attempt = (pm_attempt){j->cell, j->id, j->attempt,
+						   j->query};
 	peer_send(st, owner, msg);
 }
 
@@ -586,7 +587,7 @@
 		return;
 	bstr_set(&j->sent_to, from);
 	if (!m->known) {
-		job_untraced(st, j, m->serial);
+		job_untraced(st, j, m->query_id);
 		return;
 	}
 	bstr_set(&j->view.reason, m->view.reason);
--- a/reduce-limit.c
+++ b/reduce-limit.c
@@ -283,7 +283,7 @@
 static void allow_want(struct state *st, struct cell *c, struct cell_team *t,
 		       uint32_t amount)
 {
-	peer_message msg = {.kind = PM_WANT};
+	peer_message msg = {.kind = PM_LIMIT_REQUEST};
 	struct unit *u;
 	bstr owner;
 	u_int i;
@@ -301,13 +301,14 @@
 		owner = unit_choose(st, u);
 		if (!owner.bstr_len)
 			continue;
-		msg.peer_message_u.want = (pm_want){h->cell, t->team, amount};
+		msg.peer_message_u.limit_request = (pm_limit_request){
+			h->cell, t->team, amount};
 		peer_send(st, owner, &msg);
 	}
 }
 
 /* Another cell of the team needs some of what we hold. */
-void limit_wanted(struct state *st, const pm_want *m)
+void limit_wanted(struct state *st, const pm_limit_request *m)
 {
 	struct unit *u = unit_of_cell(st, &m->cell);
 	struct cell_team *t;
--- a/reduce.c
+++ b/reduce.c
@@ -207,16 +207,16 @@
 		job_update(st, from, &m->peer_message_u.update);
 		break;
 	case PM_CANCEL:
-		cell_cancel(st, from, &m->peer_message_u.cancel);
+		cell_cancel(st, from, &m->peer_message_u.attempt);
 		break;
 	case PM_QUERY:
-		cell_query(st, from, &m->peer_message_u.cancel);
+		cell_query(st, from, &m->peer_message_u.attempt);
 		break;
 	case PM_ACK:
-		cell_ack(st, &m->peer_message_u.cancel);
+		cell_ack(st, &m->peer_message_u.attempt);
 		break;
-	case PM_WANT:
-		limit_wanted(st, &m->peer_message_u.want);
+	case PM_LIMIT_REQUEST:
+		limit_wanted(st, &m->peer_message_u.limit_request);
 		break;
 	case PM_UNOWNED:
 		if (m->peer_message_u.unowned.kind == PM_FORWARD)
--- a/reduce.h
+++ b/reduce.h
@@ -784,9 +784,9 @@
 /* reduce-cell.c: a job at its cell. */
 void cell_start(struct state *st, struct unit *u);
 void cell_dispatch(struct state *st, bstr from, const pm_dispatch *m);
-void cell_cancel(struct state *st, bstr from, const pm_cancel *m);
-void cell_query(struct state *st, bstr from, const pm_cancel *m);
-void cell_ack(struct state *st, const pm_cancel *m);
+void cell_cancel(struct state *st, bstr from, const pm_attempt *m);
+void cell_query(struct state *st, bstr from, const pm_attempt *m);
+void cell_ack(struct state *st, const pm_attempt *m);
 void cells_tick(struct state *st);
 void cells_schedule(struct state *st);
 bool cell_adopted(struct state *st, struct cell *c);
@@ -839,7 +839,7 @@
 void allow_read(struct state *st, struct request *rq, const ev_platform *ev);
 void allow_committed(struct state *st, struct request *rq,
 		     const ev_platform *ev);
-void limit_wanted(struct state *st, const pm_want *m);
+void limit_wanted(struct state *st, const pm_limit_request *m);
 void cell_team_free(struct cell *c, struct cell_team *t);
 
 /* reduce-vm.c: the VMs' rows and the platform's list. */
--- a/tests/support-fleet.c
+++ b/tests/support-fleet.c
@@ -970,7 +970,7 @@
 	if (p->message.kind == PM_QUERY)
 		TRACE(f, "%s asks %.*s after %.*s", f->entries[slot].name,
 		      BSTR_ARG(p->to),
-		      BSTR_ARG(p->message.peer_message_u.cancel.job));
+		      BSTR_ARG(p->message.peer_message_u.attempt.job));
 	if (p->message.kind == PM_FORWARD)
 		TRACE(f, "%s forwards call %llu to %.*s", f->entries[slot].name,
 		      (unsigned long long)
