--- a/bamboofront-entryd.c
+++ b/bamboofront-entryd.c
@@ -94,7 +94,7 @@
 		front_reply(d->front, &fx->reply);
 		break;
 	case EFFECT_READY:
-		front_ready(d->front, fx->ready);
+		front_set_ready(d->front, fx->ready);
 		break;
 	case EFFECT_LOG:
 		log_event(fx->log.number, "%s", fx->log.text);
@@ -197,7 +197,7 @@
 	struct processor now = {.scheduler = clock_thread(pthread_self())};
 	const struct processor *before = &d->processor;
 
-	platform_used(d->platform, &now.store, &now.workers);
+	platform_cpu_ms(d->platform, &now.store, &now.workers);
 	if (counter_get(COUNT_OWNER))
 		log_event(LOG_PROCESSOR,
 			  "ms=%lld scheduler_ms=%lld store_ms=%lld "
--- a/cmd.h
+++ b/cmd.h
@@ -1,6 +1,6 @@
 /*
- * The client's commands.  Each is a line of a table: its name, the fields it
- * takes from the command line and where they go, and what carries it out.
+ * Commands of the command-line client. Each is an entry of a table with its
+ * name, its arguments and options, and the function that executes it.
  */
 #ifndef CMD_H
 #define CMD_H
@@ -13,10 +13,10 @@
 extern "C" {
 #endif
 
-/* Exit codes; 0 to 7 are the op_status of operator.x. */
+/* Exit codes. 0 to 7 equal the op_status values of operator.x. */
 enum cmd_exit {
 	CMD_OK = OP_OK,
-	CMD_INVALID = OP_INVALID, /* usage as well */
+	CMD_INVALID = OP_INVALID, /* also for usage errors */
 	CMD_NOT_FOUND = OP_NOT_FOUND,
 	CMD_CONFLICT = OP_CONFLICT,
 	CMD_REFUSED = OP_REFUSED,
@@ -27,14 +27,14 @@
 	CMD_JOB_FAILED = 9 /* the job ran and failed */
 };
 
-/* Options that every command takes. */
+/* Options common to all commands, and the output streams. */
 struct cmd_client {
-	char **servers; /* operators' addresses, ends with NULL */
-	char *operator; /* name */
-	char *key_file; /* the operator's key */
-	char *callers;	/* URL of the callers' interface */
-	char *secret_file;
-	char *ca_file;
+	char **servers;	   /* addresses for operators, NULL-terminated */
+	char *operator;	   /* name of the operator */
+	char *key_file;	   /* key of the operator */
+	char *callers;	   /* URL of the callers' API */
+	char *secret_file; /* API key of the caller */
+	char *ca_file;	   /* CA certificates for the callers' API */
 	int json;
 	int timeout_ms;
 	FILE *out;
@@ -43,30 +43,33 @@
 
 enum cmd_field_type {
 	FIELD_NAME,  /* bstr */
-	FIELD_NAMES, /* struct cmd_names; an option that may be repeated */
+	FIELD_NAMES, /* struct cmd_names, for a repeatable option */
 	FIELD_TEXT,  /* bstr */
-	FIELD_FILE,  /* bstr, the JSON of a file; "-": standard input */
+	FIELD_FILE, /* bstr with the JSON text of a file; "-": standard input */
 	FIELD_U32,
 	FIELD_U64,
 	FIELD_FLAG /* bool_t */
 };
 
-/* Laid out as rpcgen lays out a list of strings. */
+/* Has the layout that rpcgen generates for a list of strings. */
 struct cmd_names {
 	u_int count;
 	bstr *list;
 };
 
-/* One argument or, if it begins with "--", option. */
+/* An argument, or an option if its name begins with "--". */
 struct cmd_field {
-	const char *name; /* "POOL" or "--budget"; NULL ends a list */
+	const char *name; /* "POOL" or "--budget"; NULL ends the list */
 	enum cmd_field_type type;
 	bool required;
-	size_t offset; /* in what the command fills */
+	size_t offset; /* of the value in union cmd_values */
 	const char *help;
 };
 
-/* What a command fills; which arm, its table says. */
+/*
+ * Parsed values of a command. The offsets of its fields determine which member
+ * is used.
+ */
 union cmd_values {
 	op_request request;
 	struct cmd_submit {
@@ -91,13 +94,17 @@
 	} job;
 };
 
+/*
+ * A command. changes is set if it modifies state. Such a command is sent again
+ * only if it was certainly not carried out, so it never takes effect twice.
+ */
 struct command {
 	const char *name; /* "pool create"; NULL ends a table */
 	const struct cmd_field *fields;
 	int (*exec)(const struct cmd_client *c, const struct command *cmd,
 		    union cmd_values *v);
-	op_kind kind; /* of operators' commands */
-	bool changes; /* something; it is never sent twice then */
+	op_kind kind; /* of the operator request, if any */
+	bool changes;
 	const char *help;
 };
 extern const struct command pool_commands[];
@@ -106,7 +113,13 @@
 extern const struct command submit_commands[];
 extern const struct command trace_commands[];
 
-/* cmd-parse.c */
+/*
+ * cmd-parse.c
+ *
+ * command_find looks up a command by its first one or two words and stores how
+ * many in used. command_parse adds every error to e; call command_free also if
+ * it fails.
+ */
 const struct command *command_find(const char *const *words, size_t *used);
 bool command_parse(const struct command *cmd, const struct poptOption *common,
 		   int argc, const char **argv, union cmd_values *v,
@@ -115,14 +128,18 @@
 char *command_usage(const struct command *cmd);
 void commands_print(FILE *f);
 
-/* cmd-operator.c */
+/*
+ * cmd-operator.c
+ *
+ * findings_exit prints the errors in e and returns code.
+ */
 int operator_exec(const struct cmd_client *c, const struct command *cmd,
 		  union cmd_values *v);
 int findings_exit(const struct cmd_client *c, struct error *e, int code);
 bool file_read(const char *path, bstr *text, struct error *e);
-void bstr_trim(bstr *text); /* white space at the end */
+void bstr_trim(bstr *text); /* removes trailing white space */
 
-/* table-print.c */
+/* table-print.c: prints JSON as text tables. */
 void table_print(FILE *f, const json_t *j);
 
 #ifdef __cplusplus
--- a/entry-settings.h
+++ b/entry-settings.h
@@ -1,6 +1,6 @@
 /*
- * The settings of an entry VM on the platform: one JSON file, made from
- * deploy/settings.json, checked whole.
+ * Settings of an entry VM on the platform. They are in one JSON file, created
+ * from deploy/settings.json, which is validated completely when it is loaded.
  */
 #ifndef ENTRY_SETTINGS_H
 #define ENTRY_SETTINGS_H
@@ -12,7 +12,7 @@
 	struct front_options front;
 	struct platform_options platform;
 	enum log_level log_level;
-	json_t *document; /* what the texts above refer to */
+	json_t *document; /* owns the strings of the members above */
 };
 bool entry_settings_load(const char *path, struct entry_settings *s,
 			 struct error *e);
--- a/operator-client.h
+++ b/operator-client.h
@@ -1,6 +1,6 @@
 /*
- * operator-client.c: an operator's calls to an entry VM, and how the secret
- * of a fresh key travels back.
+ * operator-client.c: an operator's calls to an entry VM, and the encryption of
+ * the secret of a new key in the reply.
  */
 #ifndef OPERATOR_CLIENT_H
 #define OPERATOR_CLIENT_H
@@ -12,27 +12,35 @@
 #endif
 
 /*
- * Envelopes live longer than a call, and a receiver takes deadlines up to
- * twice that far ahead: clocks may differ by SEAL_LIFE_MS either way.
+ * Lifetime of an envelope, longer than that of a call. A receiver accepts
+ * deadlines up to twice as far ahead, so that clocks may differ by SEAL_LIFE_MS
+ * in either direction.
  */
 #define SEAL_LIFE_MS 30000
 #define SEAL_HORIZON_MS (2 * SEAL_LIFE_MS)
 
-/* What an operator's call and an entry VM's answer are sealed for. */
+/*
+ * Purposes that an operator's call and its reply are sealed for. The reply's
+ * purpose contains the nonce of the call; the string is allocated with malloc.
+ */
 #define OPERATOR_CALL_PURPOSE "bamboofront operator v1 call"
-char *operator_reply_purpose(const char nonce[24]); /* malloced */
+char *operator_reply_purpose(const char nonce[24]);
 
-/* A secret in an answer, for the eyes of the operator who asked. */
+/*
+ * Encrypt and decrypt a secret in a reply. Only the operator who made the call
+ * can decrypt it.
+ */
 bstr secret_seal(bstr secret, const uint8_t key[SEAL_KEY_BYTES],
 		 const char nonce[24]);
 bool secret_unseal(bstr box, const uint8_t key[SEAL_KEY_BYTES],
 		   const char nonce[24], bstr *secret);
 
 /*
- * operator_client_call always fills reply, the secret in it unsealed; free
- * it by xdr_free.  It returns whether an entry VM gave that reply; if not,
- * status is OP_DENIED, OP_UNAVAILABLE (not carried out) or OP_UNKNOWN.  The
- * client reconnects by itself after such a failure.
+ * operator_client_call always fills reply, with the secret decrypted; free it
+ * with xdr_free. It returns true if the reply is from an entry VM. Otherwise
+ * the client has created it, with status OP_INVALID (too large to send),
+ * OP_DENIED, OP_UNAVAILABLE (not carried out) or OP_UNKNOWN. The client
+ * reconnects after such a failure.
  */
 struct operator_client;
 struct operator_client *operator_client_open(const char *address,
