--- a/caller.h
+++ b/caller.h
@@ -97,7 +97,13 @@
 	uint32_t retry_after_s; /* 0: no Retry-After header */
 };
 
-/* caller-decode.c */
+/*
+ * caller-decode.c
+ *
+ * caller_decode_head and then caller_decode_body fill a call. They return false
+ * if the request is refused; the problem of the call says why. caller_refuse
+ * sets a problem unless one is set already.
+ */
 bool caller_decode_head(const struct caller_head *h,
 			const struct caller_limits *b, struct caller_call *c);
 bool caller_decode_body(bstr body, const struct caller_limits *b,
@@ -109,7 +115,10 @@
 void caller_problem_free(struct caller_problem *p);
 void caller_call_free(struct caller_call *c);
 
-/* caller-encode.c */
+/*
+ * caller-encode.c: create a response from the reducer's answer, from a problem
+ * or from plain text.
+ */
 void caller_encode_answer(const struct caller_call *c, const caller_answer *a,
 			  struct caller_reply *r);
 void caller_encode_problem(const struct caller_call *c,
--- a/edge-caller.h
+++ b/edge-caller.h
@@ -11,7 +11,7 @@
 #include <microhttpd.h>
 #include <pthread.h>
 
-#define SLOT_BITS 20
+#define SLOT_BITS 20 /* of a call ID, see struct conn */
 #define SLOT_MASK ((1U << SLOT_BITS) - 1)
 
 /*
@@ -86,7 +86,7 @@
 	pthread_mutex_t lock;	  /* see above */
 	pthread_cond_t idle_cond; /* active_requests is 0 */
 	int epoll;
-	int wake;
+	int wake; /* eventfd, wakes the watcher */
 	pthread_t watcher;
 	uint64_t *unsent_gone; /* under lock */
 	uint32_t unsent_gone_count;
@@ -96,7 +96,17 @@
 	uint64_t log_window; /* atomic (ck_pr) */
 };
 
-/* edge-caller-conn.c */
+/*
+ * edge-caller-conn.c
+ *
+ * caller_conn_call returns the ID of the current call of a connection.
+ * caller_conn_notify_gone tells the reducer that nobody waits for that call any
+ * more. caller_conn_resume ends the call in the given state and resumes the
+ * connection. These three need the lock of the connection.
+ *
+ * edge_caller_watch is the watcher thread, which detects clients that leave and
+ * deadlines that pass. The other two are callbacks of libmicrohttpd.
+ */
 uint64_t caller_conn_call(const struct edge_caller *edge,
 			  const struct conn *cn);
 void caller_conn_notify_gone(struct edge_caller *edge, const struct conn *cn);
@@ -110,7 +120,7 @@
 			    void **context,
 			    enum MHD_ConnectionNotificationCode code);
 
-/* edge-caller-request.c */
+/* edge-caller-request.c: callbacks of libmicrohttpd */
 enum MHD_Result edge_caller_handle(void *cls, struct MHD_Connection *mhd,
 				   const char *path, const char *method,
 				   const char *version, const char *data,
@@ -119,7 +129,14 @@
 			   void **con_cls,
 			   enum MHD_RequestTerminationCode code);
 
-/* edge-caller-reply.c */
+/*
+ * edge-caller-reply.c
+ *
+ * caller_refusal_record counts a refusal and logs it at a limited rate. The
+ * caller_reply_* functions send a reply: an encoded one, one for the problem of
+ * the request, one for an overload, timeout or shutdown, and one for a request
+ * that is answered without the reducer (health, readiness, metrics).
+ */
 void caller_refusal_record(struct edge_caller *edge,
 			   const struct caller_problem *p);
 enum MHD_Result caller_reply_send(struct MHD_Connection *mhd,
--- a/http-state.h
+++ b/http-state.h
@@ -114,8 +114,8 @@
 	struct curl_slist *headers;
 	char *tls_ca;
 	struct http_queue *queues;
-	struct http_queue_list ready;
-	struct http_queue_list idle; /* by idle_until */
+	struct http_queue_list ready; /* may have requests to start */
+	struct http_queue_list idle;  /* without requests, by idle_until */
 	struct http_shard_list available_shards;
 	struct heap shard_timers;
 	struct heap request_timers; /* start or deadline of those waiting */
@@ -125,13 +125,19 @@
 	size_t socket_count;
 	struct http_socket *socket_hash;
 	struct http_socket_list unhashed; /* no local port yet */
-	uint64_t last_serial;
-	int64_t post_deadline;
-	atomic_uint request_count;
+	uint64_t last_serial;		  /* of a socket */
+	int64_t post_deadline;		  /* for a full inbox, while stopping */
+	atomic_uint request_count;	  /* waiting and running */
 	atomic_bool stopping;
 };
 
-/* http-socket.c: sockets of connections and their epoll events */
+/*
+ * http-socket.c: sockets of connections and their epoll events
+ *
+ * http_socket_is_reusable returns whether a connection that libcurl has chosen
+ * can carry another request of a queue. http_socket_open, http_socket_close and
+ * http_socket_watch are callbacks of libcurl.
+ */
 struct http_socket *http_socket_get(struct http_client *c, int fd);
 curl_socket_t http_socket_open(void *arg, curlsocktype purpose,
 			       struct curl_sockaddr *a);
@@ -144,12 +150,25 @@
 void http_socket_ready(struct http_client *c, int fd, uint32_t events);
 void http_sockets_free(struct http_client *c);
 
-/* http-shard.c: libcurl multi handles and their timers */
+/*
+ * http-shard.c: libcurl multi handles and their timers
+ *
+ * http_shard_acquire returns a shard with capacity for one more queue. When the
+ * last queue of a shard releases it, its connections are closed.
+ */
 struct http_shard *http_shard_acquire(struct http_client *c);
 void http_shard_release(struct http_shard *sh);
 void http_shards_run_timers(struct http_client *c, int64_t now);
 
-/* http-queue.c: queues of requests */
+/*
+ * http-queue.c: queues of requests
+ *
+ * http_queue_begin and http_queue_end count the requests in flight.
+ * http_request_end reports the response to the sender and queues the request
+ * again if the sender wants that. http_queues_start starts the requests that
+ * their queues have capacity for, http_queues_abort ends all waiting requests
+ * as not sent, and http_queues_expire frees the queues that stayed idle.
+ */
 struct http_queue *http_queue_get(struct http_client *c, const char *name);
 void http_queue_begin(struct http_queue *q);
 void http_queue_end(struct http_client *c, struct http_queue *q);
@@ -161,7 +180,13 @@
 void http_queues_abort(struct http_client *c);
 void http_queues_expire(struct http_client *c, int64_t now);
 
-/* http-transfer.c: transfers with libcurl easy handles */
+/*
+ * http-transfer.c: transfers with libcurl easy handles
+ *
+ * http_transfers_reap ends the transfers that libcurl has completed.
+ * http_transfers_abort ends all running transfers: those that were sent have no
+ * response.
+ */
 void http_transfer_start(struct http_client *c, struct http_queue *q,
 			 struct http_request *r);
 void http_transfers_reap(struct http_shard *sh);
