--- a/tests/test-sched.c
+++ b/tests/test-sched.c
@@ -12,15 +12,16 @@
 static const struct world_job chain = {
 	.tasks = 4, .more_tasks = 3, .task_ms = 500};
 static const struct world_job lasting = {
-	.tasks = 4, .lasts = true, .apart = 1, .may_miss = 1};
+	.tasks = 4, .long_running = true, .anti_affinity = 1, .may_miss = 1};
 static const struct world_job crowded = {
-	.tasks = 4, .lasts = true, .may_miss = 1};
-static const struct world_job flaky = {.tasks = 2, .task_ms = 300, .fails = 2};
+	.tasks = 4, .long_running = true, .may_miss = 1};
+static const struct world_job flaky = {
+	.tasks = 2, .task_ms = 300, .failures = 2};
 
 /* Check that all was kept, and free the world. */
 static void check_free(struct world *w)
 {
-	cr_expect_null(world_broken(w), "%s", world_broken(w));
+	cr_expect_null(world_violation(w), "%s", world_violation(w));
 	world_free(w);
 }
 
@@ -31,18 +32,19 @@
 	uint64_t a = world_submit(w, other(w), JOB_A, &chain), b, c;
 
 	world_run(w, 20);
-	cr_expect_eq(world_status(w, a), 200);
+	cr_expect_eq(world_call_status(w, a), 200);
 	a = world_call(w, owner(w), VERB_STATE, JOB_A);
 	b = world_call(w, other(w), VERB_STATE, JOB_B);
 	c = world_submit(w, owner(w), JOB_A, &chain);
 	world_run(w, 60);
-	cr_expect_eq(world_status(w, a), 200);
-	cr_expect_eq(world_status(w, b), 410, "no such job");
-	cr_expect_eq(world_status(w, c), 200, "a repeated submit is one job");
+	cr_expect_eq(world_call_status(w, a), 200);
+	cr_expect_eq(world_call_status(w, b), 410, "no such job");
+	cr_expect_eq(world_call_status(w, c), 200,
+		     "a repeated submit is one job");
 	world_run(w, 1500);
 	a = world_call(w, other(w), VERB_STATE, JOB_A);
 	world_run(w, 20);
-	cr_expect_str_eq(world_text(w, a), "completed");
+	cr_expect_str_eq(world_call_text(w, a), "completed");
 	cr_expect_eq(world_starts(w), 7);
 	check_free(w);
 }
@@ -87,13 +89,13 @@
 
 	for (i = 0; i < NELEMS(large); i++) {
 		w = calm(100 + i);
-		world_pages_slow(w, TABLE_OPERATOR, i < 6 ? 0 : 2000);
+		world_set_page_delay(w, TABLE_OPERATOR, i < 6 ? 0 : 2000);
 		for (vm = 0; vm < 4; vm++) {
-			world_kill(w, vm);
-			world_cores(w, vm, vm == large[i] ? 0.5 : 0.12);
+			world_kill_vm(w, vm);
+			world_set_cores(w, vm, vm == large[i] ? 0.5 : 0.12);
 		}
 		for (vm = 0; vm < 4; vm++)
-			world_start(w, vm);
+			world_start_vm(w, vm);
 		world_run(w, i < 6 ? 2500 : 5000);
 		cr_expect_eq(owner(w), large[i], "row %u", i);
 		check_free(w);
@@ -106,16 +108,16 @@
 	struct world *w = calm(2);
 	uint64_t a;
 
-	world_keys(w, false);
+	world_set_key(w, false);
 	world_run(w, 20);
 	a = world_submit(w, other(w), JOB_A, &quick);
 	world_run(w, 20);
-	cr_expect_eq(world_status(w, a), 401);
-	world_keys(w, true);
+	cr_expect_eq(world_call_status(w, a), 401);
+	world_set_key(w, true);
 	world_run(w, 20);
 	a = world_submit(w, other(w), JOB_A, &quick);
 	world_run(w, 20);
-	cr_expect_eq(world_status(w, a), 200);
+	cr_expect_eq(world_call_status(w, a), 200);
 	check_free(w);
 }
 
@@ -130,8 +132,8 @@
 	world_run(w, 200);
 	a = world_call(w, other(w), VERB_CANCEL, JOB_A);
 	world_run(w, 600);
-	cr_expect_eq(world_status(w, a), 200);
-	cr_expect_str_eq(world_state(w, JOB_A), "cancelled");
+	cr_expect_eq(world_call_status(w, a), 200);
+	cr_expect_str_eq(world_job_state(w, JOB_A), "cancelled");
 	starts = world_starts(w);
 	world_run(w, 3000);
 	cr_expect_eq(world_starts(w), starts);
@@ -144,17 +146,17 @@
 	struct world *w = calm(4);
 	uint64_t a;
 
-	world_limit(w, 4000);
+	world_set_limit(w, 4000);
 	world_run(w, 20);
 	world_submit(w, 0, JOB_A, &chain);
 	world_submit(w, 1, JOB_B, &chain);
 	world_run(w, 60);
 	a = world_call(w, owner(w), VERB_STATE, "");
 	world_run(w, 10);
-	cr_expect_eq(world_waiting(w, a), 1, "one job has no task yet");
+	cr_expect_eq(world_call_waiting(w, a), 1, "one job has no task yet");
 	world_run(w, 6500);
-	cr_expect_str_eq(world_state(w, JOB_A), "completed");
-	cr_expect_str_eq(world_state(w, JOB_B), "completed");
+	cr_expect_str_eq(world_job_state(w, JOB_A), "completed");
+	cr_expect_str_eq(world_job_state(w, JOB_B), "completed");
 	check_free(w);
 }
 
@@ -162,14 +164,14 @@
 Test(sched, failing_tasks)
 {
 	static const struct world_job hopeless = {
-		.tasks = 1, .task_ms = 100, .fails = 99};
+		.tasks = 1, .task_ms = 100, .failures = 99};
 	struct world *w = calm(5);
 
 	world_submit(w, 0, JOB_A, &flaky);
 	world_submit(w, 0, JOB_B, &hopeless);
 	world_run(w, 3000);
-	cr_expect_str_eq(world_state(w, JOB_A), "completed");
-	cr_expect_str_eq(world_state(w, JOB_B), "failed");
+	cr_expect_str_eq(world_job_state(w, JOB_A), "completed");
+	cr_expect_str_eq(world_job_state(w, JOB_B), "failed");
 	cr_expect_eq(world_starts(w), 2 * 3 + 3);
 	check_free(w);
 }
@@ -193,42 +195,42 @@
 
 	switch (fault) {
 	case OWNER_KILLED:
-		world_kill(w, n);
+		world_kill_vm(w, n);
 		break;
 	case OWNER_STOPPED:
-		world_stop(w, n);
+		world_stop_vm(w, n);
 		break;
 	case OWNER_FROZEN:
-		world_freeze(w, n, 6000);
+		world_freeze_vm(w, n, 6000);
 		break;
 	case OWNER_SHORT_FREEZE:
-		world_freeze(w, n, 1400);
+		world_freeze_vm(w, n, 1400);
 		break;
 	case OWNER_CUT:
 		world_cut_store(w, n, true);
 		break;
 	case OWNER_REFUSED:
-		world_store_vm(w, n, STORE_REFUSES);
+		world_set_vm_store_mode(w, n, WORLD_STORE_REFUSES);
 		break;
 	case OWNER_ALL_KILLED:
 		for (i = 0; i < 4; i++)
-			world_kill(w, i);
+			world_kill_vm(w, i);
 		world_run(w, 700);
 		for (i = 0; i < 4; i++)
-			world_start(w, i);
+			world_start_vm(w, i);
 		break;
 	case OWNER_STORE_DOWN:
-		world_store(w, STORE_SILENT);
+		world_set_store_mode(w, WORLD_STORE_NO_ANSWER);
 		world_run(w, 3000);
-		world_store(w, STORE_GOOD);
+		world_set_store_mode(w, WORLD_STORE_OK);
 		break;
 	case OWNER_STORE_LOSES:
-		world_store(w, STORE_LOSES);
+		world_set_store_mode(w, WORLD_STORE_LOSES_ANSWERS);
 		world_run(w, 1500);
-		world_store(w, STORE_GOOD);
+		world_set_store_mode(w, WORLD_STORE_OK);
 		break;
 	case OWNER_HISTORY_GONE:
-		world_compact(w);
+		world_compact_history(w);
 		break;
 	}
 }
@@ -267,7 +269,7 @@
 	world_run(w, 9000);
 	a = world_call(w, owner(w), VERB_STATE, JOB_A);
 	world_run(w, 50);
-	cr_expect_str_eq(world_text(w, a), "completed", "%s at %lld", name,
+	cr_expect_str_eq(world_call_text(w, a), "completed", "%s at %lld", name,
 			 (long long)at);
 	cr_expect_eq(world_starts(w), 11, "%u starts, %s at %lld",
 		     world_starts(w), name, (long long)at);
@@ -294,8 +296,10 @@
  */
 Test(sched, acknowledged_when_written)
 {
-	static const struct world_job steps = {
-		.tasks = 4, .apart = 1, .more_tasks = 1, .task_ms = 150};
+	static const struct world_job steps = {.tasks = 4,
+					       .anti_affinity = 1,
+					       .more_tasks = 1,
+					       .task_ms = 150};
 	static const unsigned crowds[] = {0, 30, 90, 150};
 	char id[JOB_ID_BYTES + 1];
 	struct world *w;
@@ -305,7 +309,7 @@
 		w = calm(900 + row);
 		n = owner(w);
 		/* Of one job at a time; the crowd waits. */
-		world_limit(w, 8000);
+		world_set_limit(w, 8000);
 		world_run(w, 10);
 		world_submit(w, (n + 1) % 4, JOB_A, &steps);
 		world_run(w, 10);
@@ -314,16 +318,16 @@
 			world_submit(w, (n + 1 + i % 3) % 4, id, &steps);
 		}
 		world_run(w, 100 + row / 4 * 6);
-		world_store_vm(w, n, STORE_SILENT);
+		world_set_vm_store_mode(w, n, WORLD_STORE_NO_ANSWER);
 		world_run(w, 25);
-		world_store_vm(w, n, STORE_GOOD);
+		world_set_vm_store_mode(w, n, WORLD_STORE_OK);
 		while (i-- > 0) {
 			snprintf(id, sizeof(id), "%x%015x", i % 16, i);
 			world_call(w, (n + 1 + i % 3) % 4, VERB_CANCEL, id);
 		}
 		world_run(w, 8000);
-		cr_expect_null(world_broken(w), "row %u, crowd %u: %s", row,
-			       crowds[row % 4], world_broken(w));
+		cr_expect_null(world_violation(w), "row %u, crowd %u: %s", row,
+			       crowds[row % 4], world_violation(w));
 		world_free(w);
 	}
 }
@@ -372,11 +376,11 @@
 			for (k = 0; k < 4; k++)
 				world_cut_worker(w, k, i, (k == n) != (i < 3));
 		for (i = 0; i < 3; i++)
-			world_unlist(w, i, true);
+			world_unlist_worker(w, i, true);
 		world_run(w, 1300 + 70 * row);
 		next = owner(w);
 		if (next != n)
-			world_stop(w, next);
+			world_stop_vm(w, next);
 		world_run(w, 12000);
 		check_free(w);
 	}
@@ -401,11 +405,11 @@
 	for (i = 0; i < 6; i++)
 		for (k = 0; k < 4; k++)
 			world_cut_worker(w, k, i, (i < 2) != (k == n));
-	world_unlist(w, 0, true);
-	world_unlist(w, 1, true);
+	world_unlist_worker(w, 0, true);
+	world_unlist_worker(w, 1, true);
 	world_run(w, 3000);
 	/* A second change of owner, before the first has settled. */
-	world_stop(w, owner(w));
+	world_stop_vm(w, owner(w));
 	world_run(w, 12000);
 	check_free(w);
 }
@@ -424,22 +428,22 @@
 
 	for (row = 0; row < 10; row++) {
 		w = calm(400 + row);
-		world_store(w, STORE_LATE);
+		world_set_store_mode(w, WORLD_STORE_LATE);
 		for (k = 0; k < 3; k++) {
 			snprintf(id, sizeof(id), "%016x", 0xa0 + k);
-			world_store(w, STORE_GOOD);
+			world_set_store_mode(w, WORLD_STORE_OK);
 			world_submit(w, other(w), id, &chain);
 			world_run(w, 300 + 40 * row);
-			world_store_vm(w, owner(w), STORE_LATE);
+			world_set_vm_store_mode(w, owner(w), WORLD_STORE_LATE);
 			world_run(w, 500 + 30 * row);
-			world_store_vm(w, owner(w), STORE_GOOD);
+			world_set_vm_store_mode(w, owner(w), WORLD_STORE_OK);
 		}
 		world_run(w, 900 + 100 * row);
-		world_kill(w, owner(w));
+		world_kill_vm(w, owner(w));
 		world_run(w, 14000);
 		for (k = 0; k < 3; k++) {
 			snprintf(id, sizeof(id), "%016x", 0xa0 + k);
-			cr_expect_str_eq(world_state(w, id), "completed");
+			cr_expect_str_eq(world_job_state(w, id), "completed");
 		}
 		check_free(w);
 	}
@@ -458,19 +462,19 @@
 	unsigned k;
 	char id[17];
 
-	world_limit(w, 6000);
+	world_set_limit(w, 6000);
 	world_run(w, 20);
 	for (k = 0; k < 6; k++) {
 		snprintf(id, sizeof(id), "%016x", 0xb0 + k);
 		world_submit(w, 0, id, &slow);
 	}
 	world_run(w, 500);
-	world_kill(w, owner(w));
+	world_kill_vm(w, owner(w));
 	world_run(w, 4000);
 	a = world_call(w, owner(w), VERB_STATE, "");
 	world_run(w, 10);
-	cr_expect_eq(world_waiting(w, a), 5, "%llu wait",
-		     (unsigned long long)world_waiting(w, a));
+	cr_expect_eq(world_call_waiting(w, a), 5, "%llu wait",
+		     (unsigned long long)world_call_waiting(w, a));
 	check_free(w);
 }
 
@@ -481,9 +485,9 @@
 
 	world_submit(w, other(w), JOB_A, &lasting);
 	world_run(w, 500);
-	world_store(w, STORE_REFUSES);
+	world_set_store_mode(w, WORLD_STORE_REFUSES);
 	world_run(w, 12000);
-	world_store(w, STORE_GOOD);
+	world_set_store_mode(w, WORLD_STORE_OK);
 	world_run(w, 9000);
 	cr_expect_geq(world_starts(w), 4);
 	check_free(w);
@@ -495,12 +499,12 @@
 	struct world *w = calm(10);
 	uint64_t a;
 
-	world_store(w, STORE_REFUSES);
+	world_set_store_mode(w, WORLD_STORE_REFUSES);
 	world_run(w, 500);
 	a = world_submit(w, other(w), JOB_A, &quick);
 	world_run(w, 1);
-	cr_expect_eq(world_status(w, a), 503);
-	world_store(w, STORE_GOOD);
+	cr_expect_eq(world_call_status(w, a), 503);
+	world_set_store_mode(w, WORLD_STORE_OK);
 	world_run(w, 500);
 	cr_expect_eq(world_starts(w), 0, "refused work has not run");
 	check_free(w);
@@ -515,14 +519,14 @@
 	struct world *w = calm(11);
 	uint64_t a;
 
-	world_store(w, STORE_LOSES);
+	world_set_store_mode(w, WORLD_STORE_LOSES_ANSWERS);
 	a = world_submit(w, other(w), JOB_A, &quick);
 	world_run(w, 100);
-	world_store(w, STORE_GOOD);
+	world_set_store_mode(w, WORLD_STORE_OK);
 	world_run(w, 2500);
-	cr_expect_eq(world_status(w, a), 200);
+	cr_expect_eq(world_call_status(w, a), 200);
 	cr_expect_eq(world_starts(w), 3);
-	cr_expect_str_eq(world_state(w, JOB_A), "completed");
+	cr_expect_str_eq(world_job_state(w, JOB_A), "completed");
 	check_free(w);
 }
 
@@ -533,12 +537,12 @@
 	unsigned i, before;
 
 	for (i = 0; i < 5; i++)
-		world_drain(w, i);
+		world_drain_worker(w, i);
 	world_run(w, 50);
 	before = world_starts_of(w, 0);
 	world_submit(w, 0, JOB_A, &chain);
 	world_run(w, 3000);
-	cr_expect_str_eq(world_state(w, JOB_A), "completed");
+	cr_expect_str_eq(world_job_state(w, JOB_A), "completed");
 	cr_expect_eq(world_starts_of(w, 0), before);
 	cr_expect_eq(world_starts_of(w, 5), 7);
 	check_free(w);
@@ -551,7 +555,7 @@
 	world_submit(w, 0, JOB_A, &lasting);
 	world_run(w, 300);
 	for (i = 0; i < 6; i++)
-		world_crash(w, i);
+		world_crash_worker(w, i);
 	world_run(w, 3000);
 	cr_expect_eq(world_starts(w), 8, "%u", world_starts(w));
 	check_free(w);
@@ -566,7 +570,7 @@
 	for (k = 0; k < 4; k++)
 		world_cut_worker(w, k, 0, true);
 	world_run(w, 9000);
-	cr_expect_str_eq(world_state(w, JOB_A), "completed");
+	cr_expect_str_eq(world_job_state(w, JOB_A), "completed");
 	check_free(w);
 }
 
@@ -598,19 +602,19 @@
 		w = calm(17);
 		if (silent_start_rows[i].old_connections)
 			world_old_connections(w);
-		world_vanish(w, 100);
+		world_set_lost_starts(w, 100);
 		world_submit(w, 0, JOB_A, &quick);
 		world_run(w, 20);
 		/* The first of the workers got them. */
 		for (k = 0; k < 4; k++)
 			world_cut_worker(w, k, 0, true);
-		world_vanish(w, 0);
+		world_set_lost_starts(w, 0);
 		world_run(w, silent < after ? silent : after);
 		for (k = 0; k < 4 && silent < after; k++)
 			world_cut_worker(w, k, 0, false);
 		if (silent < after)
 			world_run(w, after - silent);
-		cr_expect_str_eq(world_state(w, JOB_A),
+		cr_expect_str_eq(world_job_state(w, JOB_A),
 				 silent_start_rows[i].state, "%s",
 				 silent_start_rows[i].name);
 		check_free(w);
@@ -631,15 +635,15 @@
 		w = calm(700 + row);
 		world_run(w, 6000);
 		for (i = 0; i < 6; i++)
-			world_crash(w, i);
+			world_crash_worker(w, i);
 		world_run(w, 310 + 30 * (row % 12));
-		world_late(w, 100);
+		world_set_late_orders(w, 100);
 		world_submit(w, other(w), JOB_A, &quick);
 		world_run(w, 14 + 6 * (row / 12));
-		world_unlist(w, 0, true); /* its tasks go elsewhere */
-		world_freeze(w, owner(w), 1250);
+		world_unlist_worker(w, 0, true); /* its tasks go elsewhere */
+		world_freeze_vm(w, owner(w), 1250);
 		world_run(w, 500);
-		world_late(w, 0);
+		world_set_late_orders(w, 0);
 		world_run(w, 14000);
 		check_free(w);
 	}
@@ -669,16 +673,16 @@
 
 	for (i = 0; i < NELEMS(cut_rows); i++) {
 		w = calm(180 + i);
-		world_ends_listed(w, cut_rows[i].listed);
+		world_set_ends_listed(w, cut_rows[i].listed);
 		world_submit(w, other(w), JOB_A, &many);
 		world_run(w, 300);
-		world_store(w, STORE_SILENT);
+		world_set_store_mode(w, WORLD_STORE_NO_ANSWER);
 		world_run(w, 1500);
 		if (cut_rows[i].kill)
-			world_kill(w, owner(w));
-		world_store(w, STORE_GOOD);
+			world_kill_vm(w, owner(w));
+		world_set_store_mode(w, WORLD_STORE_OK);
 		world_run(w, 12000);
-		cr_expect_str_eq(world_state(w, JOB_A), "completed", "%s",
+		cr_expect_str_eq(world_job_state(w, JOB_A), "completed", "%s",
 				 cut_rows[i].name);
 		cr_expect_eq(world_starts(w), 24, "%s: %u starts",
 			     cut_rows[i].name, world_starts(w));
@@ -689,14 +693,14 @@
 {
 	struct world *w = calm(15);
 
-	world_fail_all(w, 0, true);
+	world_fail_tasks(w, 0, true);
 	world_submit(w, 0, JOB_A, &chain);
 	world_submit(w, 0, JOB_B, &chain);
 	world_submit(w, 0, JOB_C, &chain);
 	world_run(w, 6000);
-	cr_expect_str_eq(world_state(w, JOB_A), "completed");
-	cr_expect_str_eq(world_state(w, JOB_B), "completed");
-	cr_expect_str_eq(world_state(w, JOB_C), "completed");
+	cr_expect_str_eq(world_job_state(w, JOB_A), "completed");
+	cr_expect_str_eq(world_job_state(w, JOB_B), "completed");
+	cr_expect_str_eq(world_job_state(w, JOB_C), "completed");
 	check_free(w);
 }
 
@@ -705,13 +709,13 @@
 {
 	struct world *w = calm(16);
 
-	world_late(w, 30);
+	world_set_late_orders(w, 30);
 	world_submit(w, 0, JOB_A, &chain);
 	world_submit(w, 0, JOB_B, &lasting);
 	world_run(w, 15000);
-	world_late(w, 0);
+	world_set_late_orders(w, 0);
 	world_run(w, 5000);
-	cr_expect_str_eq(world_state(w, JOB_A), "completed");
+	cr_expect_str_eq(world_job_state(w, JOB_A), "completed");
 	check_free(w);
 }
 
@@ -729,9 +733,9 @@
 
 		world_submit(w, other(w), JOB_A, &flaky);
 		world_run(w, at);
-		world_store_vm(w, owner(w), STORE_REFUSES);
+		world_set_vm_store_mode(w, owner(w), WORLD_STORE_REFUSES);
 		world_run(w, 8000);
-		cr_expect_str_eq(world_state(w, JOB_A), "completed",
+		cr_expect_str_eq(world_job_state(w, JOB_A), "completed",
 				 "cut at %lld", (long long)at);
 		cr_expect_eq(world_starts(w), 6, "%u starts, cut at %lld",
 			     world_starts(w), (long long)at);
@@ -744,12 +748,12 @@
 {
 	struct world *w = calm(30);
 
-	world_advise(w);
+	world_require_advice(w);
 	world_run(w, 20);
 	world_submit(w, 0, JOB_A, &chain);
 	world_submit(w, 0, JOB_B, &lasting);
 	world_run(w, 3000);
-	cr_expect_str_eq(world_state(w, JOB_A), "completed");
+	cr_expect_str_eq(world_job_state(w, JOB_A), "completed");
 	cr_expect_eq(world_starts_of(w, 1), 0);
 	cr_expect_eq(world_starts_of(w, 3), 0);
 	cr_expect_eq(world_starts(w), 7 + 3, "one task finds no worker");
@@ -764,9 +768,9 @@
 	world_submit(w, 0, JOB_A, &lasting);
 	world_submit(w, 0, JOB_B, &lasting);
 	world_run(w, 500);
-	world_wave(w, 6, 3);
+	world_start_wave(w, 6, 3);
 	world_run(w, 25000);
-	cr_expect_eq(world_taken(w), 6);
+	cr_expect_eq(world_maintained_count(w), 6);
 	cr_expect(world_wave_is_completed(w));
 	check_free(w);
 }
@@ -777,7 +781,7 @@
 	world_run(w, 2000);
 	world_submit(w, 0, JOB_A, &crowded);
 	world_run(w, 500);
-	world_wave(w, 2, 1);
+	world_start_wave(w, 2, 1);
 	world_run(w, 25000);
 	check_free(w);
 }
@@ -799,19 +803,19 @@
 		world_submit(w, 0, JOB_A, &lasting);
 		world_submit(w, 0, JOB_B, &lasting);
 		world_run(w, 500);
-		world_busy(w, true);
-		world_wave(w, 6, 5);
+		world_set_maintenance_busy(w, true);
+		world_start_wave(w, 6, 5);
 		world_run(w, 2000);
 		for (i = 0; i < 6; i++) {
-			world_replace(w, i);
+			world_replace_worker(w, i);
 			world_run(w, 1500);
 		}
 		world_submit(w, 0, JOB_C, &lasting);
 		world_run(w, 5000);
-		world_kill(w, owner(w));
-		world_busy(w, false);
+		world_kill_vm(w, owner(w));
+		world_set_maintenance_busy(w, false);
 		world_run(w, 25000);
-		cr_expect_eq(world_taken(w), 6, "seed %u", seed);
+		cr_expect_eq(world_maintained_count(w), 6, "seed %u", seed);
 		cr_expect(world_wave_is_completed(w), "seed %u", seed);
 		check_free(w);
 	}
@@ -833,7 +837,7 @@
 		world_submit(w, 0, JOB_A, &lasting);
 		world_run(w, 500);
 		world_silence_machines(w, true);
-		world_wave(w, 6, 6);
+		world_start_wave(w, 6, 6);
 		world_run(w, 1700 + 90 * row);
 		n = owner(w);
 		world_cut_store(w, n, true);
@@ -861,11 +865,11 @@
 		world_submit(w, 0, JOB_A, &lasting);
 		world_submit(w, 0, JOB_B, &lasting);
 		world_run(w, 500);
-		world_wave(w, 6, 2);
+		world_start_wave(w, 6, 2);
 		world_run(w, at);
-		world_kill(w, owner(w));
+		world_kill_vm(w, owner(w));
 		world_run(w, 28000);
-		cr_expect_eq(world_taken(w), 6, "killed at %lld",
+		cr_expect_eq(world_maintained_count(w), 6, "killed at %lld",
 			     (long long)at);
 		cr_expect(world_wave_is_completed(w), "killed at %lld",
 			  (long long)at);
--- a/tests/test-standin-platform.c
+++ b/tests/test-standin-platform.c
@@ -196,7 +196,7 @@
  */
 Test(standin_platform, is_down_for_some, .fini = stop)
 {
-	char *body = http_text(
+	char *body = http_expand(
 		"{'txid':'1','writes':[{'key':'a','value':''}]}");
 	char *text;
 	int fds[40];
--- a/tests/test-standin-worker.c
+++ b/tests/test-standin-worker.c
@@ -60,7 +60,7 @@
 static int send_on(int fd, const char *method, const char *path,
 		   const char *body)
 {
-	char *text = http_text(body ? body : "");
+	char *text = http_expand(body ? body : "");
 
 	if (fd < 0)
 		fd = http_connect(port, NULL);
--- a/tests/test-stop.c
+++ b/tests/test-stop.c
@@ -28,17 +28,17 @@
 		w = world_new(420 + row, WORLD_VMS, WORLD_WORKERS);
 		world_run(w, 2000);
 		n = (unsigned)world_owner(w);
-		world_freeze(w, n, pause_rows[row].frozen_ms);
+		world_freeze_vm(w, n, pause_rows[row].frozen_ms);
 		world_run(w,
 			  pause_rows[row].frozen_ms + pause_rows[row].later_ms);
-		world_stop(w, n);
+		world_stop_vm(w, n);
 		for (ms = 0; ms < 9000 && world_sched(w, n); ms += 20)
 			world_run(w, 20);
 		cr_expect_geq(ms, pause_rows[row].ends_ms - 40, "row %u: %lld",
 			      row, (long long)ms);
 		cr_expect_leq(ms, pause_rows[row].ends_ms + 80, "row %u: %lld",
 			      row, (long long)ms);
-		cr_expect_null(world_broken(w), "%s", world_broken(w));
+		cr_expect_null(world_violation(w), "%s", world_violation(w));
 		world_free(w);
 	}
 }
--- a/tests/test-takeover.c
+++ b/tests/test-takeover.c
@@ -10,14 +10,16 @@
 #define JOB_B "10000000000000bb"
 
 static const struct world_job quick = {.tasks = 3, .task_ms = 400};
-static const struct world_job pair = {.tasks = 2, .lasts = true, .apart = 1};
-static const struct world_job four = {.tasks = 4, .lasts = true, .apart = 1};
+static const struct world_job pair = {
+	.tasks = 2, .long_running = true, .anti_affinity = 1};
+static const struct world_job four = {
+	.tasks = 4, .long_running = true, .anti_affinity = 1};
 
 /* Check that all was kept, and free the world. */
 static void check_free(struct world *w, const char *name, unsigned row)
 {
-	cr_expect_null(world_broken(w), "%s, row %u: %s", name, row,
-		       world_broken(w));
+	cr_expect_null(world_violation(w), "%s, row %u: %s", name, row,
+		       world_violation(w));
 	world_free(w);
 }
 
@@ -61,12 +63,13 @@
 	struct world *w = calm(500 + row);
 	unsigned n, next, k;
 
-	world_limit(w, 4000);
+	world_set_limit(w, 4000);
 	world_run(w, 2500);
 	world_submit(w, other(w), JOB_A, &pair);
 	world_run(w, 900);
 	cr_assert_eq(world_starts(w), 2);
-	world_pages_slow(w, ceiling_rows[row].slow, ceiling_rows[row].slow_ms);
+	world_set_page_delay(w, ceiling_rows[row].slow,
+			     ceiling_rows[row].slow_ms);
 	n = owner(w);
 	cut_with_its_workers(w, n);
 	for (k = 0; k < 300 && owner(w) == n; k++)
@@ -75,8 +78,8 @@
 	cr_assert_neq(next, n);
 	if (ceiling_rows[row].next_ms) {
 		world_run(w, ceiling_rows[row].next_ms);
-		world_pages_slow(w, ceiling_rows[row].slow, 0);
-		world_kill(w, next);
+		world_set_page_delay(w, ceiling_rows[row].slow, 0);
+		world_kill_vm(w, next);
 	}
 	for (k = 0; k == n || k == next; k++)
 		;
@@ -107,22 +110,23 @@
 	for (row = 0; row < 6; row++) {
 		w = calm(520 + row);
 		n = owner(w);
-		world_pages_slow(w, TABLE_PROGRESS, 350);
-		world_pages_slow(w, TABLE_WORKERS, 300);
-		world_kill(w, n);
+		world_set_page_delay(w, TABLE_PROGRESS, 350);
+		world_set_page_delay(w, TABLE_WORKERS, 300);
+		world_kill_vm(w, n);
 		for (k = 0; k < 300 && world_owner(w) == -1; k++)
 			world_run(w, 10);
 		world_run(w, 20 + 20 * row);
-		world_pages_slow(w, TABLE_JOBS, 400);
-		world_unlist(w, 5, false); /* a change of after it asked */
-		world_compact(w);
+		world_set_page_delay(w, TABLE_JOBS, 400);
+		world_unlist_worker(w, 5,
+				    false); /* a change of after it asked */
+		world_compact_history(w);
 		a = world_submit(w, other(w), JOB_A, &quick);
 		world_run(w, 1500);
-		world_pages_slow(w, TABLE_JOBS, 0);
+		world_set_page_delay(w, TABLE_JOBS, 0);
 		world_run(w, 6000);
-		cr_expect_eq(world_status(w, a), 200);
-		cr_expect_str_eq(world_state(w, JOB_A), "completed", "row %u",
-				 row);
+		cr_expect_eq(world_call_status(w, a), 200);
+		cr_expect_str_eq(world_job_state(w, JOB_A), "completed",
+				 "row %u", row);
 		check_free(w, "history", row);
 	}
 }
@@ -135,8 +139,8 @@
  */
 Test(takeover, removal_fails)
 {
-	static const enum world_store_mode modes[] = {STORE_REFUSES,
-						      STORE_SILENT};
+	static const enum world_store_mode modes[] = {WORLD_STORE_REFUSES,
+						      WORLD_STORE_NO_ANSWER};
 	struct world *w;
 	unsigned i;
 
@@ -144,18 +148,18 @@
 		w = calm(540 + i);
 		world_submit(w, other(w), JOB_A, &quick);
 		world_run(w, 99500);
-		cr_assert_str_eq(world_state(w, JOB_A), "completed");
+		cr_assert_str_eq(world_job_state(w, JOB_A), "completed");
 		/* Its removal falls into an outage too short to end leases. */
-		world_store(w, modes[i]);
+		world_set_store_mode(w, modes[i]);
 		world_run(w, 4000);
-		world_store(w, STORE_GOOD);
+		world_set_store_mode(w, WORLD_STORE_OK);
 		world_run(w, 800);
-		world_compact(w);
+		world_compact_history(w);
 		world_run(w, 6000);
 		cr_expect_eq(world_starts(w), 3, "%u starts, row %u",
 			     world_starts(w), i);
-		cr_expect_str_eq(world_state(w, JOB_A), "", "it goes, row %u",
-				 i);
+		cr_expect_str_eq(world_job_state(w, JOB_A), "",
+				 "it goes, row %u", i);
 		check_free(w, "removal", i);
 	}
 }
@@ -174,17 +178,18 @@
 		w = calm(550 + row);
 		world_submit(w, other(w), JOB_A, &quick);
 		world_run(w, 99800 + 250 * row);
-		world_pages_slow(w, TABLE_JOBS, 650);
-		world_unlist(w, 5, false); /* a change of after the last */
-		world_compact(w);
+		world_set_page_delay(w, TABLE_JOBS, 650);
+		world_unlist_worker(w, 5,
+				    false); /* a change of after the last */
+		world_compact_history(w);
 		world_submit(w, other(w), JOB_B, &quick);
 		world_run(w, 2500);
-		world_pages_slow(w, TABLE_JOBS, 0);
+		world_set_page_delay(w, TABLE_JOBS, 0);
 		world_run(w, 4000);
 		cr_expect_eq(world_starts(w), 6, "%u starts, row %u",
 			     world_starts(w), row);
-		cr_expect_str_eq(world_state(w, JOB_A), "", "it goes, row %u",
-				 row);
+		cr_expect_str_eq(world_job_state(w, JOB_A), "",
+				 "it goes, row %u", row);
 		check_free(w, "page", row);
 	}
 }
@@ -198,22 +203,22 @@
 Test(takeover, late_beat)
 {
 	static const struct world_job five = {
-		.tasks = 5, .lasts = true, .apart = 1};
+		.tasks = 5, .long_running = true, .anti_affinity = 1};
 	struct world *w;
 	unsigned row, n, k;
 
 	for (row = 0; row < 10; row++) {
 		w = world_new(560 + row, 4, 6);
-		world_unlist(w, 1, true);
-		world_unlist(w, 5, true);
+		world_unlist_worker(w, 1, true);
+		world_unlist_worker(w, 5, true);
 		world_run(w, 2000);
 		n = owner(w);
-		world_store_vm(w, n, STORE_LATE);
-		world_unlist(w, 5, false);
+		world_set_vm_store_mode(w, n, WORLD_STORE_LATE);
+		world_unlist_worker(w, 5, false);
 		world_run(w, 60);
-		world_store_vm(w, n, STORE_GOOD);
+		world_set_vm_store_mode(w, n, WORLD_STORE_OK);
 		world_run(w, 900);
-		world_unlist(w, 1, false);
+		world_unlist_worker(w, 1, false);
 		world_run(w, 500);
 		/* The owner can't use one, which its successor can. */
 		world_cut_worker(w, n, 0, true);
@@ -222,11 +227,11 @@
 		world_run(w, 700);
 		cr_assert_eq(owner(w), n);
 		cr_assert_eq(world_starts_of(w, 1), 1, "row %u", row);
-		world_unlist(w, 1, true);
+		world_unlist_worker(w, 1, true);
 		for (k = 0; k < 4; k++)
 			world_cut_worker(w, k, 1, k != n);
 		world_run(w, 200);
-		world_kill(w, n);
+		world_kill_vm(w, n);
 		world_run(w, 9000);
 		check_free(w, "late beat", row);
 	}
@@ -242,8 +247,9 @@
 Test(takeover, late_wave_note)
 {
 	static const struct world_job five = {
-		.tasks = 5, .lasts = true, .apart = 1};
-	static const struct world_job many = {.tasks = 43, .lasts = true};
+		.tasks = 5, .long_running = true, .anti_affinity = 1};
+	static const struct world_job many = {.tasks = 43,
+					      .long_running = true};
 	struct world *w;
 	unsigned row, n, k;
 
@@ -252,12 +258,12 @@
 		world_submit(w, other(w), JOB_A, &five);
 		world_run(w, 500);
 		n = owner(w);
-		world_store_vm(w, n, STORE_LATE);
-		world_wave(w, 1, 1);
+		world_set_vm_store_mode(w, n, WORLD_STORE_LATE);
+		world_start_wave(w, 1, 1);
 		world_run(w, 60);
-		world_store_vm(w, n, STORE_GOOD);
+		world_set_vm_store_mode(w, n, WORLD_STORE_OK);
 		world_run(w, 3200);
-		cr_assert_eq(world_taken(w), 1, "row %u", row);
+		cr_assert_eq(world_maintained_count(w), 1, "row %u", row);
 		/* All workers are full, that of the machine too. */
 		world_submit(w, other(w), JOB_B, &many);
 		world_run(w, 500);
@@ -267,9 +273,9 @@
 		world_run(w, 50);
 		/* Who follows knows better than the row: all start anew. */
 		for (k = 0; k < 4; k++)
-			world_kill(w, k);
+			world_kill_vm(w, k);
 		for (k = 0; k < 4; k++)
-			world_start(w, k);
+			world_start_vm(w, k);
 		world_run(w, 16000);
 		cr_expect(world_wave_is_completed(w), "row %u", row);
 		check_free(w, "late note", row);
@@ -294,14 +300,14 @@
 		n = owner(w);
 		for (k = 0; k < 4; k++)
 			if (k != n)
-				world_store_vm(w, k, STORE_LATE);
-		world_freeze(w, n, 1900);
+				world_set_vm_store_mode(w, k, WORLD_STORE_LATE);
+		world_freeze_vm(w, n, 1900);
 		world_run(w, 2000 + 100 * row);
 		cut_with_its_workers(w, n);
 		for (k = 0; k < 4000 && owner(w) == n; k++)
 			world_run(w, 1);
 		for (k = 0; k < 4; k++)
-			world_store_vm(w, k, STORE_GOOD);
+			world_set_vm_store_mode(w, k, WORLD_STORE_OK);
 		world_run(w, 12000);
 		cr_expect_neq(owner(w), n, "row %u", row);
 		check_free(w, "late claim", row);
@@ -316,24 +322,24 @@
 Test(takeover, configuration_is_read_late)
 {
 	static const struct world_job flaky = {
-		.tasks = 1, .task_ms = 300, .fails = 2};
+		.tasks = 1, .task_ms = 300, .failures = 2};
 	struct world *w;
 	unsigned row, k;
 
 	for (row = 0; row < 4; row++) {
 		w = calm(680 + row);
-		world_limit(w, 4000);
+		world_set_limit(w, 4000);
 		world_run(w, 2500);
 		world_submit(w, 0, JOB_A, row % 2 ? &flaky : &four);
 		world_run(w, 40);
 		for (k = 0; k < 4; k++)
-			world_kill(w, k);
-		world_pages_slow(w, TABLE_OPERATOR, row / 2 ? 600 : 2000);
+			world_kill_vm(w, k);
+		world_set_page_delay(w, TABLE_OPERATOR, row / 2 ? 600 : 2000);
 		for (k = 0; k < 4; k++)
-			world_start(w, k);
+			world_start_vm(w, k);
 		world_run(w, 9000);
 		if (row % 2)
-			cr_expect_str_eq(world_state(w, JOB_A), "completed",
+			cr_expect_str_eq(world_job_state(w, JOB_A), "completed",
 					 "row %u", row);
 		check_free(w, "configuration", row);
 	}
@@ -353,18 +359,18 @@
 
 	for (row = 0; row < 4; row++) {
 		w = world_new(700 + row, 4, 6);
-		world_standby(w, 3);
+		world_add_standby_pool(w, 3);
 		world_run(w, 60);
 		world_submit(w, other(w), JOB_A, &wide);
 		world_run(w, 26 + row);
 		n = owner(w);
-		world_store_vm(w, n, STORE_REFUSES);
+		world_set_vm_store_mode(w, n, WORLD_STORE_REFUSES);
 		world_run(w, 600);
-		world_kill(w, n);
+		world_kill_vm(w, n);
 		world_run(w, 9000);
-		cr_expect_eq(world_home(w), 3, "%u, row %u", world_home(w),
-			     row);
-		cr_expect_gt(world_moves(w), 0, "row %u", row);
+		cr_expect_eq(world_home_size(w), 3, "%u, row %u",
+			     world_home_size(w), row);
+		cr_expect_gt(world_move_count(w), 0, "row %u", row);
 		check_free(w, "sizes", row);
 	}
 }
@@ -386,12 +392,12 @@
 		n = owner(w);
 		sees = (n + 1 + row / 3) % 4;
 		for (k = 0; k < 4; k++)
-			world_blind(w, k, tables[row % 3], k != sees);
-		world_kill(w, n);
+			world_stall_pages(w, k, tables[row % 3], k != sees);
+		world_kill_vm(w, n);
 		world_submit(w, sees, JOB_A, &quick);
 		world_run(w, 20000);
-		cr_expect_str_eq(world_state(w, JOB_A), "completed", "row %u",
-				 row);
+		cr_expect_str_eq(world_job_state(w, JOB_A), "completed",
+				 "row %u", row);
 		check_free(w, "cannot read", row);
 	}
 }
@@ -412,13 +418,13 @@
 		n = owner(w);
 		world_submit(w, other(w), JOB_A, &quick);
 		world_run(w, 100);
-		world_wave(w, 6, 6);
+		world_start_wave(w, 6, 6);
 		world_run(w, 200 + 8 * row);
-		world_store_vm(w, n, STORE_SILENT);
+		world_set_vm_store_mode(w, n, WORLD_STORE_NO_ANSWER);
 		world_run(w, 25);
-		world_store_vm(w, n, STORE_GOOD);
+		world_set_vm_store_mode(w, n, WORLD_STORE_OK);
 		world_run(w, 500);
-		world_kill(w, n);
+		world_kill_vm(w, n);
 		world_run(w, 9000);
 		check_free(w, "written before it goes", row);
 	}
@@ -439,10 +445,10 @@
 	for (row = 0; row < 60; row++) {
 		w = calm(720 + row);
 		n = owner(w);
-		world_store_vm(w, n, STORE_LATE);
+		world_set_vm_store_mode(w, n, WORLD_STORE_LATE);
 		world_run(w, 420);
-		world_store_vm(w, n, STORE_GOOD);
-		world_store_slow_vm(w, n, 200 + 100 * (row % 5));
+		world_set_vm_store_mode(w, n, WORLD_STORE_OK);
+		world_set_vm_store_delay(w, n, 200 + 100 * (row % 5));
 		for (k = 0; k < 600 && owner(w) == n; k++)
 			world_run(w, 10);
 		lost += owner(w) != n;
@@ -464,18 +470,18 @@
 
 	for (row = 0; row < 4; row++) {
 		w = world_new(840 + row, 4, 6);
-		world_standby(w, 3);
+		world_add_standby_pool(w, 3);
 		world_run(w, 4000);
 		world_submit(w, other(w), JOB_A, &little);
 		world_run(w, 1500);
-		cr_expect_eq(world_moves(w), 0, "%u moved before, row %u",
-			     world_moves(w), row);
-		world_store_slow(w, row % 2 ? 300 : 0);
+		cr_expect_eq(world_move_count(w), 0, "%u moved before, row %u",
+			     world_move_count(w), row);
+		world_set_store_delay(w, row % 2 ? 300 : 0);
 		world_run(w, 500);
-		world_kill(w, owner(w));
+		world_kill_vm(w, owner(w));
 		world_run(w, 9000);
-		cr_expect_eq(world_moves(w), 0, "%u moved, row %u",
-			     world_moves(w), row);
+		cr_expect_eq(world_move_count(w), 0, "%u moved, row %u",
+			     world_move_count(w), row);
 		check_free(w, "moves", row);
 	}
 }
@@ -493,11 +499,11 @@
 	for (row = 0; row < 4; row++) {
 		w = calm(860 + row);
 		n = owner(w);
-		world_kill(w, n);
+		world_kill_vm(w, n);
 		for (k = 0; k < 16; k++) {
-			world_unlist(w, 5, k % 2 == 0); /* a change */
+			world_unlist_worker(w, 5, k % 2 == 0); /* a change */
 			world_run(w, 20);
-			world_compact(w);
+			world_compact_history(w);
 			world_run(w, 480);
 		}
 		cr_expect_neq(world_owner(w), -1, "nobody in 8 s, row %u", row);
@@ -528,8 +534,8 @@
 			world_run(w, 1);
 		}
 		world_run(w, 500);
-		world_rows_slow(w, 3 + row);
-		world_kill(w, owner(w));
+		world_set_row_delay(w, 3 + row);
+		world_kill_vm(w, owner(w));
 		world_run(w, 12000);
 		cr_expect_eq(world_epoch(w), 2, "row %u: epoch %u", row,
 			     world_epoch(w));
@@ -542,7 +548,7 @@
 {
 	unsigned n = owner(w), k;
 
-	world_kill(w, n);
+	world_kill_vm(w, n);
 	for (k = 0; k < 500 && world_owner(w) == -1; k++)
 		world_run(w, 10);
 	n = owner(w);
@@ -572,13 +578,13 @@
 	int64_t ms;
 
 	if (settle_rows[row].late) {
-		world_unlist(w, 5, true);
+		world_unlist_worker(w, 5, true);
 		for (k = 0; k < 4; k++)
 			world_cut_worker(w, k, 5, true);
 	}
 	world_run(w, 2500);
 	for (i = 0; i < settle_rows[row].replaced; i++) {
-		world_replace(w, i);
+		world_replace_worker(w, i);
 		world_run(w, 300);
 	}
 	if (settle_rows[row].leaves)
@@ -588,7 +594,7 @@
 	for (k = 0; k < 4 && settle_rows[row].silent; k++)
 		world_cut_worker(w, k, 0, true);
 	if (settle_rows[row].late)
-		world_unlist(w, 5, false);
+		world_unlist_worker(w, 5, false);
 	ms = settling_ms(w);
 	if (settle_rows[row].silent && !settle_rows[row].leaves)
 		cr_expect_gt(ms, 3000, "%s", settle_rows[row].name);
--- a/tests/test-upkeep.c
+++ b/tests/test-upkeep.c
@@ -7,14 +7,14 @@
 #define JOB_A "00000000000000aa"
 
 static const struct world_job lasting = {
-	.tasks = 3, .lasts = true, .apart = 1, .may_miss = 1};
+	.tasks = 3, .long_running = true, .anti_affinity = 1, .may_miss = 1};
 
 /* How many more tasks than the pool has room for keep it busy. */
 static const struct world_job heap = {.tasks = 240, .task_ms = 4000};
 
 static void check_free(struct world *w, const char *name)
 {
-	cr_expect_null(world_broken(w), "%s: %s", name, world_broken(w));
+	cr_expect_null(world_violation(w), "%s: %s", name, world_violation(w));
 	world_free(w);
 }
 
@@ -24,10 +24,10 @@
 	unsigned k;
 
 	for (k = 0; k < WORLD_VMS; k++)
-		world_kill(w, k);
+		world_kill_vm(w, k);
 	world_run(w, 300);
 	for (k = 0; k < WORLD_VMS; k++)
-		world_start(w, k);
+		world_start_vm(w, k);
 }
 
 /*
@@ -54,15 +54,16 @@
 		w = calm(1500 + row);
 		world_submit(w, other(w), JOB_A, &heap);
 		world_run(w, 300);
-		world_wave(w, 6, 3);
+		world_start_wave(w, 6, 3);
 		for (k = 0; k < anew_rows[row].lives; k++) {
 			world_run(w, anew_rows[row].apart_ms - 300);
 			all_begin_anew(w);
 		}
 		world_run(w, 20000 - anew_rows[row].lives *
 					     anew_rows[row].apart_ms);
-		cr_expect_eq(world_taken(w), 6, "%s: %u of 6 in time",
-			     anew_rows[row].name, world_taken(w));
+		cr_expect_eq(world_maintained_count(w), 6,
+			     "%s: %u of 6 in time", anew_rows[row].name,
+			     world_maintained_count(w));
 		check_free(w, anew_rows[row].name);
 	}
 }
@@ -96,11 +97,12 @@
 		for (i = 0; i < silent_rows[row].silent; i++)
 			for (k = 0; k < WORLD_VMS; k++)
 				world_cut_worker(w, k, 5 - i, true);
-		world_kill(w, owner(w));
-		world_wave(w, 6, 6);
+		world_kill_vm(w, owner(w));
+		world_start_wave(w, 6, 6);
 		world_run(w, 5500);
-		cr_expect_geq(world_taken(w), silent_rows[row].least, "%s: %u",
-			      silent_rows[row].name, world_taken(w));
+		cr_expect_geq(world_maintained_count(w), silent_rows[row].least,
+			      "%s: %u", silent_rows[row].name,
+			      world_maintained_count(w));
 		check_free(w, silent_rows[row].name);
 	}
 }
@@ -118,13 +120,14 @@
 		w = calm(1540 + row);
 		world_submit(w, other(w), JOB_A, &heap);
 		world_run(w, 300);
-		world_kill(w, owner(w));
-		world_wave(w, 6, 3);
+		world_kill_vm(w, owner(w));
+		world_start_wave(w, 6, 3);
 		for (k = 0; k < 400 && world_owner(w) == -1; k++)
 			world_run(w, 10);
 		world_run(w, 2000);
-		cr_expect_eq(world_taken(w), 0, "row %u: %u taken in a burst",
-			     row, world_taken(w));
+		cr_expect_eq(world_maintained_count(w), 0,
+			     "row %u: %u taken in a burst", row,
+			     world_maintained_count(w));
 		check_free(w, "looks at the pools first");
 	}
 }
--- a/tests/test-waiting.c
+++ b/tests/test-waiting.c
@@ -17,7 +17,7 @@
 
 static const struct world_job one = {.tasks = 1, .task_ms = 2000};
 /* All that the pool holds. */
-static const struct world_job filler = {.tasks = 48, .lasts = true};
+static const struct world_job filler = {.tasks = 48, .long_running = true};
 
 enum fill {
 	EMPTY,	 /* the pool has room */
@@ -33,7 +33,7 @@
 	world_run(w, 2000);
 	cr_assert_neq(world_owner(w), -1);
 	if (fill == LIMITED)
-		world_limit(w, LOW_LIMIT);
+		world_set_limit(w, LOW_LIMIT);
 	if (fill == FILLED)
 		world_submit(w, (unsigned)world_owner(w), FILLER, &filler);
 	world_run(w, 3000);
@@ -66,7 +66,7 @@
 	}
 	world_run(w, 10);
 	for (i = 0; i < JOBS; i++)
-		cr_assert_eq(world_status(w, calls[i]), 200);
+		cr_assert_eq(world_call_status(w, calls[i]), 200);
 }
 
 /*
@@ -78,34 +78,35 @@
 	unsigned told, refused, i, done = 0;
 
 	world_refuse_starts(w, REFUSAL_NONE);
-	world_vanish(w, 0);
-	world_store(w, STORE_GOOD);
-	world_store_slow(w, 0);
-	world_pages(w, 0);
+	world_set_lost_starts(w, 0);
+	world_set_store_mode(w, WORLD_STORE_OK);
+	world_set_store_delay(w, 0);
+	world_set_page_rows(w, 0);
 	for (i = 0; i < VMS; i++) {
 		world_cut_store(w, i, false);
-		world_store_vm(w, i, STORE_GOOD);
-		world_store_slow_vm(w, i, 0);
-		world_stall(w, i, TABLE_JOBS, false);
-		world_start(w, i);
+		world_set_vm_store_mode(w, i, WORLD_STORE_OK);
+		world_set_vm_store_delay(w, i, 0);
+		world_stall_reads(w, i, TABLE_JOBS, false);
+		world_start_vm(w, i);
 	}
 	world_run(w, 6000);
-	told = world_counts_told(w);
+	told = world_counts_answered(w);
 	refused = world_counts_refused(w);
 	world_run(w, 1000);
 	cr_expect_eq(world_counts_refused(w), refused, "%s: refused in calm",
 		     row);
-	cr_expect_geq(world_counts_told(w), told + VMS * (1000 / ASK_MS - 1),
-		      "%s: not told in calm", row);
-	world_limit(w, 0);
+	cr_expect_geq(world_counts_answered(w),
+		      told + VMS * (1000 / ASK_MS - 1), "%s: not told in calm",
+		      row);
+	world_set_limit(w, 0);
 	world_call(w, 0, VERB_CANCEL, FILLER);
 	world_run(w, 20000);
 	for (i = 0; i < JOBS; i++)
-		done += !strcmp(world_state(w, job_id(i)), "completed");
+		done += !strcmp(world_job_state(w, job_id(i)), "completed");
 	cr_expect_eq(done, JOBS, "%s: %u jobs are done", row, done);
-	cr_log_info("%s: %u told, %u refused", row, world_counts_told(w),
+	cr_log_info("%s: %u told, %u refused", row, world_counts_answered(w),
 		    world_counts_refused(w));
-	cr_expect_null(world_broken(w), "%s: %s", row, world_broken(w));
+	cr_expect_null(world_violation(w), "%s: %s", row, world_violation(w));
 	world_free(w);
 }
 
@@ -142,21 +143,21 @@
 		w = calm(700 + i, rows[i].fill);
 		lost = (unsigned)world_owner(w);
 		submit_all(w, 0);
-		world_ask_counts(w, ASK_MS);
+		world_poll_counts(w, ASK_MS);
 		world_run(w, 6000);
-		world_store_slow(w, rows[i].slow_ms);
-		world_pages(w, rows[i].page_rows);
+		world_set_store_delay(w, rows[i].slow_ms);
+		world_set_page_rows(w, rows[i].page_rows);
 		world_run(w, 1000);
-		cr_expect_null(world_broken(w), "%s, before: %s", rows[i].name,
-			       world_broken(w));
+		cr_expect_null(world_violation(w), "%s, before: %s",
+			       rows[i].name, world_violation(w));
 		if (rows[i].stops)
-			world_stop(w, lost);
+			world_stop_vm(w, lost);
 		else if (rows[i].freezes)
-			world_freeze(w, lost, 6000);
+			world_freeze_vm(w, lost, 6000);
 		else
-			world_kill(w, lost);
+			world_kill_vm(w, lost);
 		if (rows[i].returns)
-			world_start(w, lost);
+			world_start_vm(w, lost);
 		world_run(w, 9000);
 		check_calm(w, rows[i].name);
 	}
@@ -180,13 +181,18 @@
 		bool cut;
 		bool sleeps; /* one stands still, and is not cut off */
 	} rows[] = {
-		{"killed, the others cut off", FILLED, true, STORE_GOOD, true},
-		{"killed, the store refuses", FILLED, true, STORE_REFUSES},
-		{"killed, the store is silent", LIMITED, true, STORE_SILENT},
-		{"alive, all cut off", FILLED, false, STORE_GOOD, true},
-		{"alive, the store refuses", LIMITED, false, STORE_REFUSES},
-		{"alive, the store loses answers", FILLED, false, STORE_LOSES},
-		{"killed, one stood still", FILLED, true, STORE_GOOD, true,
+		{"killed, the others cut off", FILLED, true, WORLD_STORE_OK,
+		 true},
+		{"killed, the store refuses", FILLED, true,
+		 WORLD_STORE_REFUSES},
+		{"killed, the store is silent", LIMITED, true,
+		 WORLD_STORE_NO_ANSWER},
+		{"alive, all cut off", FILLED, false, WORLD_STORE_OK, true},
+		{"alive, the store refuses", LIMITED, false,
+		 WORLD_STORE_REFUSES},
+		{"alive, the store loses answers", FILLED, false,
+		 WORLD_STORE_LOSES_ANSWERS},
+		{"killed, one stood still", FILLED, true, WORLD_STORE_OK, true,
 		 true},
 	};
 	struct world *w;
@@ -196,25 +202,25 @@
 		w = calm(720 + i, rows[i].fill);
 		lost = (unsigned)world_owner(w);
 		asleep = (lost + 1) % VMS;
-		world_ask_counts(w, ASK_MS);
+		world_poll_counts(w, ASK_MS);
 		if (rows[i].sleeps) {
-			world_freeze(w, asleep, 8000);
+			world_freeze_vm(w, asleep, 8000);
 			world_run(w, 2500);
 		}
 		submit_all(w, VM(lost) | VM(asleep));
 		if (rows[i].killed)
-			world_kill(w, lost);
-		world_store(w, rows[i].all);
+			world_kill_vm(w, lost);
+		world_set_store_mode(w, rows[i].all);
 		for (vm = 0; vm < VMS; vm++)
 			world_cut_store(w, vm,
 					rows[i].cut && !(rows[i].sleeps &&
 							 vm == asleep));
 		/* 2 s after what was known, and 1 s that this was old. */
 		world_run(w, 3000);
-		told = world_counts_told(w);
+		told = world_counts_answered(w);
 		world_run(w, 7000);
-		if (rows[i].all != STORE_LOSES && !rows[i].sleeps)
-			cr_expect_eq(world_counts_told(w), told,
+		if (rows[i].all != WORLD_STORE_LOSES_ANSWERS && !rows[i].sleeps)
+			cr_expect_eq(world_counts_answered(w), told,
 				     "%s: told for longer", rows[i].name);
 		check_calm(w, rows[i].name);
 	}
@@ -235,14 +241,15 @@
 		enum world_store_mode mode;
 		bool cut, freezes, stalled, owns;
 	} rows[] = {
-		{"cut off", STORE_GOOD, .cut = true},
-		{"refused", STORE_REFUSES},
-		{"silent", STORE_SILENT},
-		{"stands still", STORE_GOOD, .freezes = true},
-		{"the owner's rows stall", STORE_GOOD, .stalled = true},
-		{"the owner cut off", STORE_GOOD, .cut = true, .owns = true},
-		{"the owner refused", STORE_REFUSES, .owns = true},
-		{"the owner stands still", STORE_GOOD, .freezes = true,
+		{"cut off", WORLD_STORE_OK, .cut = true},
+		{"refused", WORLD_STORE_REFUSES},
+		{"silent", WORLD_STORE_NO_ANSWER},
+		{"stands still", WORLD_STORE_OK, .freezes = true},
+		{"the owner's rows stall", WORLD_STORE_OK, .stalled = true},
+		{"the owner cut off", WORLD_STORE_OK, .cut = true,
+		 .owns = true},
+		{"the owner refused", WORLD_STORE_REFUSES, .owns = true},
+		{"the owner stands still", WORLD_STORE_OK, .freezes = true,
 		 .owns = true},
 	};
 	struct world *w;
@@ -251,17 +258,17 @@
 	for (i = 0; i < NELEMS(rows); i++) {
 		w = calm(740 + i, FILLED);
 		vm = ((unsigned)world_owner(w) + !rows[i].owns) % VMS;
-		world_ask_counts(w, ASK_MS);
+		world_poll_counts(w, ASK_MS);
 		world_cut_store(w, vm, rows[i].cut);
-		world_store_vm(w, vm, rows[i].mode);
-		world_stall(w, vm, TABLE_OWNER, rows[i].stalled);
+		world_set_vm_store_mode(w, vm, rows[i].mode);
+		world_stall_reads(w, vm, TABLE_OWNER, rows[i].stalled);
 		if (rows[i].freezes)
-			world_freeze(w, vm, 12500);
+			world_freeze_vm(w, vm, 12500);
 		/* What it asked for before may still come. */
 		world_run(w, 2500);
 		submit_all(w, VM(vm));
 		world_run(w, 10000);
-		world_stall(w, vm, TABLE_OWNER, false);
+		world_stall_reads(w, vm, TABLE_OWNER, false);
 		check_calm(w, rows[i].name);
 	}
 }
@@ -295,14 +302,14 @@
 
 	for (i = 0; i < NELEMS(rows); i++) {
 		w = calm(760 + i, EMPTY);
-		world_ask_counts(w, ASK_MS);
+		world_poll_counts(w, ASK_MS);
 		world_refuse_starts(w, rows[i].why);
-		world_vanish(w, rows[i].vanish);
+		world_set_lost_starts(w, rows[i].vanish);
 		starts = world_starts(w);
 		submit_all(w, 0);
 		world_run(w, 6000);
 		if (rows[i].killed)
-			world_kill(w, (unsigned)world_owner(w));
+			world_kill_vm(w, (unsigned)world_owner(w));
 		else
 			cr_expect_eq(world_counts_refused(w), 0, "%s: refused",
 				     rows[i].name);
@@ -342,18 +349,18 @@
 	for (i = 0; i < NELEMS(rows); i++) {
 		w = calm(780 + i, rows[i].fill);
 		lame = (unsigned)world_owner(w);
-		world_ask_counts(w, ASK_MS);
-		world_stall(w, lame, TABLE_JOBS, rows[i].stalled);
-		world_store_slow_vm(w, lame, rows[i].slow_ms);
-		world_pages(w, rows[i].page_rows);
+		world_poll_counts(w, ASK_MS);
+		world_stall_reads(w, lame, TABLE_JOBS, rows[i].stalled);
+		world_set_vm_store_delay(w, lame, rows[i].slow_ms);
+		world_set_page_rows(w, rows[i].page_rows);
 		apart = rows[i].gone_every_ms ? rows[i].gone_every_ms : 1000;
 		world_run(w, 1000);
 		if (rows[i].gone_every_ms)
-			world_compact(w);
+			world_compact_history(w);
 		submit_all(w, VM(lame));
 		for (t = 0; t < 10000; t += apart) {
 			if (rows[i].gone_every_ms)
-				world_compact(w);
+				world_compact_history(w);
 			world_run(w, apart);
 		}
 		check_calm(w, rows[i].name);
@@ -392,13 +399,13 @@
 		submit_all(w, 0);
 		world_run(w, rows[i].waited_ms);
 		for (vm = 0; vm < VMS; vm++)
-			world_kill(w, vm);
+			world_kill_vm(w, vm);
 		world_run(w, rows[i].off_ms);
-		world_store_slow(w, rows[i].slow_ms);
-		world_pages(w, rows[i].page_rows);
+		world_set_store_delay(w, rows[i].slow_ms);
+		world_set_page_rows(w, rows[i].page_rows);
 		for (vm = 0; vm < VMS; vm++)
-			world_start(w, vm);
-		world_ask_counts(w, ASK_MS);
+			world_start_vm(w, vm);
+		world_poll_counts(w, ASK_MS);
 		world_run(w, 9000);
 		check_calm(w, rows[i].name);
 	}
--- a/tests/test-wave.c
+++ b/tests/test-wave.c
@@ -96,7 +96,7 @@
 {
 	(void)s;
 	if (!watch.count || !request_is(fx) || watch.seen++ < watch.from)
-		return SIM_FINE;
+		return SIM_NO_FAULT;
 	watch.count--;
 	return watch.fault;
 }
@@ -129,7 +129,7 @@
 
 	if (sim_wave(s, OP_WAVE_SHOW, wave, "", 0) != OP_OK)
 		return -1;
-	j = sim_shown(s);
+	j = sim_reply_json(s);
 	n = json_integer_value(json_object_get(json_array_get(j, 0), name));
 	json_decref(j);
 	return n;
@@ -142,7 +142,7 @@
 	bool is;
 
 	snprintf(key, sizeof(key), "wave/%s", wave);
-	if (!sim_row(s, key, XDR_PROC(xdr_wave_row), &row, sizeof(row)))
+	if (!sim_row_get(s, key, XDR_PROC(xdr_wave_row), &row, sizeof(row)))
 		return false;
 	is = row.state == state;
 	xdr_free(XDR_PROC(xdr_wave_row), (char *)&row);
@@ -207,7 +207,7 @@
 	cr_expect_eq(sim_wave(s, OP_WAVE_PLAN, "w", "p0", 2000), OP_OK);
 	cr_expect_eq(reboots(s, "p0"), 0);
 	cr_expect_eq(sim_wave(s, OP_WAVE_START, "w", "", 0), OP_OK);
-	cr_expect(sim_until(s, wave_over, WAVE_MS));
+	cr_expect(sim_run_until(s, wave_over, WAVE_MS));
 	for (i = 0; i < s->worker_count; i++) {
 		cr_expect_eq(s->workers[i].reboots, i < 6, "%s: %u",
 			     s->workers[i].name, s->workers[i].reboots);
@@ -296,8 +296,8 @@
 		if (i % 2 == 0) {
 			cr_expect_eq(sim_wave(s, OP_WAVE_RESUME, "w", "", 0),
 				     OP_OK);
-			cr_expect(sim_until(s, wave_over, WAVE_MS), "case %u",
-				  i);
+			cr_expect(sim_run_until(s, wave_over, WAVE_MS),
+				  "case %u", i);
 			cr_expect_eq(reboots(s, "p0"), 6, "case %u", i);
 		}
 		sim_free(s);
@@ -323,8 +323,8 @@
 		{FX_COMMIT, NULL, 10, 12},     {FX_READ, NULL, 60, 20},
 		{FX_SCAN, NULL, 8, 10},
 	};
-	static const enum sim_fault faults[] = {SIM_DROP, SIM_DROP_ANSWER,
-						SIM_REFUSE};
+	static const enum sim_fault faults[] = {SIM_DROP_REQUEST,
+						SIM_DROP_ANSWER, SIM_REFUSE};
 	unsigned i, k;
 	struct sim *s;
 
@@ -338,7 +338,7 @@
 				       .fault = faults[i % 3],
 				       .from = cases[i / 3].from,
 				       .count = cases[i / 3].count};
-		cr_expect(sim_until(s, wave_over, WAVE_MS), "case %u", i);
+		cr_expect(sim_run_until(s, wave_over, WAVE_MS), "case %u", i);
 		for (k = 0; k < 6; k++)
 			cr_expect_eq(s->workers[k].reboots, 1, "case %u: %s %u",
 				     i, s->workers[k].name,
@@ -372,7 +372,7 @@
 		sim_entry_kill(s, i % 3);
 		sim_run(s, 3000);
 		sim_entry_boot(s, i % 3);
-		cr_expect(sim_until(s, wave_over, WAVE_MS), "case %u", i);
+		cr_expect(sim_run_until(s, wave_over, WAVE_MS), "case %u", i);
 		for (k = 0; k < 6; k++)
 			cr_expect_eq(s->workers[k].reboots, 1, "case %u: %s %u",
 				     i, s->workers[k].name,
@@ -402,7 +402,7 @@
 	sim_wave(s, OP_WAVE_PLAN, "v", "p0", 1000);
 	sim_wave(s, OP_WAVE_START, "w", "", 0);
 	sim_wave(s, OP_WAVE_START, "v", "", 0);
-	cr_expect(sim_until(s, both_over, 2 * WAVE_MS));
+	cr_expect(sim_run_until(s, both_over, 2 * WAVE_MS));
 	sim_run(s, 3000); /* what is shown is at most one poll old */
 	cr_expect_eq(reboots(s, "p0"), 12, "%u", reboots(s, "p0"));
 	cr_expect(watch.room_most <= 3, "%u", watch.room_most);
@@ -453,7 +453,7 @@
 		cr_expect(watch.room_most <= 4, "case %u: %u", i,
 			  watch.room_most);
 		sim_wave(s, OP_WAVE_SHOW, "w", "", 0);
-		j = sim_shown(s);
+		j = sim_reply_json(s);
 		cr_expect(json_array_size(json_object_get(json_array_get(j, 0),
 							  "late")) ||
 				  json_string_length(json_object_get(
@@ -463,7 +463,7 @@
 		/* It comes back: the wave ends, and all are at work. */
 		s->workers[cases[i].victim].never_returns = false;
 		sim_worker_boot(s, &s->workers[cases[i].victim]);
-		cr_expect(sim_until(s, wave_over, WAVE_MS), "case %u", i);
+		cr_expect(sim_run_until(s, wave_over, WAVE_MS), "case %u", i);
 		sim_run(s, 10000);
 		cr_expect_eq(active(s), 8, "case %u", i);
 		sim_free(s);
@@ -497,8 +497,8 @@
 	sim_run(s, 15000);
 	sim_worker_boot(s, &s->workers[6]);
 	sim_run(s, 15000);
-	cr_assert(sim_row(s, "pool/p1", XDR_PROC(xdr_pool_row), &row,
-			  sizeof(row)));
+	cr_assert(sim_row_get(s, "pool/p1", XDR_PROC(xdr_pool_row), &row,
+			      sizeof(row)));
 	cr_expect_eq(row.outs.outs_len, 0);
 	xdr_free(XDR_PROC(xdr_pool_row), (char *)&row);
 	cr_expect_eq(sim_vm(s, OP_VM_DRAIN, "w7", "", 0), OP_OK);
@@ -528,7 +528,7 @@
 	cr_expect(expected > 10000 && expected < 300000, "%lld",
 		  (long long)expected);
 	cr_expect(wave_figure(s, "w", "done") > 1);
-	cr_expect(sim_until(s, wave_over, WAVE_MS));
+	cr_expect(sim_run_until(s, wave_over, WAVE_MS));
 	sim_free(s);
 }
 
@@ -553,7 +553,7 @@
 	cr_expect_eq(sim_vm(s, OP_VM_RETURN, "w1", "", 0), OP_REFUSED);
 	cr_expect_eq(sim_vm(s, OP_VM_DRAIN, "w1", "", 0), OP_OK);
 	cr_expect_eq(sim_vm(s, OP_VM_RETURN, "w1", "", 0), OP_OK);
-	cr_expect(sim_until(s, wave_over, WAVE_MS));
+	cr_expect(sim_run_until(s, wave_over, WAVE_MS));
 	cr_expect_eq(s->workers[0].reboots, 0);
 	cr_expect_eq(wave_figure(s, "w", "skipped"), 2);
 	sim_free(s);
@@ -576,25 +576,29 @@
 		int64_t after_ms; /* then */
 		op_kind race;	  /* by another operator; 0: none */
 	} cases[] = {
-		{"nothing", FX_COMMIT, SIM_FINE, 0, -1, 0, 0},
-		{"the read is lost", FX_READ, SIM_DROP, 0, -1, 0, 0},
-		{"the first write", FX_COMMIT, SIM_DROP, 0, -1, 0, 0},
+		{"nothing", FX_COMMIT, SIM_NO_FAULT, 0, -1, 0, 0},
+		{"the read is lost", FX_READ, SIM_DROP_REQUEST, 0, -1, 0, 0},
+		{"the first write", FX_COMMIT, SIM_DROP_REQUEST, 0, -1, 0, 0},
 		{"its answer", FX_COMMIT, SIM_DROP_ANSWER, 0, -1, 0, 0},
-		{"the second write", FX_COMMIT, SIM_DROP, 1, -1, 0, 0},
+		{"the second write", FX_COMMIT, SIM_DROP_REQUEST, 1, -1, 0, 0},
 		{"its answer", FX_COMMIT, SIM_DROP_ANSWER, 1, -1, 0, 0},
-		{"e0 dies at once", FX_COMMIT, SIM_FINE, 0, 0, 1, 0},
-		{"e1 dies at once", FX_COMMIT, SIM_FINE, 0, 1, 1, 0},
-		{"e2 dies at once", FX_COMMIT, SIM_FINE, 0, 2, 1, 0},
-		{"e0 dies while it drains", FX_COMMIT, SIM_FINE, 0, 0, 900, 0},
-		{"e1 dies while it drains", FX_COMMIT, SIM_FINE, 0, 1, 900, 0},
-		{"e2 dies while it drains", FX_COMMIT, SIM_FINE, 0, 2, 900, 0},
-		{"e0 dies as it moves", FX_COMMIT, SIM_FINE, 0, 0, 2500, 0},
-		{"e1 dies as it moves", FX_COMMIT, SIM_FINE, 0, 1, 2500, 0},
-		{"e2 dies as it moves", FX_COMMIT, SIM_FINE, 0, 2, 2500, 0},
-		{"another moves it", FX_COMMIT, SIM_FINE, 0, -1, 1, OP_VM_MOVE},
-		{"another drains it", FX_COMMIT, SIM_FINE, 0, -1, 1,
+		{"e0 dies at once", FX_COMMIT, SIM_NO_FAULT, 0, 0, 1, 0},
+		{"e1 dies at once", FX_COMMIT, SIM_NO_FAULT, 0, 1, 1, 0},
+		{"e2 dies at once", FX_COMMIT, SIM_NO_FAULT, 0, 2, 1, 0},
+		{"e0 dies while it drains", FX_COMMIT, SIM_NO_FAULT, 0, 0, 900,
+		 0},
+		{"e1 dies while it drains", FX_COMMIT, SIM_NO_FAULT, 0, 1, 900,
+		 0},
+		{"e2 dies while it drains", FX_COMMIT, SIM_NO_FAULT, 0, 2, 900,
+		 0},
+		{"e0 dies as it moves", FX_COMMIT, SIM_NO_FAULT, 0, 0, 2500, 0},
+		{"e1 dies as it moves", FX_COMMIT, SIM_NO_FAULT, 0, 1, 2500, 0},
+		{"e2 dies as it moves", FX_COMMIT, SIM_NO_FAULT, 0, 2, 2500, 0},
+		{"another moves it", FX_COMMIT, SIM_NO_FAULT, 0, -1, 1,
+		 OP_VM_MOVE},
+		{"another drains it", FX_COMMIT, SIM_NO_FAULT, 0, -1, 1,
 		 OP_VM_DRAIN},
-		{"another returns it", FX_COMMIT, SIM_FINE, 0, -1, 900,
+		{"another returns it", FX_COMMIT, SIM_NO_FAULT, 0, -1, 900,
 		 OP_VM_RETURN},
 	};
 	op_request rq = {.kind = OP_VM_MOVE};
@@ -615,7 +619,7 @@
 			.key = cases[i].kind == FX_COMMIT ? "pool/" : NULL,
 			.fault = cases[i].fault,
 			.from = cases[i].from,
-			.count = cases[i].fault != SIM_FINE};
+			.count = cases[i].fault != SIM_NO_FAULT};
 		sim_operate_begin(s, 0, &rq);
 		sim_run(s, cases[i].after_ms);
 		if (cases[i].kill >= 0) {
@@ -638,8 +642,9 @@
 		cr_expect(s->workers[0].state != VM_DRAINING, "%s",
 			  cases[i].what);
 		for (k = n = 0; k < 2; k++) {
-			if (!sim_row(s, k ? "pool/p1" : "pool/p0",
-				     XDR_PROC(xdr_pool_row), &row, sizeof(row)))
+			if (!sim_row_get(s, k ? "pool/p1" : "pool/p0",
+					 XDR_PROC(xdr_pool_row), &row,
+					 sizeof(row)))
 				continue;
 			n += row.outs.outs_len;
 			xdr_free(XDR_PROC(xdr_pool_row), (char *)&row);
