--- a/tests/support-world-state.h
+++ b/tests/support-world-state.h
@@ -1,5 +1,6 @@
 /*
- * Inside of the small world: its state, and what its files offer each other.
+ * The state of the simulated world, and the functions that the files of
+ * support-world share.
  */
 #ifndef SUPPORT_WORLD_STATE_H
 #define SUPPORT_WORLD_STATE_H
@@ -11,38 +12,45 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WALL_BASE 1700000000000	 /* wall clock at time 0 */
-#define ONE_WAY_MS 2		 /* one way between any two */
-#define STORE_CLOCK_BASE 5000000 /* ms; the store's clock at time 0 */
+#define WALL_BASE 1700000000000	 /* ms; wall clock at time 0 */
+#define ONE_WAY_MS 2		 /* network delay in one direction */
+#define STORE_CLOCK_BASE 5000000 /* ms; store's clock at time 0 */
 #define TICK_MS 40
 #define LEASE_MAX_MS 6000
 #define STOP_MS 200
 #define MAINTENANCE_MS 2000
 #define NOTICE_MS 4500
 #define CONFIG_APPLY_MS 2000
+
 #define RUNS_MAX 64
 #define ENDS_MAX 1024
-#define ENDS_LISTED 500
+#define ENDS_LISTED 500 /* default of world.ends_listed */
 #define ROWS_MAX 4096
 #define CALLS_MAX 1024
 #define NAMES_MAX 1024
 #define TX_ENTRIES 100
 #define TX_BYTES 1000000
-#define CORES 16000
-#define TASK_CPU 2000
+
+#define CORES 16000   /* thousandths; capacity of a worker */
+#define TASK_CPU 2000 /* thousandths; need of a task */
+
+/* Names in the configuration. */
 #define QUEUE "q"
-#define SERVICE "pool"
-#define STANDBY "spare"
-#define SECOND "pool2" /* of the other queue */
+#define SERVICE "pool"	/* pool of QUEUE */
+#define STANDBY "spare" /* pool of standby machines */
+#define SECOND "pool2"	/* pool of the second queue */
 #define TENANT "org"
 #define KEY "key"
+
 /*
- * What callers may rely on: of the jobs that were accepted longer ago than
- * this and have not begun, at least one in so many is said to wait.
+ * The guarantee for counts of waiting jobs: a VM reports at least one in
+ * WAITING_DIVISOR of the jobs that were accepted more than WAITING_REPORT_MS
+ * ago and haven't started.
  */
 #define WAITING_REPORT_MS 5000
 #define WAITING_DIVISOR 2
-/* The world's own questions for counts have calls from here on. */
+
+/* First call id of the requests that world_poll_counts() causes. */
 #define COUNT_CALLS_FIRST (1ULL << 32)
 
 struct world_row {
@@ -51,37 +59,39 @@
 	bstr value;
 	uint64_t revision;
 	bool removed;
-	int worker; /* TABLE_WORKERS: whose */
+	int worker; /* in TABLE_WORKERS: index of the worker */
 };
 
+/* A run of a task on a worker. */
 struct world_run {
 	char name[64];
 	uint64_t run;
-	int64_t ends_at; /* 0: it lasts */
+	int64_t ends_at; /* 0: doesn't end by itself */
 	bool fails;
 	int64_t stop_at;     /* 0: not stopping */
-	unsigned started_by; /* that started it */
+	unsigned started_by; /* entry VM */
 };
 
+/* The end of a run, which a worker lists until it is acknowledged. */
 struct world_end {
 	uint64_t number;
 	char name[64];
 	uint64_t run;
 	enum end_kind kind;
-	bool listed;	/* in a list that an owner was given */
-	bool restarted; /* its task was started again since */
-	bool lapsed;	/* the worker's lease was over since */
+	bool listed;	/* in a list that was sent to an owner */
+	bool restarted; /* the task was started again since */
+	bool lapsed;	/* the worker's lease has expired since */
 };
 
 struct world_worker {
-	unsigned life;
-	int64_t born; /* simulated time */
+	unsigned life; /* number of the current process */
+	int64_t born;  /* start of the process in simulated time */
 	bool listed;
 	bool draining;
-	bool fails;
+	bool fails; /* all tasks */
 	int64_t down_until;
-	uint64_t fence;
-	int64_t lease_end; /* on its own clock */
+	uint64_t fence;	   /* highest epoch of an order */
+	int64_t lease_end; /* on the worker's clock */
 	struct world_run runs[RUNS_MAX];
 	unsigned run_count;
 	struct world_end ends[ENDS_MAX];
@@ -91,20 +101,21 @@
 	struct {
 		char name[64];
 		uint64_t run;
-	} closed[ENDS_MAX]; /* the highest run stopped or ended, by task */
+	} closed[ENDS_MAX]; /* ended or stopped runs; older starts are refused
+			     */
 	unsigned closed_count;
 	unsigned starts;
 };
 
+/* An entry VM. */
 struct world_vm {
-	struct sched *sched;
-	unsigned life;
+	struct sched *sched; /* NULL: not running */
+	unsigned life;	     /* number of the current process */
 	bool cut_store;
 	enum world_store_mode store_mode;
 	int64_t store_delay_ms;
-	bool reads_stalled[TABLE_MAX]; /* its pages and its feed get no answer
-					*/
-	bool pages_stalled[TABLE_MAX]; /* its pages get none */
+	bool reads_stalled[TABLE_MAX]; /* no answers to pages and feeds */
+	bool pages_stalled[TABLE_MAX]; /* no answers to pages */
 	bool cut_worker[WORLD_WORKERS_MAX];
 	int64_t frozen_until;
 	int64_t tick_at;
@@ -112,26 +123,27 @@
 	bool exited;
 };
 
-/* Something that happens later: an ask arrives, or an answer. */
+/* A message in flight, or a long poll at its target. */
 struct pending {
 	TAILQ_ENTRY(pending) entry;
 	int64_t at;
 	uint64_t order;
 	unsigned vm;
-	unsigned life;
-	unsigned worker_life;	     /* of a late order: it dies with it */
-	struct sched_effect *effect; /* arrives at its target */
-	struct sched_event *event;   /* arrives at the VM */
-	bool unawaited;		     /* a write that nobody waits for */
-	int64_t deadline;	     /* a feed or hold that waits */
+	unsigned life; /* of the VM; UINT32_MAX: a late order to a worker */
+	unsigned worker_life; /* a late order is lost with this process */
+	struct sched_effect *effect; /* a request; NULL for an answer */
+	struct sched_event *event; /* an answer to the VM; NULL for a request */
+	bool unawaited;	  /* a late write, whose answer already timed out */
+	int64_t deadline; /* of a long poll */
 };
 TAILQ_HEAD(pending_list, pending);
 
+/* What the world knows of a task, to check the invariants. */
 struct task_record {
 	char name[64];
 	bool done_acked;
-	bool ended_by_order;
-	int64_t last_run_at; /* at work */
+	bool ended_by_order; /* by a stop, or by maintenance of its machine */
+	int64_t last_run_at; /* last time it was seen running */
 	unsigned runs;
 };
 
@@ -144,36 +156,36 @@
 	struct world_vm vms[WORLD_VMS];
 	struct world_worker *workers; /* worker_count */
 	struct pending_list pending;
-	struct pending_list waiting; /* feeds and holds */
+	struct pending_list waiting; /* long polls: feeds and holds */
 	struct world_row rows[ROWS_MAX];
 	unsigned row_count;
 	uint64_t revision;
-	uint64_t history_start; /* feeds from before are gone */
+	uint64_t history_start; /* feeds can't start at an older revision */
 	enum world_store_mode store_mode;
 	int64_t store_delay_ms;
 	int64_t page_delay_ms[TABLE_MAX];
 	int64_t feed_delay_ms[TABLE_MAX];
-	unsigned page_rows;   /* 0: as many as are asked for */
-	int64_t row_delay_ms; /* that a VM takes for a row of a page */
-	unsigned late_percent;
+	unsigned page_rows;    /* rows of a page; 0: no limit */
+	int64_t row_delay_ms;  /* that a VM spends on each row it reads */
+	unsigned late_percent; /* orders that are carried out late */
 	unsigned lost_starts_percent;
-	int64_t order_delay_ms; /* starts and stops, on their way */
-	unsigned ends_listed;	/* at a time */
-	bool old_connections;
-	enum refusal refusal; /* of all starts */
+	int64_t order_delay_ms; /* of starts and stops */
+	unsigned ends_listed;	/* most ends in one answer of a worker */
+	bool old_connections;	/* timeouts report an old connection */
+	enum refusal refusal;	/* answer to all starts */
 	int64_t limit;
-	int64_t limit_before; /* in force until then */
+	int64_t limit_before; /* may be in force until limit_until */
 	int64_t limit_until;
 	bool has_key;
 	bool needs_advice;
-	bool has_standby_pool; /* there is a pool whose machines stand by */
+	bool has_standby_pool; /* a pool of standby machines */
 	uint64_t config_version;
 	struct {
 		char id[JOB_ID_BYTES + 1];
 		struct world_job job;
-		int64_t stored_at; /* 0: its row is not in the store */
-		bool over;	   /* cancelled or final, by the store */
-		bool begun;	   /* a worker has begun a task of it */
+		int64_t stored_at; /* 0: no row in the store */
+		bool over;  /* cancelled or final, according to the store */
+		bool begun; /* a worker has started a task of it */
 	} jobs[CALLS_MAX];
 	unsigned job_count;
 	struct {
@@ -183,8 +195,8 @@
 		uint64_t waiting;
 	} calls[CALLS_MAX];
 	uint64_t call_count;
-	int64_t caller_timeout_ms; /* of callers */
-	int64_t count_interval_ms; /* all VMs are asked so often; 0: not */
+	int64_t caller_timeout_ms;
+	int64_t count_interval_ms; /* 0: VMs aren't asked for counts */
 	int64_t next_count_at;
 	uint64_t count_calls;
 	unsigned counts_answered;
@@ -192,15 +204,15 @@
 	struct task_record task_records[NAMES_MAX];
 	unsigned task_record_count;
 	unsigned starts;
-	unsigned sender_life; /* of what is being dealt with */
+	unsigned sender_life; /* process of the VM whose message is handled */
 	unsigned wave_machines;
 	unsigned wave_maximum;
 	unsigned machine_restarts[WORLD_WORKERS_MAX];
-	uint64_t machine_epoch[WORLD_WORKERS_MAX]; /* the highest of an order */
-	bool maintenance_busy; /* machines can't be maintained now */
+	uint64_t machine_epoch[WORLD_WORKERS_MAX]; /* highest of an order */
+	bool maintenance_busy; /* machines refuse maintenance */
 	bool machines_silent;
 	bool has_second_pool;
-	const char *pools[WORLD_WORKERS_MAX]; /* of the machines */
+	const char *pools[WORLD_WORKERS_MAX]; /* of each machine */
 	unsigned moves;
 	bool maintained[WORLD_WORKERS_MAX];
 	int64_t maintained_until[WORLD_WORKERS_MAX];
@@ -208,20 +220,36 @@
 };
 
 /* support-world.c */
+
+/* Records a violated invariant, unless there is one already. */
 void world_report_violation(struct world *w, const char *what,
 			    const char *task);
+
+/* Returns the record of a task, which is made if need be. */
 struct task_record *world_task_record(struct world *w, const char *name);
+
+/* Look up a job by the id that a job's or task's name begins with. */
 int world_job_number(const struct world *w, const char *name);
 const struct world_job *world_job_of(const struct world *w, const char *name);
+
 bstr world_worker_id(const struct world *w, unsigned i);
+
+/* Returns the time on a worker's clock. */
 int64_t world_worker_now(const struct world *w, unsigned i);
+
 bool world_job_is_cancelled(const struct world *w, const char *name);
+
+/* Adds a message to a list, which is sorted by time. */
 struct pending *world_pending_add(struct world *w, struct pending_list *list,
 				  int64_t at, unsigned vm);
+
+/* Makes the answer to a request; world_answer_send() sends it. */
 struct sched_event *world_answer_make(const struct sched_effect *fx,
 				      enum outcome outcome, int64_t sent_at);
 void world_answer_send(struct world *w, unsigned vm, struct sched_event *ev,
 		       int64_t at);
+
+/* Lets a request time out at the VM: its outcome is unknown. */
 void world_answer_timeout(struct world *w, unsigned vm,
 			  struct sched_effect *fx);
 
@@ -230,22 +258,47 @@
 				const char *key);
 void world_row_write(struct world *w, enum table table, const char *key,
 		     int worker);
+
+/* Answers the feeds that have new rows or have reached their deadline. */
 void world_feeds_wake(struct world *w);
+
+/* Applies a transaction; returns false on a conflict. */
 bool world_tx_apply(struct world *w, const struct tx *t);
+
+/* Handles a request to the store. */
 void world_store_receive(struct world *w, unsigned vm, struct sched_effect *fx);
 
 /* support-world-worker.c */
+
+/* Lets time pass on a worker: runs end, stop or expire with the lease. */
 void world_worker_step(struct world *w, unsigned n);
+
+/*
+ * Reports a violation if the store doesn't have the end of a task although the
+ * task's job is neither over nor cancelled.
+ */
 void world_end_check(struct world *w, const char *task, const char *what);
+
+/* Answers the holds that have new ends or have reached their deadline. */
 void world_holds_wake(struct world *w);
+
+/* Carries out an order on a worker; returns why it refuses, or REFUSAL_NONE. */
 enum refusal world_order_apply(struct world *w, unsigned vm, unsigned n,
 			       const struct ask *ask);
+
+/* Handles a request to a worker. */
 void world_worker_receive(struct world *w, unsigned vm,
 			  struct sched_effect *fx);
 
 /* support-world-machine.c */
+
+/* Starts a new process of a worker, which has lost all its runs. */
 void world_worker_restart(struct world *w, unsigned n, int64_t down_ms);
+
+/* Restarts a machine; its worker gets a new id. */
 void world_machine_restart(struct world *w, unsigned n, int64_t down_ms);
+
+/* Handles a request about machines. */
 void world_machine_receive(struct world *w, unsigned vm,
 			   struct sched_effect *fx);
 
--- a/tests/support-world.c
+++ b/tests/support-world.c
@@ -502,7 +502,7 @@
 		b->steps[i].need = (struct size){TASK_CPU, 100, 0};
 		b->steps[i].estimated_ms = job->task_ms;
 		b->steps[i].lasts = job->long_running;
-		b->steps[i].apart = job->anti_affinity;
+		b->steps[i].apart = job->max_per_worker;
 		b->steps[i].may_miss = job->may_miss;
 		b->steps[i].after = xcalloc(1, sizeof(unsigned));
 		b->steps[i].after_count = i;
--- a/tests/support-world.h
+++ b/tests/support-world.h
@@ -1,8 +1,9 @@
 /*
- * A small world for the scheduler: several entry VMs, a store, workers and
- * machines on a simulated clock, with the platform's rules for fences,
- * leases, ends, revisions and orders that are carried out late.  It checks
- * after each event what must always hold, from the workers' own truth.
+ * A simulation for tests of the scheduler: several entry VMs, a store, workers
+ * and machines on a simulated clock, with the platform's rules for fencing,
+ * leases, ends of tasks, revisions and orders that are carried out late.  It
+ * checks the invariants after each event, against the state of the simulated
+ * workers.
  */
 #ifndef SUPPORT_WORLD_H
 #define SUPPORT_WORLD_H
@@ -14,117 +15,192 @@
 #endif
 
 #define WORLD_VMS 4
-#define WORLD_WORKERS 6 /* as a rule */
+#define WORLD_WORKERS 6 /* in most tests */
 #define WORLD_WORKERS_MAX 1100
 
+/* How the store treats requests. */
 enum world_store_mode {
 	WORLD_STORE_OK,
-	WORLD_STORE_NO_ANSWER,	   /* nothing is done and nothing answered */
-	WORLD_STORE_REFUSES,	   /* nothing is done, and said so */
-	WORLD_STORE_LOSES_ANSWERS, /* writes are done and not answered */
-	WORLD_STORE_LATE /* writes are done seconds later and not answered */
+	WORLD_STORE_NO_ANSWER,	   /* does nothing, doesn't answer */
+	WORLD_STORE_REFUSES,	   /* does nothing, answers a refusal */
+	WORLD_STORE_LOSES_ANSWERS, /* does writes, doesn't answer them */
+	WORLD_STORE_LATE /* does writes 0.5 to 3.5 s later, doesn't answer */
 };
 
 struct world_job {
-	unsigned tasks;	     /* of the first step */
-	unsigned more_tasks; /* of a second step after it; 0: none */
+	unsigned tasks;	     /* in the first step */
+	unsigned more_tasks; /* in a second step after it; 0: no such step */
 	unsigned task_ms;
-	unsigned failures; /* first runs of each task that fail */
-	bool long_running;
-	unsigned anti_affinity;
-	unsigned may_miss;
-	bool second_queue; /* to the queue of the second pool */
+	unsigned failures;	 /* the first runs of each task that fail */
+	bool long_running;	 /* tasks don't end by themselves */
+	unsigned max_per_worker; /* tasks of a step; 0: no limit */
+	unsigned may_miss; /* tasks that planned work may have away at once */
+	bool second_queue; /* submitted to the queue of the second pool */
 };
 
 struct world;
+
+/* Makes a world with a configuration and workers, and starts its entry VMs. */
 struct world *world_new(uint64_t seed, unsigned vms, unsigned workers);
 void world_free(struct world *w);
 void world_run(struct world *w, int64_t ms);
 
-/* Callers.  A call's status is 0 until it is answered. */
+/*
+ * Callers.  A call is a request to an entry VM; its status is 0 until it is
+ * answered.
+ */
 uint64_t world_submit(struct world *w, unsigned vm, const char *id,
 		      const struct world_job *job);
 uint64_t world_call(struct world *w, unsigned vm, enum call_verb verb,
 		    const char *id);
-void world_set_caller_timeout(struct world *w, int64_t ms); /* of callers */
+
+/* Sets the deadline of later calls. */
+void world_set_caller_timeout(struct world *w, int64_t ms);
 int world_call_status(const struct world *w, uint64_t call);
 const char *world_call_text(const struct world *w, uint64_t call);
-uint32_t world_call_retry_after(const struct world *w,
-				uint64_t call); /* seconds */
+
+/* Returns the delay in seconds that the answer asks for; 0: none. */
+uint32_t world_call_retry_after(const struct world *w, uint64_t call);
+
+/* Returns the count of waiting jobs in the answer. */
 uint64_t world_call_waiting(const struct world *w, uint64_t call);
 
 /*
- * The world asks all VMs how many jobs of the queue wait.  Whoever asks, an
- * answer that tells less than half of what waits is a broken promise.
+ * Asks all VMs at an interval how many jobs of the queue wait; 0 stops that.
+ * An answer to any call with less than half of the waiting jobs violates an
+ * invariant.
  */
-void world_poll_counts(struct world *w, int64_t every_ms); /* 0: no more */
+void world_poll_counts(struct world *w, int64_t interval_ms);
 unsigned world_counts_answered(const struct world *w);
 unsigned world_counts_refused(const struct world *w);
 
-/* Faults. */
+/* Entry VMs: processes that end, start, stop as planned or stand still. */
 void world_kill_vm(struct world *w, unsigned vm);
 void world_start_vm(struct world *w, unsigned vm);
-void world_stop_vm(struct world *w, unsigned vm);	      /* planned */
-void world_set_cores(struct world *w, unsigned vm, double n); /* once started */
+void world_stop_vm(struct world *w, unsigned vm);
 void world_freeze_vm(struct world *w, unsigned vm, int64_t ms);
+
+/* Sets the number of cores of a VM's next process. */
+void world_set_cores(struct world *w, unsigned vm, double n);
+
+/* Cut a VM off from the store or from a worker, or reconnect it. */
 void world_cut_store(struct world *w, unsigned vm, bool cut);
 void world_cut_worker(struct world *w, unsigned vm, unsigned worker, bool cut);
+
+/* Set how the store treats all VMs, or one. */
 void world_set_store_mode(struct world *w, enum world_store_mode mode);
 void world_set_vm_store_mode(struct world *w, unsigned vm,
 			     enum world_store_mode mode);
-void world_set_store_delay(struct world *w, int64_t ms); /* each answer */
+
+/* Delay each answer of the store to all VMs, or to one. */
+void world_set_store_delay(struct world *w, int64_t ms);
 void world_set_vm_store_delay(struct world *w, unsigned vm, int64_t ms);
-void world_stall_reads(struct world *w, unsigned vm, enum table table,
-		       bool stalled);
-void world_set_page_rows(struct world *w,
-			 unsigned rows);     /* at most; 0: as asked */
-void world_compact_history(struct world *w); /* the feeds' history goes */
+
+/* Delays the pages of a table, as they are at the time of the read. */
 void world_set_page_delay(struct world *w, enum table table, int64_t ms);
 void world_set_feed_delay(struct world *w, enum table table, int64_t ms);
+
+/* Sets the time that a VM spends on each row that it reads. */
 void world_set_row_delay(struct world *w, int64_t ms);
+
+/*
+ * Withhold answers from a VM about a table: of pages and feeds, or of pages
+ * only.
+ */
+void world_stall_reads(struct world *w, unsigned vm, enum table table,
+		       bool stalled);
 void world_stall_pages(struct world *w, unsigned vm, enum table table,
-		       bool blind);
-void world_unlist_worker(struct world *w, unsigned worker,
-			 bool gone); /* its row */
-void world_crash_worker(struct world *w,
-			unsigned worker); /* new life, same id */
-void world_replace_worker(struct world *w, unsigned worker); /* new id */
-void world_set_maintenance_busy(struct world *w,
-				bool busy); /* no maintenance now */
-void world_silence_machines(struct world *w, bool silent);
+		       bool stalled);
+
+/* Sets the most rows in a page; 0: no limit. */
+void world_set_page_rows(struct world *w, unsigned rows);
+
+/* Drops the history of changes; feeds from an older revision fail. */
+void world_compact_history(struct world *w);
+
+/* Removes a worker's row, or writes it again. */
+void world_unlist_worker(struct world *w, unsigned worker, bool removed);
+
+/* Restart a worker, which loses its runs, under the same or under a new id. */
+void world_crash_worker(struct world *w, unsigned worker);
+void world_replace_worker(struct world *w, unsigned worker);
+
+/* Marks a worker as draining: it is about to leave. */
 void world_drain_worker(struct world *w, unsigned worker);
-void world_set_late_orders(struct world *w,
-			   unsigned percent); /* orders done late */
-void world_set_lost_starts(struct world *w,
-			   unsigned percent);		 /* starts are lost */
-void world_set_order_delay(struct world *w, int64_t ms); /* on their way */
-void world_old_connections(struct world *w); /* as old as the workers */
-void world_set_ends_listed(struct world *w, unsigned most);
-void world_refuse_starts(struct world *w, enum refusal why); /* all workers */
+
+/* Lets a worker fail all its tasks. */
 void world_fail_tasks(struct world *w, unsigned worker, bool fail);
-void world_set_limit(struct world *w, int64_t cpu); /* of the organisation */
+
+/* Lets all workers refuse all starts; REFUSAL_NONE ends that. */
+void world_refuse_starts(struct world *w, enum refusal why);
+
+/* Sets the most ends in one answer of a worker; it lists the oldest first. */
+void world_set_ends_listed(struct world *w, unsigned most);
+
+/* Lets machines refuse maintenance because they are busy. */
+void world_set_maintenance_busy(struct world *w, bool busy);
+
+/* Lets orders about machines have no effect and no answer. */
+void world_silence_machines(struct world *w, bool silent);
+
+/*
+ * Set the share of orders to workers that get no answer and are carried out
+ * seconds later, and the share of starts that get no answer and are lost.
+ */
+void world_set_late_orders(struct world *w, unsigned percent);
+void world_set_lost_starts(struct world *w, unsigned percent);
+
+/* Delays starts and stops, as if they waited in the VM's HTTP client. */
+void world_set_order_delay(struct world *w, int64_t ms);
+
+/* Lets timed-out requests report that they used an old connection. */
+void world_old_connections(struct world *w);
+
+/* Sets the organisation's upper limit; 0: none. */
+void world_set_limit(struct world *w, int64_t cpu);
+
+/* Configures the organisation's key, or removes it. */
+void world_set_key(struct world *w, bool given);
+
+/*
+ * Makes starts need a ticket of the advice service, which it gives only for
+ * workers with an even index.
+ */
+void world_require_advice(struct world *w);
+
+/* Starts a wave: maintenance of the first machines, at most maximum at once. */
 void world_start_wave(struct world *w, unsigned machines, unsigned maximum);
-void world_add_standby_pool(struct world *w,
-			    unsigned machines); /* before it runs */
-void world_add_second_pool(struct world *w, unsigned machines); /* likewise */
-void world_set_key(struct world *w, bool given); /* the organisation's key */
-void world_require_advice(
-	struct world *w); /* starts need tickets; even workers */
-
-/* What there is to see. */
-int world_owner(const struct world *w); /* who acts; -1: nobody */
+
+/*
+ * Put the last machines into a pool of standby machines, or into a second pool
+ * with a queue of its own.  Call them before world_run().
+ */
+void world_add_standby_pool(struct world *w, unsigned machines);
+void world_add_second_pool(struct world *w, unsigned machines);
+
+/* Returns the running VM that the owner's row names, or -1. */
+int world_owner(const struct world *w);
+
+/* Returns the epoch of the ownership. */
 unsigned world_epoch(struct world *w);
-unsigned world_starts(const struct world *w); /* that workers carried out */
+
+/* Return how many starts all workers, or one, carried out. */
+unsigned world_starts(const struct world *w);
 unsigned world_starts_of(const struct world *w, unsigned worker);
-unsigned world_maintained_count(
-	const struct world *w);			  /* machines maintained */
-unsigned world_move_count(const struct world *w); /* of machines */
-unsigned world_home_size(
-	struct world *w); /* size of the pool, as noted; 0: not */
+
+/* Return how many machines had maintenance, and how often any was moved. */
+unsigned world_maintained_count(const struct world *w);
+unsigned world_move_count(const struct world *w);
+
+/* Returns the size of the pool as an owner stored it; 0: not stored. */
+unsigned world_home_size(struct world *w);
 bool world_wave_is_completed(const struct world *w);
-const char *world_job_state(struct world *w, const char *id); /* by the store */
-const char *world_violation(
-	const struct world *w); /* NULL: all promises kept */
+
+/* Returns a job's state in the store; "" if it has none. */
+const char *world_job_state(struct world *w, const char *id);
+
+/* Returns the first violated invariant, or NULL. */
+const char *world_violation(const struct world *w);
 struct sched *world_sched(struct world *w, unsigned vm);
 
 #ifdef __cplusplus
--- a/tests/test-sched.c
+++ b/tests/test-sched.c
@@ -12,7 +12,7 @@
 static const struct world_job chain = {
 	.tasks = 4, .more_tasks = 3, .task_ms = 500};
 static const struct world_job lasting = {
-	.tasks = 4, .long_running = true, .anti_affinity = 1, .may_miss = 1};
+	.tasks = 4, .long_running = true, .max_per_worker = 1, .may_miss = 1};
 static const struct world_job crowded = {
 	.tasks = 4, .long_running = true, .may_miss = 1};
 static const struct world_job flaky = {
@@ -297,7 +297,7 @@
 Test(sched, acknowledged_when_written)
 {
 	static const struct world_job steps = {.tasks = 4,
-					       .anti_affinity = 1,
+					       .max_per_worker = 1,
 					       .more_tasks = 1,
 					       .task_ms = 150};
 	static const unsigned crowds[] = {0, 30, 90, 150};
--- a/tests/test-takeover.c
+++ b/tests/test-takeover.c
@@ -11,9 +11,9 @@
 
 static const struct world_job quick = {.tasks = 3, .task_ms = 400};
 static const struct world_job pair = {
-	.tasks = 2, .long_running = true, .anti_affinity = 1};
+	.tasks = 2, .long_running = true, .max_per_worker = 1};
 static const struct world_job four = {
-	.tasks = 4, .long_running = true, .anti_affinity = 1};
+	.tasks = 4, .long_running = true, .max_per_worker = 1};
 
 /* Check that all was kept, and free the world. */
 static void check_free(struct world *w, const char *name, unsigned row)
@@ -203,7 +203,7 @@
 Test(takeover, late_beat)
 {
 	static const struct world_job five = {
-		.tasks = 5, .long_running = true, .anti_affinity = 1};
+		.tasks = 5, .long_running = true, .max_per_worker = 1};
 	struct world *w;
 	unsigned row, n, k;
 
@@ -247,7 +247,7 @@
 Test(takeover, late_wave_note)
 {
 	static const struct world_job five = {
-		.tasks = 5, .long_running = true, .anti_affinity = 1};
+		.tasks = 5, .long_running = true, .max_per_worker = 1};
 	static const struct world_job many = {.tasks = 43,
 					      .long_running = true};
 	struct world *w;
--- a/tests/test-upkeep.c
+++ b/tests/test-upkeep.c
@@ -7,7 +7,7 @@
 #define JOB_A "00000000000000aa"
 
 static const struct world_job lasting = {
-	.tasks = 3, .long_running = true, .anti_affinity = 1, .may_miss = 1};
+	.tasks = 3, .long_running = true, .max_per_worker = 1, .may_miss = 1};
 
 /* How many more tasks than the pool has room for keep it busy. */
 static const struct world_job heap = {.tasks = 240, .task_ms = 4000};
--- a/tests/world-calm.h
+++ b/tests/world-calm.h
@@ -1,5 +1,5 @@
 /*
- * What tests of the small world begin with.
+ * Common setup of the tests that use the simulated world.
  */
 #ifndef WORLD_CALM_H
 #define WORLD_CALM_H
@@ -8,7 +8,7 @@
 
 #include <criterion/criterion.h>
 
-/* A world in which somebody owns the scheduling and workers are known. */
+/* Returns a world in which a VM owns the scheduling and knows the workers. */
 static struct world *calm(uint64_t seed)
 {
 	struct world *w = world_new(seed, 4, 6);
@@ -18,7 +18,7 @@
 	return w;
 }
 
-/* The VM that owns the scheduling, or another one. */
+/* Returns the VM that owns the scheduling. */
 static unsigned owner(struct world *w)
 {
 	int n = world_owner(w);
@@ -26,6 +26,8 @@
 	cr_assert_neq(n, -1, "nobody owns the scheduling");
 	return (unsigned)n;
 }
+
+/* Returns a VM that doesn't own the scheduling. */
 static unsigned other(struct world *w)
 {
 	return (owner(w) + 1) % 4;
