--- a/tests/support-cloud.h
+++ b/tests/support-cloud.h
@@ -1,30 +1,36 @@
 /*
- * The users' platform played for load: a store and any number of workers that
- * answer at once and judge nothing, in one loop that the caller runs.  What is
- * judged is played by standin-cloud.
+ * A fake of the users' platform for load tests: a store and any number of
+ * workers in one event loop, which the caller runs.  They answer at once and
+ * check nothing, so that the fake costs little beside the daemon under load;
+ * standin-cloud is the fake that also checks what it is sent.
  */
 #ifndef SUPPORT_CLOUD_H
 #define SUPPORT_CLOUD_H
 
 #include "../bamboofront.h"
 
-#define CLOUD_TASKS_PER_JOB 8 /* of a job */
+#define CLOUD_TASKS_PER_JOB 8
 
-/* What has come; jobs are numbered by submitted. */
+/* Counters of requests and answers; submitted also numbers the jobs. */
 extern struct cloud_counts {
-	uint64_t starts;
-	uint64_t holds;
-	uint64_t ends;
-	uint64_t listed; /* ends in answers, each time */
-	uint64_t calls;	 /* to the store */
+	uint64_t starts; /* run-start requests to workers */
+	uint64_t holds;	 /* hold requests (long polls) to workers */
+	uint64_t ends;	 /* tasks that ended */
+	uint64_t listed; /* ends in hold answers, counted in each answer */
+	uint64_t calls;	 /* requests to the store */
 	uint64_t submitted;
 	uint64_t accepted;
 	uint64_t refused;
 } cloud_counts;
 
-uint16_t cloud_start(unsigned workers); /* the port of its store */
-void cloud_submitters_connect(
-	uint16_t port); /* of the VM that takes the jobs */
+/* Starts the store and the workers; returns the store's port. */
+uint16_t cloud_start(unsigned workers);
+
+/* Opens the connections that submit jobs to the entry VM at a port. */
+void cloud_submitters_connect(uint16_t port);
+
+/* Runs the event loop for ms milliseconds, submitting jobs at a rate of tasks
+ * per second. */
 void cloud_serve(int64_t ms, unsigned rate);
 
 #endif
--- a/tests/support-entry.h
+++ b/tests/support-entry.h
@@ -1,5 +1,5 @@
 /*
- * A process of bamboofront-entryd beside a played platform.
+ * Runs bamboofront-entryd as a child process next to a fake platform.
  */
 #ifndef SUPPORT_ENTRY_H
 #define SUPPORT_ENTRY_H
@@ -8,16 +8,18 @@
 
 struct entry_process {
 	const char *name;
-	const char *ip;		 /* where it listens; NULL: 127.0.0.1 */
-	uint16_t callers_port;	 /* 0: chosen at its start */
-	uint16_t readiness_port; /* likewise */
-	uint16_t store_port;	 /* on 127.0.0.1, as the list of machines */
-	uint16_t machines_port;
-	unsigned start_number; /* numbers its log, DIR/NAME-LIFE.log */
+	const char *ip;		 /* address to listen on; NULL: 127.0.0.1 */
+	uint16_t callers_port;	 /* 0: chosen at the start */
+	uint16_t readiness_port; /* 0: chosen at the start */
+	uint16_t store_port;	 /* of the fake store, on 127.0.0.1 */
+	uint16_t machines_port;	 /* of the fake machine list, on 127.0.0.1 */
+	unsigned start_number;	 /* the log is DIR/NAME-START_NUMBER.log */
 	pid_t pid;
 };
 
-/* Writes its settings to DIR/NAME.json and starts it; it dies with its parent.
+/*
+ * Writes the settings to DIR/NAME.json and starts the process, which is
+ * killed when its parent ends.
  */
 void entry_process_start(struct entry_process *p, const char *dir);
 
--- a/tests/support-fake.h
+++ b/tests/support-fake.h
@@ -1,7 +1,7 @@
 /*
- * A scripted HTTP server on 127.0.0.1 that misbehaves as told.  Each request
- * takes the first step not yet taken whose path it has; with no step left it
- * is answered 500.  Everything is waited for by event, never by time.
+ * A scripted HTTP server on 127.0.0.1 that injects faults.  Each request uses
+ * up the first unused step with its path; a request without a step left is
+ * answered with 500.  Tests wait for events, never for a fixed time.
  */
 #ifndef SUPPORT_FAKE_H
 #define SUPPORT_FAKE_H
@@ -13,53 +13,60 @@
 #endif
 
 enum fake_action {
-	FAKE_ANSWER,	      /* answer with status, headers and body */
-	FAKE_ANSWER_TWICE,    /* the same again at once */
-	FAKE_ANSWER_AGAIN,    /* the same again when released */
-	FAKE_ANSWER_BYTEWISE, /* one byte at a time */
-	FAKE_ANSWER_CLOSE,    /* answer without a length, then close */
-	FAKE_RAW,	      /* send body as it is, then close */
-	FAKE_TRUNCATE,	   /* announce one byte more than is sent, then close */
-	FAKE_HOLD,	   /* answer when released */
-	FAKE_NO_ANSWER,	   /* read the request, never answer */
-	FAKE_RESET,	   /* read the request, then reset */
-	FAKE_RESET_ACCEPT, /* reset before anything is read */
-	FAKE_NO_READ,	   /* accept, read nothing until released */
+	FAKE_ANSWER,	      /* send status, headers and body */
+	FAKE_ANSWER_TWICE,    /* send the answer twice, at once */
+	FAKE_ANSWER_AGAIN,    /* send it again when released */
+	FAKE_ANSWER_BYTEWISE, /* send it one byte at a time */
+	FAKE_ANSWER_CLOSE,    /* no Content-Length, then close */
+	FAKE_RAW,	      /* send only the body, then close */
+	FAKE_TRUNCATE,	      /* Content-Length one too high, then close */
+	FAKE_HOLD,	      /* answer when released */
+	FAKE_NO_ANSWER,	      /* read the request, don't answer */
+	FAKE_RESET,	      /* read the request, then reset the connection */
+	FAKE_RESET_ACCEPT,    /* reset before reading anything */
+	FAKE_NO_READ,	      /* accept, don't read until released */
 };
 
 struct fake_step {
 	enum fake_action action;
 	int status;
 	const char *body;
-	const char *headers; /* whole lines, or NULL */
-	const char *path;    /* NULL: any */
-	size_t pad;	     /* spaces after the body */
+	const char *headers; /* complete lines, or NULL */
+	const char *path;    /* NULL: any path */
+	size_t pad;	     /* number of spaces after the body */
 };
 
 struct fake_request {
 	char *head; /* request line and headers */
 	bstr body;
-	unsigned connection; /* from 1, in the order accepted */
+	unsigned connection; /* numbered from 1 as accepted */
 };
 
 struct fake;
 struct fake *fake_start(const struct fake_step *steps, size_t count);
 uint16_t fake_port(const struct fake *f);
-/* Wait for the nth request from 0; NULL if it does not come in 10 s. */
+
+/* Waits for request n, counted from 0; returns NULL after 10 s. */
 const struct fake_request *fake_wait(struct fake *f, size_t n);
 size_t fake_request_count(struct fake *f);
-/* Send what request n waits for, or read the deaf connection n from 0. */
+
+/*
+ * Releases a step with a release: sends the answer of request n, or starts to
+ * read connection n of FAKE_NO_READ, both counted from 0.
+ */
 void fake_release(struct fake *f, size_t n);
-/* Bytes that came on a released deaf connection, once it has ended. */
+
+/* Bytes read from a released FAKE_NO_READ connection, once it is closed. */
 size_t fake_bytes_read(struct fake *f);
 void fake_stop(struct fake *f);
 
-/* A port that refuses connections while *fd is open. */
+/* Returns a port that refuses connections while *fd is open. */
 uint16_t fake_refusing_port(int *fd);
-/* A port that lets connections hang while both descriptors are open. */
+
+/* Returns a port on which connecting hangs while both fds are open. */
 uint16_t fake_hanging_port(int fd[2]);
 
-/* The next event of an inbox; NULL if none comes in 10 s. */
+/* Returns the next event of an inbox, or NULL after 10 s. */
 event *fake_next_event(struct mailbox *inbox);
 
 #ifdef __cplusplus
--- a/tests/support-fleet.h
+++ b/tests/support-fleet.h
@@ -1,9 +1,11 @@
 /*
- * A fleet in one process on a simulated clock: reducers as entry VMs, and
- * small fakes at their interfaces - table, object store and VM list, workers
- * by docs/WORKER.md, the peers' network, callers and operators.  It keeps its
- * own log of what ran and what was said, and checks the promises by that log
- * and the table's rows only; the reducers' state is never looked at.
+ * A simulated fleet in one process, with a simulated clock.  The entry VMs are
+ * real reducers; fakes stand at their interfaces: the table, object store and
+ * VM list of the platform, the workers (docs/WORKER.md), the network between
+ * peers, callers and operators.  The simulation logs what ran and what was
+ * answered, and checks the invariants against that log and the rows of the
+ * table.  It never reads the state of the reducers, so that an error there
+ * can't hide itself.
  */
 #ifndef SUPPORT_FLEET_H
 #define SUPPORT_FLEET_H
@@ -14,38 +16,44 @@
 extern "C" {
 #endif
 
-#define FLEET_ENTRIES 4 /* entry VMs, by turns in two data centres */
-#define FLEET_WORKERS 8 /* 0-2 p in d0, 3-5 p in d1, 6-7 q in d0 */
-#define FLEET_SLOTS 2
+#define FLEET_ENTRIES 4 /* entry VMs, alternating between two DCs */
+#define FLEET_WORKERS 8 /* 0-2: pool p, d0; 3-5: p, d1; 6-7: q, d0 */
+#define FLEET_SLOTS 2	/* of each worker */
 #define FLEET_TEAMS 2
 #define FLEET_KEYS 4 /* of each team */
 
+/*
+ * Steps of a test sequence.  The arguments of a step may have any value; they
+ * are reduced to the range that the step needs.  The order matters:
+ * fleet_apply() tells callers' requests, faults of entry VMs, other faults and
+ * operators' requests apart by ranges of this enum.
+ */
 enum fleet_op {
-	FLEET_END,    /* of a sequence: does nothing */
-	FLEET_RUN,    /* a steps of 50 ms */
-	FLEET_SUBMIT, /* a: what kind of work, b: how much at once */
-	FLEET_RETRY,  /* an earlier key, by another entry VM */
-	FLEET_GET,    /* ask for an earlier job */
-	FLEET_CANCEL, /* cancel earlier jobs, b in a wave */
+	FLEET_END,    /* end of a sequence; does nothing */
+	FLEET_RUN,    /* advance the clock by 1 + arg1 times 50 ms */
+	FLEET_SUBMIT, /* new jobs; arg1: kind of job, arg2: how many */
+	FLEET_RETRY,  /* resubmit earlier jobs; arg2: the entry VM */
+	FLEET_GET,    /* get the state of an earlier job */
+	FLEET_CANCEL, /* cancel several earlier jobs; arg2: how many */
 	FLEET_CANCEL_LABEL,
-	FLEET_KILL,	    /* entry VM a; b % 8 == 7: all at once */
-	FLEET_FREEZE,	    /* entry VM a for a time given by b */
-	FLEET_STOP,	    /* a planned stop */
-	FLEET_JUMP,	    /* the clock of an entry VM jumps ahead */
-	FLEET_CUT,	    /* the data centres from each other */
-	FLEET_CUT_PLATFORM, /* a data centre or a VM from the platform */
-	FLEET_PLATFORM,	    /* a: down, refusing, slow, replies lost */
-	FLEET_LATE,	    /* peers' messages late, and taken for lost */
-	FLEET_WORKER,	/* worker a; b: freeze, silence, restart, fail all */
-	FLEET_RACK,	/* the same for every third worker */
-	FLEET_LIMIT,	/* a team's upper limit becomes b */
-	FLEET_BUDGET,	/* a pool's budget becomes b */
-	FLEET_WITHDRAW, /* a key */
+	FLEET_KILL,	    /* entry VM arg1; arg2 % 8 == 7: all of them */
+	FLEET_FREEZE,	    /* entry VM arg1, for a time given by arg2 */
+	FLEET_STOP,	    /* planned stop of entry VM arg1 */
+	FLEET_JUMP,	    /* advance the clock of entry VM arg1 */
+	FLEET_CUT,	    /* partition the data centres */
+	FLEET_CUT_PLATFORM, /* cut off a DC or an entry VM from the platform */
+	FLEET_PLATFORM,	    /* arg1: down, refusing, slow or losing replies */
+	FLEET_LATE,	/* peer messages arrive after they counted as lost */
+	FLEET_WORKER,	/* arg2: freeze, silence, restart, fail all tasks */
+	FLEET_RACK,	/* the same for each third worker */
+	FLEET_LIMIT,	/* set a team's upper limit from arg2 */
+	FLEET_BUDGET,	/* set a pool's budget from arg2 */
+	FLEET_WITHDRAW, /* withdraw a key of a team */
 	FLEET_DRAIN,
 	FLEET_MOVE,
-	FLEET_RETURN,
-	FLEET_LEAVE, /* a worker says that it leaves */
-	FLEET_RACE,  /* two operators change the same at once */
+	FLEET_RETURN, /* move a drained VM back */
+	FLEET_LEAVE,  /* a worker reports that it is leaving */
+	FLEET_RACE,   /* concurrent changes by operators */
 	FLEET_OPS
 };
 
@@ -55,29 +63,35 @@
 };
 
 struct fleet;
+
 struct fleet *fleet_new(uint64_t seed);
 void fleet_free(struct fleet *f);
+
+/* Does a step, unless an invariant has been violated already. */
 void fleet_apply(struct fleet *f, struct fleet_step s);
 void fleet_run(struct fleet *f, int64_t ms);
-/* End all faults, let it settle, and check what must hold at the end. */
+
+/* Ends all faults, lets the fleet settle and checks the final state. */
 void fleet_settle(struct fleet *f);
-/* The first promise that was broken, or NULL. */
+
+/* Returns the first violated invariant, or NULL. */
 const char *fleet_violation(const struct fleet *f);
+
 uint64_t fleet_events(const struct fleet *f);
 const char *fleet_op_name(enum fleet_op op);
 
-/* What has happened, for hand-written cases. */
+/* Counters for hand-written tests. */
 enum fleet_counter {
-	FLEET_TASKS_STARTED,	   /* tasks that began to run */
-	FLEET_DONE,		   /* answers "done" */
-	FLEET_NOT_RUN,		   /* answers "not run" */
-	FLEET_JOBS_ACCEPTED,	   /* jobs answered 202 */
-	FLEET_JOBS_FINAL,	   /* accepted jobs found final at the end */
-	FLEET_ANSWERS_REFUSED,	   /* answers of 400 and above */
-	FLEET_OPERATIONS_ACCEPTED, /* operators' requests that were accepted */
+	FLEET_TASKS_STARTED,   /* starts of tasks */
+	FLEET_DONE,	       /* answers "done" */
+	FLEET_NOT_RUN,	       /* answers "not run" */
+	FLEET_JOBS_ACCEPTED,   /* jobs answered 202 */
+	FLEET_JOBS_FINAL,      /* accepted jobs that reached a final state */
+	FLEET_ANSWERS_REFUSED, /* answers with a status of 400 or above */
+	FLEET_OPERATIONS_ACCEPTED, /* accepted operators' requests */
 	FLEET_COUNTERS
 };
-unsigned fleet_counter(const struct fleet *f, enum fleet_counter n);
+unsigned fleet_counter(const struct fleet *f, enum fleet_counter counter);
 
 #ifdef __cplusplus
 }
--- a/tests/support-table.h
+++ b/tests/support-table.h
@@ -1,5 +1,6 @@
 /*
- * The platform's table and object store in memory, for the virtual fleets.
+ * An in-memory fake of the platform's table and object store, for the
+ * simulated fleets (support-fleet, support-sim).
  */
 #ifndef SUPPORT_TABLE_H
 #define SUPPORT_TABLE_H
@@ -14,12 +15,14 @@
 	bstr value;
 	UT_hash_handle hh;
 };
+
 struct fake_txn;
+
 struct fake_table {
 	struct fake_row *rows, *objects;
-	struct fake_txn *txns; /* every one that was applied, for ever */
+	struct fake_txn *txns; /* all that were applied, with their answers */
 	uint64_t version;
-	/* Told of each write before it is done; old: the row, or NULL. */
+	/* Called before each write; old is the present row, or NULL. */
 	void (*before_write)(void *arg, const fx_commit *c,
 			     const table_write *w, const struct fake_row *old);
 	void *arg;
@@ -28,10 +31,18 @@
 struct fake_row *fake_row_get(struct fake_row *rows, bstr key);
 void fake_row_set(struct fake_table *t, bstr key, bstr value);
 void fake_object_set(struct fake_table *t, bstr name, bstr body);
-/* True if it was applied now, not before. */
+
+/*
+ * Applies a transaction and fills in its answer.  Returns false if a check
+ * fails, or if the id was applied before: p is then the answer of that time.
+ */
 bool fake_table_commit(struct fake_table *t, const fx_commit *c,
 		       ev_platform *p);
-/* Answer any other request; false if it is none to table or store. */
+
+/*
+ * Answers any other request; returns false if the effect is no request to the
+ * table or the object store.
+ */
 bool fake_table_request(struct fake_table *t, const effect *fx, ev_platform *p);
 void fake_table_free(struct fake_table *t);
 
