--- a/tests/rpc-faults.h
+++ b/tests/rpc-faults.h
@@ -1,7 +1,7 @@
 /*
- * What a listener of RPC must withstand, the same for peers and operators:
- * a table of faults, each put on a connection of its own beside a caller
- * that must go on being served.
+ * Tests of malformed input and misbehaving clients that the RPC listeners for
+ * peers and for operators share.  Each fault gets a connection of its own,
+ * while another client has to be served as usual.
  */
 #ifndef RPC_FAULTS_H
 #define RPC_FAULTS_H
@@ -19,16 +19,21 @@
 #include "../rpc-client.h"
 #include "../rpc-server.h"
 
-#define WAIT_MS 10000 /* as good as for ever */
+#define WAIT_MS 10000 /* far longer than any answer takes */
 #define FAULT_LAST_FRAGMENT 0x80000000u
 
+/* The listener under test. */
 struct target {
 	uint16_t port;
 	uint32_t program;
 	uint32_t max_connections;
-	void (*make_envelope)(void *arg,
-			      sealed *out); /* a fresh one that holds */
-	bool (*other_call)(void *arg);	    /* another caller's call */
+
+	/* Makes a new valid envelope. */
+	void (*make_envelope)(void *arg, sealed *out);
+
+	/* Makes a call of another client; returns true if it is answered. */
+	bool (*other_call)(void *arg);
+
 	void *arg;
 };
 
@@ -54,7 +59,7 @@
 	cr_assert_eq(send(fd, p, len, MSG_NOSIGNAL), (ssize_t)len);
 }
 
-/* Read exactly len bytes; fewer mean that the other end closed. */
+/* Reads len bytes; returns fewer if the other end closes the connection. */
 static inline size_t fault_read(int fd, void *p, size_t len)
 {
 	struct pollfd pfd = {.fd = fd, .events = POLLIN};
@@ -62,7 +67,7 @@
 	ssize_t n;
 
 	while (got < len) {
-		cr_assert_eq(poll(&pfd, 1, WAIT_MS), 1, "a silent server");
+		cr_assert_eq(poll(&pfd, 1, WAIT_MS), 1, "no answer");
 		n = recv(fd, (char *)p + got, len - got, 0);
 		if (n <= 0)
 			break;
@@ -71,7 +76,10 @@
 	return got;
 }
 
-/* Read an answer's words after the direction; false: closed instead. */
+/*
+ * Reads an answer: its id, the status (accepted or denied) and the result or
+ * the cause of the denial.  Returns false if the connection is closed.
+ */
 static inline bool fault_answer(int fd, uint32_t *xid, uint32_t words[2])
 {
 	uint32_t head[4], rest[262144];
@@ -83,12 +91,12 @@
 	cr_assert(len >= 8 && len <= sizeof(rest));
 	cr_assert_eq(fault_read(fd, rest, len), len);
 	*xid = ntohl(head[1]);
-	words[0] = ntohl(head[3]); /* accepted or denied */
+	words[0] = ntohl(head[3]);
 	words[1] = ntohl(rest[words[0] == MSG_ACCEPTED ? 2 : 1]);
 	return true;
 }
 
-/* A whole call as a record of one fragment. */
+/* Encodes a call as a record of one fragment. */
 static inline bstr fault_call(const struct target *t, uint32_t xid,
 			      const sealed *envelope)
 {
@@ -108,6 +116,7 @@
 	return b;
 }
 
+/* Encodes a valid call. */
 static inline bstr fault_good_call(const struct target *t, uint32_t xid)
 {
 	sealed envelope;
@@ -119,32 +128,36 @@
 	return b;
 }
 
-/* One word of a good call is changed, or its end, or other bytes are sent. */
+/*
+ * A fault: a valid call with one word changed or with a changed length, or
+ * other bytes in place of a call.  The listener either closes the connection
+ * or sends an answer.
+ */
 struct fault {
 	const char *name;
-	const char *bytes; /* sent in place of a call */
+	const char *bytes; /* NULL: change a valid call */
 	size_t len;
-	unsigned word_index; /* word that is changed */
+	unsigned word_index; /* of the word to change */
 	uint32_t word_value;
-	int extra_bytes; /* bytes more, or less, within the record */
-	bool closed;	 /* or else: answered by these */
-	uint32_t words[2];
-	int counter; /* that counts one more; -1: none */
+	int extra_bytes; /* added to the record; negative: removed */
+	bool closed;	 /* expected: closed, otherwise this answer */
+	uint32_t answer[2];
+	int counter; /* expected to increase by one; -1: none */
 };
 
 static const char fault_empty_fragments[4 * 300];
 #define BYTES(s) .bytes = (s), .len = sizeof(s) - 1, .closed = true
-#define ANSWER(a, b) .words = {(a), (b)}
+#define ANSWER(a, b) .answer = {(a), (b)}
 
 static const struct fault faults[] = {
-	{"nothing is wrong", ANSWER(MSG_ACCEPTED, SUCCESS), .counter = -1},
+	{"valid call", ANSWER(MSG_ACCEPTED, SUCCESS), .counter = -1},
 	{"another program", .word_index = 4, .word_value = 7,
 	 ANSWER(MSG_ACCEPTED, PROG_UNAVAIL), .counter = -1},
 	{"another version", .word_index = 5, .word_value = 7,
 	 ANSWER(MSG_ACCEPTED, PROG_MISMATCH), .counter = -1},
 	{"another procedure", .word_index = 6, .word_value = 7,
 	 ANSWER(MSG_ACCEPTED, PROC_UNAVAIL), .counter = -1},
-	{"a name over the bound", .word_index = 11, .word_value = UINT32_MAX,
+	{"name over the limit", .word_index = 11, .word_value = UINT32_MAX,
 	 ANSWER(MSG_ACCEPTED, GARBAGE_ARGS),
 	 .counter = COUNT_REFUSED_MALFORMED},
 	{"arguments cut short", .extra_bytes = -8,
@@ -159,17 +172,18 @@
 	 .closed = true, .counter = COUNT_REFUSED_MALFORMED},
 	{"another version of RPC", .word_index = 3, .word_value = 3,
 	 .closed = true, .counter = COUNT_REFUSED_MALFORMED},
-	{"a credential over the bound", .word_index = 8, .word_value = 401,
+	{"credential over the limit", .word_index = 8, .word_value = 401,
 	 .closed = true, .counter = COUNT_REFUSED_MALFORMED},
-	{"a record just over the bound", .word_index = 0,
+	{"record just over the limit", .word_index = 0,
 	 .word_value = FAULT_LAST_FRAGMENT | (RPC_RECORD_MAX + 1),
 	 .closed = true, .counter = COUNT_REFUSED_BODY_TOO_LARGE},
 	{"the longest record", .word_index = 0, .word_value = UINT32_MAX,
 	 .closed = true, .counter = COUNT_REFUSED_BODY_TOO_LARGE},
-	{"a record that never ends", .word_index = 0,
+	{"record that never ends", .word_index = 0,
 	 .word_value = FAULT_LAST_FRAGMENT | RPC_RECORD_MAX, .closed = true,
 	 .counter = COUNT_DROPPED_SLOW},
-	{"half of a mark", BYTES("\x80\0"), .counter = COUNT_DROPPED_SLOW},
+	{"half of a record mark", BYTES("\x80\0"),
+	 .counter = COUNT_DROPPED_SLOW},
 	{"an empty record", BYTES("\x80\0\0\0"),
 	 .counter = COUNT_REFUSED_MALFORMED},
 	{"another protocol", BYTES("GET / HTTP/1.1\r\n\r\n"),
@@ -180,7 +194,7 @@
 	{"no byte at all", .bytes = "", .closed = true, .counter = -1},
 };
 
-/* Apply a fault to a good call. */
+/* Makes the bytes that a fault sends. */
 static inline bstr fault_bytes(const struct target *t, const struct fault *f)
 {
 	bstr b, call;
@@ -207,9 +221,9 @@
 }
 
 /*
- * The caller sees its connection answered or closed as the table says, and
- * exactly one refusal counted; a bystander's calls on a connection of its
- * own are answered before, while the fault is in place, and after.
+ * Checks for each fault that the connection is answered or closed as expected
+ * and that its counter increases by exactly one.  Calls of another client on
+ * its own connection have to be answered during and after the fault.
  */
 static inline void faults_run(const struct target *t)
 {
@@ -227,11 +241,11 @@
 		bytes = fault_bytes(t, f);
 		fd = fault_connect(t->port);
 		fault_write(fd, bytes.bstr_val, bytes.bstr_len);
-		cr_expect(t->other_call(t->arg), "%s: bystander", f->name);
+		cr_expect(t->other_call(t->arg), "%s: other client", f->name);
 		if (fault_answer(fd, &xid, words)) {
 			cr_expect(!f->closed, "%s: answered", f->name);
-			cr_expect_eq(words[0], f->words[0], "%s", f->name);
-			cr_expect_eq(words[1], f->words[1], "%s", f->name);
+			cr_expect_eq(words[0], f->answer[0], "%s", f->name);
+			cr_expect_eq(words[1], f->answer[1], "%s", f->name);
 		} else {
 			cr_expect(f->closed, "%s: closed", f->name);
 		}
@@ -244,7 +258,10 @@
 	}
 }
 
-/* A call that comes in fragments, byte by byte, beside a second one. */
+/*
+ * Checks that a call is answered that arrives in two fragments, the second one
+ * byte by byte, and also the call that follows it on the same connection.
+ */
 static inline void fault_fragments(const struct target *t)
 {
 	uint32_t xid, words[2], mark;
@@ -260,7 +277,8 @@
 	fault_write(fd, &mark, 4);
 	for (i = 4 + split; i + 1 < one.bstr_len; i++)
 		fault_write(fd, one.bstr_val + i, 1);
-	one.bstr_val[0] = one.bstr_val[i]; /* its last byte, then the second */
+	/* Send the last byte together with the second call. */
+	one.bstr_val[0] = one.bstr_val[i];
 	one.bstr_val = xrealloc(one.bstr_val, two.bstr_len + 1, 1);
 	memcpy(one.bstr_val + 1, two.bstr_val, two.bstr_len);
 	fault_write(fd, one.bstr_val, two.bstr_len + 1);
@@ -275,10 +293,10 @@
 }
 
 /*
- * A caller sends calls without end and reads no answer.  The answers fill
- * its window and the listener's socket; after the time for an answer to be
- * read the connection is reset.  A listener that waited for this caller
- * would leave the bystander without its answer.
+ * A client sends calls forever and reads no answers.  The answers fill its
+ * receive window and the listener's socket buffer, and after record_ms the
+ * listener has to reset the connection.  A listener that blocked on this
+ * client would not answer the other client.
  */
 static inline void fault_never_read(const struct target *t)
 {
@@ -312,7 +330,7 @@
 	bstr_free(&call);
 }
 
-/* The same call twice: the copy is refused, the first one is not harmed. */
+/* Checks that a replayed call is denied and its original is answered. */
 static inline void fault_replay(const struct target *t)
 {
 	uint32_t xid, words[2];
@@ -331,7 +349,10 @@
 	bstr_free(&call);
 }
 
-/* Connections over the bound are closed; one that ends makes room. */
+/*
+ * Checks that a connection over the limit is closed, and that one is accepted
+ * again after another one ends.
+ */
 static inline void fault_connection_limit(const struct target *t)
 {
 	uint32_t xid, words[2] = {0};
@@ -348,7 +369,7 @@
 	close(extra);
 	cr_expect(t->other_call(t->arg));
 	close(fds[0]);
-	for (;;) { /* the listener may not have seen the close yet */
+	for (;;) { /* retry until the listener has seen the close */
 		extra = fault_connect(t->port);
 		(void)!send(extra, call.bstr_val, call.bstr_len, MSG_NOSIGNAL);
 		if (fault_answer(extra, &xid, words))
