--- a/tests/standin.h
+++ b/tests/standin.h
@@ -1,8 +1,11 @@
 /*
- * What the stand-ins and their tests share: one event loop with a timer
- * heap and any number of libmicrohttpd servers, all in one thread, so that
- * no state needs a lock and a silent request blocks nobody; and, for tests,
- * a small HTTP client and the start of a stand-in as a child process.
+ * Shared code of the stand-ins (fakes of the users' platform and workers that
+ * run as processes of their own) and of their tests.
+ *
+ * For stand-ins: an event loop with a timer heap and any number of
+ * libmicrohttpd servers, all in one thread, so that no state needs a lock and
+ * a request without an answer doesn't block others.  For tests: a small HTTP
+ * client, and functions that run a stand-in as a child process.
  */
 #ifndef STANDIN_H
 #define STANDIN_H
@@ -22,48 +25,56 @@
 	void (*fire)(void *arg);
 	void *arg;
 };
+
+/* Sets a timer, or changes its deadline. */
 void timer_set(struct timer *t, int64_t deadline);
 void timer_clear(struct timer *t);
 
-/* Servers. */
 struct request;
+
+/* A route of a server; a path that ends in '/' matches all paths below it. */
 struct route {
 	const char *method;
-	const char *path; /* ends in '/': whatever starts with it */
-	const char *op;	  /* its name in a fault; NULL: never faulted */
+	const char *path;
+	const char *op; /* its name in faults; NULL: never has a fault */
 	void (*handle)(struct request *rq);
 };
+
 struct server;
+
 struct connection {
 	TAILQ_ENTRY(connection) entry;
 	struct server *server;
-	bool silent; /* nothing on it is answered any more */
+	bool silent; /* no request on it is answered any more */
 };
 TAILQ_HEAD(request_list, request);
+
 struct server {
 	struct MHD_Daemon *daemon;
-	const struct route *routes;	    /* ends with a NULL method */
-	bool (*filter)(struct request *rq); /* may answer in its place */
+	const struct route *routes;	    /* the last has a NULL method */
+	bool (*filter)(struct request *rq); /* false: it answered */
 	void *arg;
 	uint16_t port;
-	unsigned max_connections; /* connections; a further one is closed at
-				     once */
+	unsigned max_connections; /* further ones are closed */
 	unsigned connection_count;
 	TAILQ_HEAD(, connection) connections;
 	struct request_list held;
 	bool frozen;
-	bool needs_run; /* libmicrohttpd has to run again */
+	bool needs_run; /* MHD_run() has to be called again */
 	TAILQ_ENTRY(server) entry;
 };
+
+/* Faults that POST /control/fault injects into requests. */
 enum fault_mode {
 	FAULT_NONE,
 	FAULT_DOWN,	/* no answer */
-	FAULT_REFUSE,	/* 503 */
-	FAULT_SLOW,	/* an answer after a delay */
-	FAULT_LOSE,	/* the effect, and the connection dropped */
-	FAULT_TRUNCATE, /* the effect, and half an answer */
-	FAULT_GARBAGE	/* the effect, and an answer that is no JSON */
+	FAULT_REFUSE,	/* status 503 */
+	FAULT_SLOW,	/* request is handled after a delay */
+	FAULT_LOSE,	/* request is handled, connection is closed */
+	FAULT_TRUNCATE, /* request is handled, half an answer is sent */
+	FAULT_GARBAGE	/* request is handled, answer isn't JSON */
 };
+
 struct request {
 	TAILQ_ENTRY(request) entry;
 	struct server *server;
@@ -74,14 +85,14 @@
 	char *path;
 	char *body;
 	size_t body_len;
-	json_t *json;	     /* of a POST */
-	int64_t received_at; /* when it was whole */
+	json_t *json;	     /* body of a POST */
+	int64_t received_at; /* when it was complete */
 	struct timer timer;
 	enum fault_mode fault;
 	bool dispatched;
-	bool held; /* suspended, on the server's list */
+	bool held; /* suspended and in the server's list */
 	bool answered;
-	bool drop;
+	bool drop; /* close the connection without an answer */
 	unsigned status;
 	char *answer;
 	size_t answer_len;
@@ -89,72 +100,136 @@
 	void (*on_free)(struct request *rq); /* called before it is freed */
 	void *arg;
 };
+
+/*
+ * Starts a server on 127.0.0.1; port 0 lets the kernel choose.  The filter, if
+ * not NULL, sees each request before its handler; it returns false if it has
+ * answered the request itself.
+ */
 struct server *server_start(const struct route *routes, uint16_t port,
-			    unsigned limit, bool (*gate)(struct request *rq),
-			    void *arg);
-void server_silence(struct server *sv); /* the connections open now */
+			    unsigned max_connections,
+			    bool (*filter)(struct request *rq), void *arg);
+
+/* Stops answering on the connections that are open now. */
+void server_silence(struct server *sv);
+
+/* Hold back the answers of routes that can have faults, and resume. */
 void server_freeze(struct server *sv);
 void server_thaw(struct server *sv);
+
+/* Closes the connections of all requests that wait for an answer. */
 void server_drop_held(struct server *sv);
-void server_loop(void);			 /* never returns */
-uint32_t standin_random(uint32_t below); /* fixed seed */
+
+/* Runs the event loop; never returns. */
+void server_loop(void);
+
+/* Random numbers below a bound, from a fixed seed unless one is set. */
+uint32_t standin_random(uint32_t below);
 void standin_seed(uint64_t seed);
 
+/* Answers with a JSON value, whose reference it takes over. */
 void request_answer(struct request *rq, unsigned status, json_t *j);
+
+/* Answers with a copy of some bytes. */
 void request_answer_bytes(struct request *rq, unsigned status, const void *p,
 			  size_t len);
+
+/* Answers that nothing was done, with a Retry-After header. */
 void request_refuse(struct request *rq, unsigned status, int64_t retry_ms);
+
+/* Answers 400: the request is malformed. */
 void request_reject(struct request *rq, const char *what);
+
+/* Closes the connection without an answer. */
 void request_drop(struct request *rq);
+
+/* Returns an argument of the query, or NULL. */
 const char *request_query_arg(struct request *rq, const char *name);
-void control_fault(struct request *rq); /* a handler */
 
-bool json_list_has(const json_t *list, const char *s); /* NULL has all */
+/* Handler of POST /control/fault: replaces the injected faults. */
+void control_fault(struct request *rq);
+
+/* Returns true if a list has a string, or if the list is NULL. */
+bool json_list_has(const json_t *list, const char *s);
+
+/*
+ * Return a member of an object: a reference to a string (empty if missing),
+ * the bytes of a base64 string (false if it is invalid), an integer (0 if
+ * missing).
+ */
 bstr json_ref(const json_t *j, const char *name);
 bool json_bytes(const json_t *j, const char *name, bstr *bytes);
 int64_t json_int(const json_t *j, const char *name);
 
 /* For tests: a stand-in as a child process. */
 struct standin_port {
-	char *name; /* of the worker; "" for the platform and for control */
+	char *name; /* of the worker; "": of the platform, or for control */
 	uint16_t port;
 };
+
 struct standin {
 	pid_t pid;
 	uint16_t port; /* the platform's, or the workers' control port */
 	struct standin_port *workers;
 	size_t worker_count;
 };
-/* Start build/V/program beside the test; args end with NULL. */
+
+/*
+ * Starts a program from the directory of the running test, and waits until it
+ * listens.  args end with NULL.  The process is killed when the test ends.
+ */
 void standin_start(struct standin *si, const char *program,
 		   const char *const *args);
 void standin_stop(struct standin *si);
 
-/* For tests: HTTP on a connection of one's own. */
-int http_connect(uint16_t port, const char *from); /* from: an IP or NULL */
+/*
+ * For tests: an HTTP client.  http_connect() connects to 127.0.0.1, from
+ * another address of this host if from is not NULL; it returns -1 on failure.
+ */
+int http_connect(uint16_t port, const char *from);
 bool http_send(int fd, const char *method, const char *path, const char *body);
-/* With an organisation's key; NULL: with none. */
+
+/* Sends a request with an organisation's key; NULL: with none. */
 bool http_send_as(int fd, const char *key, const char *method, const char *path,
 		  const char *body);
-/* The status, 0 if the connection ended first; *text is malloced. */
+
+/*
+ * Receives a response; returns its status, or 0 if the connection ends first.
+ * The caller frees *text, which is the head and the body.
+ */
 int http_recv(int fd, char **text);
+
+/* Returns true if there is nothing to read and the connection is open. */
 bool http_silent(int fd);
-/* A whole exchange on a fresh connection; answer may be NULL. */
+
+/*
+ * Sends a request on a new connection and returns the response's status, or 0;
+ * answer may be NULL.
+ */
 int http_call(uint16_t port, const char *method, const char *path,
 	      const char *body, json_t **answer);
-/* A step of a table; body and want are read by http_expand. */
+
+/* A request and its expected response; http_expand() expands body and want. */
 struct http_step {
 	const char *method;
 	const char *path;
 	const char *body;
-	int status;	  /* 0: the connection ends */
-	const char *want; /* a part of the answer, its head included */
-	const char *from;
+	int status;	  /* 0: no response, the connection is closed */
+	const char *want; /* part of the response, head included */
+	const char *from; /* address to connect from; NULL: any */
 };
+
+/* Replaces ' by " and <text> by the base64 code of text. */
 char *http_expand(const char *s);
-bool http_step(uint16_t port, const struct http_step *st, bool tell);
+
+/*
+ * http_step() returns true if the response is as expected, and otherwise
+ * prints it if verbose; http_steps() returns the number of failed steps.
+ */
+bool http_step(uint16_t port, const struct http_step *st, bool verbose);
 int http_steps(uint16_t port, const struct http_step *steps, size_t count);
-/* A table of steps, for cr_expect_eq(HTTP_STEPS(port, {...}, {...}), 0). */
+
+/* Runs a table of steps: cr_expect_eq(HTTP_STEPS(port, {...}, {...}), 0). */
 #define HTTP_STEPS(port, ...)                                        \
 	http_steps(port, (const struct http_step[]){__VA_ARGS__},    \
 		   sizeof((const struct http_step[]){__VA_ARGS__}) / \
--- a/tests/support-cloud.h
+++ b/tests/support-cloud.h
@@ -1,8 +1,7 @@
 /*
  * A fake of the users' platform for load tests: a store and any number of
  * workers in one event loop, which the caller runs.  They answer at once and
- * check nothing, so that the fake costs little beside the daemon under load;
- * standin-cloud is the fake that also checks what it is sent.
+ * check nothing; standin-cloud is the fake that checks the invariants.
  */
 #ifndef SUPPORT_CLOUD_H
 #define SUPPORT_CLOUD_H
@@ -29,8 +28,10 @@
 /* Opens the connections that submit jobs to the entry VM at a port. */
 void cloud_submitters_connect(uint16_t port);
 
-/* Runs the event loop for ms milliseconds, submitting jobs at a rate of tasks
- * per second. */
+/*
+ * Runs the event loop for ms milliseconds; rate is the number of tasks a second
+ * that it submits, as jobs of CLOUD_TASKS_PER_JOB.
+ */
 void cloud_serve(int64_t ms, unsigned rate);
 
 #endif
--- a/tests/support-fake.h
+++ b/tests/support-fake.h
@@ -43,6 +43,7 @@
 };
 
 struct fake;
+
 struct fake *fake_start(const struct fake_step *steps, size_t count);
 uint16_t fake_port(const struct fake *f);
 
@@ -51,8 +52,8 @@
 size_t fake_request_count(struct fake *f);
 
 /*
- * Releases a step with a release: sends the answer of request n, or starts to
- * read connection n of FAKE_NO_READ, both counted from 0.
+ * Lets a step continue that waits for its release: sends the answer of request
+ * n, or reads from connection n of FAKE_NO_READ, both counted from 0.
  */
 void fake_release(struct fake *f, size_t n);
 
--- a/tests/support-fleet.h
+++ b/tests/support-fleet.h
@@ -4,8 +4,7 @@
  * VM list of the platform, the workers (docs/WORKER.md), the network between
  * peers, callers and operators.  The simulation logs what ran and what was
  * answered, and checks the invariants against that log and the rows of the
- * table.  It never reads the state of the reducers, so that an error there
- * can't hide itself.
+ * table only; it never reads the state of the reducers.
  */
 #ifndef SUPPORT_FLEET_H
 #define SUPPORT_FLEET_H
@@ -43,23 +42,23 @@
 	FLEET_CUT,	    /* partition the data centres */
 	FLEET_CUT_PLATFORM, /* cut off a DC or an entry VM from the platform */
 	FLEET_PLATFORM,	    /* arg1: down, refusing, slow or losing replies */
-	FLEET_LATE,	/* peer messages arrive after they counted as lost */
-	FLEET_WORKER,	/* arg2: freeze, silence, restart, fail all tasks */
-	FLEET_RACK,	/* the same for each third worker */
-	FLEET_LIMIT,	/* set a team's upper limit from arg2 */
-	FLEET_BUDGET,	/* set a pool's budget from arg2 */
-	FLEET_WITHDRAW, /* withdraw a key of a team */
+	FLEET_LATE,	    /* peer messages arrive late and count as lost */
+	FLEET_WORKER,	    /* arg2: freeze, silence, restart, fail all tasks */
+	FLEET_RACK,	    /* the same for each third worker */
+	FLEET_LIMIT,	    /* set a team's upper limit from arg2 */
+	FLEET_BUDGET,	    /* set a pool's budget from arg2 */
+	FLEET_WITHDRAW,	    /* withdraw a key of a team */
 	FLEET_DRAIN,
 	FLEET_MOVE,
-	FLEET_RETURN, /* move a drained VM back */
-	FLEET_LEAVE,  /* a worker reports that it is leaving */
-	FLEET_RACE,   /* concurrent changes by operators */
+	FLEET_RETURN,
+	FLEET_LEAVE, /* a worker reports that it is leaving */
+	FLEET_RACE,  /* concurrent changes by operators */
 	FLEET_OPS
 };
 
 struct fleet_step {
 	enum fleet_op op;
-	unsigned arg1, arg2;
+	unsigned arg1, arg2; /* see enum fleet_op */
 };
 
 struct fleet;
--- a/tests/support-world-state.h
+++ b/tests/support-world-state.h
@@ -274,8 +274,8 @@
 void world_worker_step(struct world *w, unsigned n);
 
 /*
- * Reports a violation if the store doesn't have the end of a task although the
- * task's job is neither over nor cancelled.
+ * Reports a violation if the progress row of a job lacks the end of a task that
+ * its worker forgets.  Jobs without a job row aren't checked.
  */
 void world_end_check(struct world *w, const char *task, const char *what);
 
