--- a/tests/support-process.h
+++ b/tests/support-process.h
@@ -36,8 +36,9 @@
 	struct standin platform;
 	struct standin workers[DCS_MAX]; /* a process for each data centre */
 	char dcs[DCS_MAX][2];
-	size_t dc_count, vm_count;
+	size_t dc_count;
 	size_t log_count; /* processes in workers; each has one log */
+	size_t vm_count;
 	struct entry_vm vms[VMS_MAX];
 	char *secret;	       /* secret of the team's key */
 	struct relay_net *net; /* NULL: not relayed */
