--- a/sched-data.c
+++ b/sched-data.c
@@ -26,7 +26,7 @@
 	for (i = 0; i < b->step_count; i++) {
 		free(b->steps[i].prerequisites);
 		bstr_free(&b->steps[i].required_label);
-		bstr_free(&b->steps[i].data_rack);
+		bstr_free(&b->steps[i].preferred_rack);
 		bstr_free(&b->steps[i].image);
 	}
 	free(b->steps);
@@ -211,30 +211,30 @@
 }
 
 /* Does a need fit into what is free? */
-bool size_fits(struct size need, struct size room)
+bool resources_fit(struct resources need, struct resources room)
 {
 	return need.cpu <= room.cpu && need.memory <= room.memory &&
 	       need.gpus <= room.gpus;
 }
 
 /* Add sizes. */
-struct size size_add(struct size a, struct size b)
+struct resources resources_add(struct resources a, struct resources b)
 {
-	return (struct size){a.cpu + b.cpu, a.memory + b.memory,
-			     a.gpus + b.gpus};
+	return (struct resources){a.cpu + b.cpu, a.memory + b.memory,
+				  a.gpus + b.gpus};
 }
 
 /* The larger of two sizes in each resource. */
-struct size size_most(struct size a, struct size b)
+struct resources resources_max(struct resources a, struct resources b)
 {
-	return (struct size){a.cpu > b.cpu ? a.cpu : b.cpu,
-			     a.memory > b.memory ? a.memory : b.memory,
-			     a.gpus > b.gpus ? a.gpus : b.gpus};
+	return (struct resources){a.cpu > b.cpu ? a.cpu : b.cpu,
+				  a.memory > b.memory ? a.memory : b.memory,
+				  a.gpus > b.gpus ? a.gpus : b.gpus};
 }
 
 /* Subtract sizes. */
-struct size size_sub(struct size a, struct size b)
+struct resources resources_sub(struct resources a, struct resources b)
 {
-	return (struct size){a.cpu - b.cpu, a.memory - b.memory,
-			     a.gpus - b.gpus};
+	return (struct resources){a.cpu - b.cpu, a.memory - b.memory,
+				  a.gpus - b.gpus};
 }
--- a/sched-limit.c
+++ b/sched-limit.c
@@ -44,9 +44,10 @@
 void usage_add(struct sched *s, const struct task *t, int sign)
 {
 	struct usage *u = job_usage(s, t->occ->job);
-	struct size need = task_step(t)->need;
+	struct resources need = task_step(t)->need;
 
-	u->used = sign > 0 ? size_add(u->used, need) : size_sub(u->used, need);
+	u->used = sign > 0 ? resources_add(u->used, need)
+			   : resources_sub(u->used, need);
 }
 
 /* A run of before was found: it is part of what the old ceiling allowed. */
@@ -54,7 +55,8 @@
 {
 	struct usage *u = job_usage(s, t->occ->job);
 
-	u->inherited_found = size_add(u->inherited_found, task_step(t)->need);
+	u->inherited_found = resources_add(u->inherited_found,
+					   task_step(t)->need);
 }
 
 /*
@@ -71,11 +73,11 @@
 }
 
 /* The lesser, resource by resource. */
-static struct size size_min(struct size a, struct size b)
+static struct resources resources_min(struct resources a, struct resources b)
 {
-	return (struct size){a.cpu < b.cpu ? a.cpu : b.cpu,
-			     a.memory < b.memory ? a.memory : b.memory,
-			     a.gpus < b.gpus ? a.gpus : b.gpus};
+	return (struct resources){a.cpu < b.cpu ? a.cpu : b.cpu,
+				  a.memory < b.memory ? a.memory : b.memory,
+				  a.gpus < b.gpus ? a.gpus : b.gpus};
 }
 
 /* Read the ceiling that earlier owners had told; it changes no more. */
@@ -85,7 +87,7 @@
 	const json_t *row = json_object_get(s->own.ceilings, name);
 
 	free(name);
-	u->inherited_ceiling = (struct size){
+	u->inherited_ceiling = (struct resources){
 		json_integer_value(json_array_get(row, 0)),
 		json_integer_value(json_array_get(row, 1)),
 		json_integer_value(json_array_get(row, 2))};
@@ -93,16 +95,16 @@
 }
 
 /* What an earlier owner may have running that was not found yet. */
-static struct size usage_hidden(const struct sched *s, struct usage *u)
+static struct resources usage_hidden(const struct sched *s, struct usage *u)
 {
-	struct size hidden = {0, 0, 0}, zero = {0, 0, 0};
+	struct resources hidden = {0, 0, 0}, zero = {0, 0, 0};
 
 	if (s->settled)
 		return hidden;
 	if (!u->inherited_known)
 		usage_inherit(s, u);
-	hidden = size_sub(u->inherited_ceiling, u->inherited_found);
-	return size_sub(hidden, size_min(hidden, zero));
+	hidden = resources_sub(u->inherited_ceiling, u->inherited_found);
+	return resources_sub(hidden, resources_min(hidden, zero));
 }
 
 /* Have accounts of all organisations whose ceilings were taken over. */
@@ -127,7 +129,7 @@
 	const struct tenant *t;
 	json_t *row;
 	struct usage *u;
-	struct size told;
+	struct resources told;
 	char *name;
 
 	if (s->own.state == OWN_LOADING)
@@ -139,15 +141,15 @@
 		t = tenant_named(s, u->tenant);
 		if (!t)
 			continue;
-		u->next_ceiling = (struct size){
+		u->next_ceiling = (struct resources){
 			ceiling_one(u->used.cpu, u->wanted.cpu, t->maximum.cpu),
 			ceiling_one(u->used.memory, u->wanted.memory,
 				    t->maximum.memory),
 			ceiling_one(u->used.gpus, u->wanted.gpus,
 				    t->maximum.gpus)};
-		u->ceiling = size_min(u->ceiling, u->next_ceiling);
+		u->ceiling = resources_min(u->ceiling, u->next_ceiling);
 		u->ceiling_in_flight = true;
-		told = size_add(u->next_ceiling, usage_hidden(s, u));
+		told = resources_add(u->next_ceiling, usage_hidden(s, u));
 		name = bstr_cstr(u->tenant);
 		json_object_set_new(row, name,
 				    json_pack("[I, I, I]", (json_int_t)told.cpu,
@@ -179,7 +181,8 @@
 }
 
 /* Does it within all three? */
-static bool all_below(struct size used, struct size need, struct size maximum)
+static bool all_below(struct resources used, struct resources need,
+		      struct resources maximum)
 {
 	return below(used.cpu, need.cpu, maximum.cpu) &&
 	       below(used.memory, need.memory, maximum.memory) &&
@@ -196,10 +199,10 @@
 	if (!t)
 		return PENDING_NONE;
 	u = job_usage(s, j);
-	if (!all_below(size_add(u->used, usage_hidden(s, u)), st->need,
+	if (!all_below(resources_add(u->used, usage_hidden(s, u)), st->need,
 		       t->maximum))
 		return PENDING_LIMIT;
-	if (size_fits(size_add(u->used, st->need), u->ceiling))
+	if (resources_fit(resources_add(u->used, st->need), u->ceiling))
 		return PENDING_NONE;
 	/* Have the next beat raise it. */
 	u->wanted = st->need;
--- a/sched-move.c
+++ b/sched-move.c
@@ -51,21 +51,21 @@
 /* What a pool has and has to do. */
 struct balance {
 	const struct service *service;
-	bool routed;	     /* some queue leads to it */
-	unsigned home;	     /* machines that the operator gave it */
-	unsigned stranded;   /* lasting tasks that find no worker */
-	unsigned workers;    /* that take work */
-	unsigned coming;     /* machines on their way to it */
-	unsigned empty;	     /* workers without tasks */
-	double cores;	     /* thousandths, of the workers that take work */
-	double used;	     /* of them, by tasks */
-	double lasting;	     /* of them, used by lasting tasks */
-	double work;	     /* waiting and running, in thousandths x ms */
-	double waiting;	     /* of it, what could run if there were room */
-	double queued;	     /* of it, what waits for nothing but room */
-	struct size largest; /* what its largest worker has in all */
-	double objectives;   /* of the jobs that queue, in ms, added up */
-	unsigned jobs;	     /* that queue */
+	bool routed;	   /* some queue leads to it */
+	unsigned home;	   /* machines that the operator gave it */
+	unsigned stranded; /* lasting tasks that find no worker */
+	unsigned workers;  /* that take work */
+	unsigned coming;   /* machines on their way to it */
+	unsigned empty;	   /* workers without tasks */
+	double cores;	   /* thousandths, of the workers that take work */
+	double used;	   /* of them, by tasks */
+	double lasting;	   /* of them, used by lasting tasks */
+	double work;	   /* waiting and running, in thousandths x ms */
+	double waiting;	   /* of it, what could run if there were room */
+	double queued;	   /* of it, what waits for nothing but room */
+	struct resources largest; /* what its largest worker has in all */
+	double objectives;	  /* of the jobs that queue, in ms, added up */
+	unsigned jobs;		  /* that queue */
 };
 
 /* An idle machine, and where it is; NULL: it has been chosen. */
@@ -114,7 +114,7 @@
 		if (!p || !(worker_is_healthy(s, w) || worker_may_answer(s, w)))
 			continue;
 		p->workers++;
-		p->largest = size_most(p->largest, w->row.capacity);
+		p->largest = resources_max(p->largest, w->row.capacity);
 		p->cores += (double)w->row.capacity.cpu;
 		p->used += (double)w->used.cpu;
 		if (w->fenced && TAILQ_EMPTY(&w->tasks))
@@ -171,7 +171,7 @@
 
 	for (i = 0; i < j->body->step_count; i++, st++)
 		if (!st->long_running && !st->best_effort &&
-		    size_fits(st->need, p->largest))
+		    resources_fit(st->need, p->largest))
 			queued += (double)st->need.cpu *
 				  (double)j->estimate.step_ms[i] *
 				  o->unfinished_in_step[i];
--- a/sched-order.c
+++ b/sched-order.c
@@ -15,9 +15,9 @@
 #define ROOM_AGAIN_MS 100
 
 /* What a step's task takes of a worker; one that fills uses only idle cores. */
-struct size step_need(const struct job_step *st)
+struct resources step_need(const struct job_step *st)
 {
-	struct size need = st->need;
+	struct resources need = st->need;
 
 	if (st->best_effort)
 		need.cpu = 0;
@@ -81,7 +81,7 @@
 	t->load_figure = 0;
 	t->started_at = s->now;
 	TAILQ_INSERT_TAIL(&w->tasks, t, worker_entry);
-	w->used = size_add(w->used, step_need(task_step(t)));
+	w->used = resources_add(w->used, step_need(task_step(t)));
 	usage_add(s, t, 1);
 	j->placed++;
 	if (!j->starts++ && !j->inherited)
@@ -96,7 +96,7 @@
 	if (!w)
 		return;
 	TAILQ_REMOVE(&w->tasks, t, worker_entry);
-	w->used = size_sub(w->used, step_need(task_step(t)));
+	w->used = resources_sub(w->used, step_need(task_step(t)));
 	w->idle_since = s->now;
 	usage_add(s, t, -1);
 	t->worker = NULL;
--- a/sched-place.c
+++ b/sched-place.c
@@ -37,7 +37,7 @@
 	struct occurrence *occ;
 	struct pool *pool; /* whose workers may run it */
 	unsigned step;
-	struct size need;	  /* of each of its tasks */
+	struct resources need;	  /* of each of its tasks */
 	enum pending_reason held; /* what held its job back before */
 	bool advised;		  /* a start needs a ticket */
 	unsigned rank;		  /* lasting work, then priorities */
@@ -138,8 +138,8 @@
 			if (!step_waits(s, o, i))
 				continue;
 			s->has_pending_tasks = true;
-			if (size_fits(step_need(&j->body->steps[i]),
-				      pool->max_room))
+			if (resources_fit(step_need(&j->body->steps[i]),
+					  pool->max_room))
 				candidate_add(s, p, r, pool, o, i);
 			else
 				j->pending_reason = PENDING_CAPACITY;
@@ -248,11 +248,11 @@
 			   const struct worker *w, const struct task *t)
 {
 	const struct job_step *st = task_step(t);
-	struct size room = worker_free_room(w);
+	struct resources room = worker_free_room(w);
 	double merit, idle;
 	bool apart;
 
-	if (!size_fits(step_need(st), room) ||
+	if (!resources_fit(step_need(st), room) ||
 	    !label_fits(w, st->required_label))
 		return -1;
 	if (st->max_per_worker &&
@@ -274,12 +274,12 @@
 		merit = MERIT_FULL * idle;
 	if (merit < 0)
 		merit = 0;
-	if (st->data_rack.bstr_len && bstr_eq(st->data_rack, w->rack))
+	if (st->preferred_rack.bstr_len && bstr_eq(st->preferred_rack, w->rack))
 		merit += MERIT_RACK;
 	if (t->avoided_worker != w->serial ||
 	    !policy_is_enabled(s, POLICY_AVOID))
 		merit += MERIT_NOT_AVOID;
-	if (st->locality_sensitive)
+	if (st->same_rack)
 		merit += MERIT_SIBLINGS * rack_siblings(c->pool, w->rack, t);
 	if (st->long_running)
 		merit += MERIT_LASTING * (apart ? 16 - (double)lasting_on(w)
@@ -371,7 +371,7 @@
 			c->job->pending_reason = limit;
 			break;
 		}
-		if (stale || st->locality_sensitive || t->avoided_worker)
+		if (stale || st->same_rack || t->avoided_worker)
 			merits_reckon(s, c, t, merits, 0, count);
 		else
 			merits_reckon(s, c, t, merits, chosen, chosen + 1);
@@ -398,8 +398,8 @@
 	unsigned i;
 
 	for (i = 0; i < n; i++) {
-		chosen[i]->used = size_sub(chosen[i]->used, st->need);
-		u->used = size_sub(u->used, st->need);
+		chosen[i]->used = resources_sub(chosen[i]->used, st->need);
+		u->used = resources_sub(u->used, st->need);
 	}
 }
 
@@ -425,8 +425,8 @@
 			chosen[i] = worker_choose(s, c, &first[i]);
 		if (!chosen[i])
 			break;
-		chosen[i]->used = size_add(chosen[i]->used, st->need);
-		u->used = size_add(u->used, st->need);
+		chosen[i]->used = resources_add(chosen[i]->used, st->need);
+		u->used = resources_add(u->used, st->need);
 		if (run_next(s, &first[i]) > run)
 			run = run_next(s, &first[i]);
 		if (!checkpoint.bstr_len)
@@ -454,13 +454,14 @@
 					   const struct candidate *c)
 {
 	const struct job_step *st = &c->job->body->steps[c->step];
-	struct size need = step_need(st);
+	struct resources need = step_need(st);
 	unsigned i;
 
-	if (!size_fits(size_add(c->pool->promised, need), c->pool->total_room))
+	if (!resources_fit(resources_add(c->pool->promised, need),
+			   c->pool->total_room))
 		return PENDING_CAPACITY;
 	for (i = 0; i < c->occ->unfinished_in_step[c->step]; i++)
-		c->pool->promised = size_add(c->pool->promised, need);
+		c->pool->promised = resources_add(c->pool->promised, need);
 	return job_begin(s, c->job) ? PENDING_NONE : PENDING_STORE;
 }
 
@@ -490,7 +491,7 @@
 {
 	enum pending_reason hold;
 
-	if (!size_fits(c->need, c->pool->max_room) ||
+	if (!resources_fit(c->need, c->pool->max_room) ||
 	    pool_is_known_full(c->pool, c->need)) {
 		if (c->held != PENDING_CAPACITY)
 			c->job->pending_reason = PENDING_CAPACITY;
--- a/sched-pool.c
+++ b/sched-pool.c
@@ -17,7 +17,7 @@
 	p = xcalloc(1, sizeof(*p));
 	p->service = bstr_copy(service);
 	p->order_index = HASH_COUNT(s->pools) + 1;
-	p->max_room = (struct size){-1, -1, -1};
+	p->max_room = (struct resources){-1, -1, -1};
 	HASH_ADD_BSTR(s->pools, service, p);
 	return p;
 }
@@ -77,23 +77,23 @@
 }
 
 /* What is free on a worker. */
-struct size worker_free_room(const struct worker *w)
+struct resources worker_free_room(const struct worker *w)
 {
-	return size_sub(w->row.capacity, w->used);
+	return resources_sub(w->row.capacity, w->used);
 }
 
 /* Sum up again the most that one worker of a pool has free. */
 void pool_measure(struct pool *p)
 {
-	struct size r;
+	struct resources r;
 	size_t i;
 
-	p->max_room = (struct size){-1, -1, -1};
-	p->total_room = (struct size){0, 0, 0};
+	p->max_room = (struct resources){-1, -1, -1};
+	p->total_room = (struct resources){0, 0, 0};
 	for (i = 0; i < p->count; i++) {
 		r = worker_free_room(p->workers[i]);
-		p->total_room = size_add(p->total_room, r);
-		p->max_room = size_most(p->max_room, r);
+		p->total_room = resources_add(p->total_room, r);
+		p->max_room = resources_max(p->max_room, r);
 	}
 }
 
@@ -101,18 +101,18 @@
  * Is it known that no worker has room for a need?  Room only shrinks while
  * tasks are placed, so what found none rules out all that want as much.
  */
-bool pool_is_known_full(const struct pool *p, struct size need)
+bool pool_is_known_full(const struct pool *p, struct resources need)
 {
 	size_t i;
 
 	for (i = 0; i < p->unplaceable_count; i++)
-		if (size_fits(p->unplaceable[i], need))
+		if (resources_fit(p->unplaceable[i], need))
 			return true;
 	return false;
 }
 
 /* No worker of a pool had room for a need. */
-void pool_note_full(struct pool *p, struct size need)
+void pool_note_full(struct pool *p, struct resources need)
 {
 	if (pool_is_known_full(p, need))
 		return;
@@ -140,7 +140,7 @@
 
 	for (p = s->pools; p; p = p->hh.next) {
 		p->count = p->unplaceable_count = 0;
-		p->promised = (struct size){0, 0, 0};
+		p->promised = (struct resources){0, 0, 0};
 	}
 	HASH_ITER(hh, s->workers, w, next)
 		if (worker_is_eligible(s, w))
--- a/sched-state.h
+++ b/sched-state.h
@@ -167,7 +167,7 @@
 				  * none */
 	bstr checkpoint;
 };
-TAILQ_HEAD(task_on, task);
+TAILQ_HEAD(worker_task_list, task);
 
 /* Placement tickets for a step, from the advice service. */
 struct advice {
@@ -331,8 +331,8 @@
 	bool takedown_pending;	 /* its machine is about to be taken away */
 	bool takedown_in_flight; /* the call that takes it is in flight */
 	unsigned requests;
-	struct size used;
-	struct task_on tasks;
+	struct resources used;
+	struct worker_task_list tasks;
 	UT_hash_handle hh;
 };
 
@@ -354,11 +354,12 @@
 	struct worker **workers; /* those that may get tasks */
 	size_t count;
 	size_t space;
-	struct size max_room;	/* the largest free amount, by resource */
-	struct size total_room; /* free on all workers together */
-	struct size promised;	/* of total_room, to jobs that wait for the
-				 * store */
-	struct size unplaceable[UNPLACEABLE_MAX]; /* needs that fit nowhere */
+	struct resources max_room;   /* the largest free amount, by resource */
+	struct resources total_room; /* free on all workers together */
+	struct resources promised;   /* of total_room, to jobs that wait for the
+				      * store */
+	struct resources
+		unplaceable[UNPLACEABLE_MAX]; /* needs that fit nowhere */
 	size_t unplaceable_count;
 	struct candidate **waiting; /* not yet considered in this pass */
 	struct candidate **waiting_end;
@@ -562,15 +563,16 @@
 /* What an organisation has running on the whole fleet. */
 struct usage {
 	bstr tenant;
-	struct size used;
-	struct size ceiling;	  /* nothing is started beyond this; recorded
+	struct resources used;
+	struct resources ceiling; /* nothing is started beyond this; recorded
 				   * in the store */
-	struct size next_ceiling; /* in the heartbeat in flight */
-	struct size wanted;	  /* by a task that the ceiling blocks */
+	struct resources next_ceiling; /* in the heartbeat in flight */
+	struct resources wanted;       /* by a task that the ceiling blocks */
 	bool ceiling_in_flight;
-	bool inherited_known;	       /* inherited_ceiling was read */
-	struct size inherited_ceiling; /* recorded by earlier owners */
-	struct size inherited_found;   /* part of it that was found running */
+	bool inherited_known;		    /* inherited_ceiling was read */
+	struct resources inherited_ceiling; /* recorded by earlier owners */
+	struct resources
+		inherited_found; /* part of it that was found running */
 	UT_hash_handle hh;
 };
 
@@ -860,13 +862,13 @@
 bool pool_is_settled(struct sched *s, bstr service);
 void pools_refresh(struct sched *s);
 void pool_measure(struct pool *p);
-bool pool_is_known_full(const struct pool *p, struct size need);
-void pool_note_full(struct pool *p, struct size need);
+bool pool_is_known_full(const struct pool *p, struct resources need);
+void pool_note_full(struct pool *p, struct resources need);
 void pools_free(struct sched *s);
-struct size worker_free_room(const struct worker *w);
+struct resources worker_free_room(const struct worker *w);
 
 /* sched-order.c: orders to workers */
-struct size step_need(const struct job_step *st);
+struct resources step_need(const struct job_step *st);
 bool start_window_is_full(const struct sched *s);
 void start_window_update(struct sched *s, int64_t ms);
 void sched_task_start(struct sched *s, struct task *t, struct worker *w,
--- a/scheduler.h
+++ b/scheduler.h
@@ -24,7 +24,7 @@
 #define TASKS_MAX 4096 /* per job, all steps together */
 
 /* Resources that a worker offers or a task needs. */
-struct size {
+struct resources {
 	int64_t cpu;	/* thousandths of a core */
 	int64_t memory; /* MB */
 	int64_t gpus;
@@ -33,18 +33,18 @@
 /* A step of a job: a number of equal tasks. */
 struct job_step {
 	unsigned count;
-	struct size need;
+	struct resources need;
 	uint32_t estimated_ms;
 	unsigned *prerequisites; /* indexes of earlier steps */
 	size_t prerequisite_count;
 	bool checkpoints;
-	bool gang;		 /* its tasks must all run at the same time */
-	bool locality_sensitive; /* slow if spread over several racks */
-	bool speculative;	 /* copies of a task may run in parallel */
-	bool long_running;	 /* runs until cancelled */
-	bool best_effort;	 /* uses only CPU that others leave idle */
-	bstr required_label;	 /* of the worker; empty: any */
-	bstr data_rack;		 /* where its data is; empty: no preference */
+	bool gang;	     /* its tasks must all run at the same time */
+	bool same_rack;	     /* slow if spread over several racks */
+	bool speculative;    /* copies of a task may run in parallel */
+	bool long_running;   /* runs until cancelled */
+	bool best_effort;    /* uses only CPU that others leave idle */
+	bstr required_label; /* of the worker; empty: any */
+	bstr preferred_rack; /* where its data is; empty: no preference */
 	bstr image;
 	unsigned max_per_worker;    /* tasks on one worker; 0: no limit */
 	uint32_t target_latency_ms; /* tail, of long-running tasks; 0: none */
@@ -81,7 +81,7 @@
 	bstr *keys;
 	size_t key_count;
 	double weight;
-	struct size maximum; /* 0: no limit */
+	struct resources maximum; /* 0: no limit */
 };
 
 /* A pool of workers in the operator's configuration. */
@@ -107,7 +107,7 @@
 	bstr address;
 	bstr zone;
 	bool draining;
-	struct size capacity;
+	struct resources capacity;
 	bstr *labels;
 	size_t label_count;
 	int64_t started_at; /* 0: not reported */
@@ -450,10 +450,11 @@
 void worker_row_free(struct worker_row *w);
 void sched_event_free(struct sched_event *ev);
 void sched_effect_free(struct sched_effect *fx);
-bool size_fits(struct size need, struct size room);
-struct size size_add(struct size a, struct size b);
-struct size size_most(struct size a, struct size b); /* maximum, by resource */
-struct size size_sub(struct size a, struct size b);
+bool resources_fit(struct resources need, struct resources room);
+struct resources resources_add(struct resources a, struct resources b);
+struct resources resources_max(struct resources a,
+			       struct resources b); /* maximum, by resource */
+struct resources resources_sub(struct resources a, struct resources b);
 
 #ifdef __cplusplus
 }
--- a/tests/support-world-store.c
+++ b/tests/support-world-store.c
@@ -99,7 +99,7 @@
 		r->kind = ROW_WORKER;
 		r->worker.service = bstr_new(w->pools[from->worker]);
 		r->worker.address = bstr_printf("a%d", from->worker);
-		r->worker.capacity = (struct size){CORES, 64000, 0};
+		r->worker.capacity = (struct resources){CORES, 64000, 0};
 		r->worker.draining = w->workers[from->worker].draining;
 		r->worker.labels = xcalloc(1, sizeof(bstr));
 		r->worker.labels[0] = bstr_printf("r%d", from->worker / 2);
