--- a/reduce-call.c
+++ b/reduce-call.c
@@ -394,7 +394,7 @@
 	if (soft && bstr_eq(vm, st->vm))
 		call_at_home(st, BSTR_NONE, call, &full, t->name, NULL,
 			     call_deadline(st, rq));
-	else if (!soft && unit_acts(st, u) && u->shard)
+	else if (!soft && unit_is_active(st, u) && u->shard)
 		call_at_home(st, BSTR_NONE, call, &full, t->name, u->shard,
 			     call_deadline(st, rq));
 	else
@@ -436,7 +436,7 @@
 	if (soft)
 		bstr_free(&vm);
 	u = soft ? NULL : unit_of_shard(st, m->shard);
-	if (soft || (unit_acts(st, u) && u->shard))
+	if (soft || (unit_is_active(st, u) && u->shard))
 		call_at_home(st, from, m->call, &m->request, m->team,
 			     u ? u->shard : NULL, st->now + m->budget_ms);
 	else
--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -420,7 +420,7 @@
 	if (!t)
 		t = task_adopt(st, c, w, r);
 	if (r->state != TASK_RUNNING)
-		worker_lay(w, r->task);
+		worker_confirm_ended(w, r->task);
 	if (t && t->worker == w && bstr_eq(t->id, r->task)) {
 		if (t->phase != TASK_ENDED)
 			task_take(st, c, t, r);
@@ -429,7 +429,7 @@
 	if (r->state != TASK_RUNNING) {
 		worker_order(st, w, r->task, TASK_FORGET);
 	} else if (t) {
-		worker_haunt_id(w, r->task, t->team);
+		worker_add_unconfirmed(w, r->task, t->team);
 		worker_order(st, w, r->task, TASK_STOP);
 	}
 }
@@ -495,7 +495,7 @@
 	struct cell_team *team;
 	struct task *t;
 
-	if (!unit_acts(st, u) || st->stopping) {
+	if (!unit_is_active(st, u) || st->stopping) {
 		cell_disown(st, from, PM_DISPATCH, &m->cell, m->job,
 			    m->attempt);
 		return;
@@ -564,7 +564,7 @@
 	struct unit *u = unit_of_cell(st, &m->cell);
 	struct task *t;
 
-	if (!unit_acts(st, u)) {
+	if (!unit_is_active(st, u)) {
 		cell_disown(st, from, PM_QUERY, &m->cell, m->job, m->attempt);
 		return;
 	}
@@ -581,7 +581,7 @@
 	struct unit *u = unit_of_cell(st, &m->cell);
 	struct task *t;
 
-	if (!unit_acts(st, u)) {
+	if (!unit_is_active(st, u)) {
 		cell_disown(st, from, PM_CANCEL, &m->cell, m->job, m->attempt);
 		return;
 	}
@@ -682,9 +682,9 @@
 		if (!u->cell || u->state != UNIT_OWNED)
 			continue;
 		workers_tick(st, u->cell);
-		if (unit_acts(st, u))
+		if (unit_is_active(st, u))
 			boots_tick(st, u->cell);
-		if (unit_acts(st, u)) {
+		if (unit_is_active(st, u)) {
 			cell_expire(st, u->cell);
 			limits_tick(st, u->cell);
 			u->cell->dirty = true;
@@ -707,7 +707,7 @@
 	struct unit *u, *next;
 
 	HASH_ITER(hh, st->units, u, next) {
-		if (!u->cell || !u->cell->dirty || !unit_acts(st, u))
+		if (!u->cell || !u->cell->dirty || !unit_is_active(st, u))
 			continue;
 		u->cell->dirty = false;
 		if (st->stopping)
--- a/reduce-claim.c
+++ b/reduce-claim.c
@@ -277,7 +277,7 @@
 }
 
 /* Is nothing waiting to become durable? */
-bool shard_quiet(const struct shard *s)
+bool shard_is_flushed(const struct shard *s)
 {
 	return !s->commit && TAILQ_EMPTY(&s->pending) && !s->trimming;
 }
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -75,7 +75,7 @@
 static void job_uncount(struct job *j)
 {
 	if (j->counted)
-		j->counted->sent--;
+		j->counted->sent_jobs--;
 	j->counted = NULL;
 }
 
@@ -246,7 +246,7 @@
 
 	if (!u)
 		return BSTR_NONE;
-	if (unit_acts(st, u) && !st->stopping)
+	if (unit_is_active(st, u) && !st->stopping)
 		return st->vm;
 	owner = unit_choose(st, u);
 	if (!owner.bstr_len || bstr_eq(owner, st->vm))
@@ -266,14 +266,14 @@
 	unsigned slots;
 
 	HASH_ITER(hh, st->units, u, next) {
-		if (u->kind != UNIT_CELL || !u->wanted ||
+		if (u->kind != UNIT_CELL || !u->configured ||
 		    !bstr_eq(u->id.pool, spec->pool) ||
 		    !cell_owner(st, &u->id).bstr_len)
 			continue;
 		slots = cell_slots(st, &u->id);
 		if (!slots)
 			continue;
-		load = (u->sent + 1.0) / slots;
+		load = (u->sent_jobs + 1.0) / slots;
 		if (bstr_eq(u->id.dc, st->dc))
 			load *= 0.9;
 		if (!best || load < least) {
@@ -299,7 +299,7 @@
 	}
 	if (!j->counted) {
 		j->counted = u;
-		u->sent++;
+		u->sent_jobs++;
 	}
 	j->phase = PHASE_SENT;
 	j->sent_at = st->now;
@@ -417,7 +417,7 @@
 	 * A claim whose answer came only after our lease ended may have been
 	 * read by a new owner, who dispatches it: it must not be sent twice.
 	 */
-	if (!unit_acts(st, j->shard->unit) || !lease_valid(st)) {
+	if (!unit_is_active(st, j->shard->unit) || !lease_valid(st)) {
 		j->phase = PHASE_SENT;
 		j->sent_at = st->now;
 		j->check_at = st->now + CHECK_AGAIN_MS;
@@ -564,7 +564,7 @@
 		bstr_free(&vm);
 		return true;
 	}
-	if (!lease_valid(st) || !unit_acts(st, u) || !u->shard)
+	if (!lease_valid(st) || !unit_is_active(st, u) || !u->shard)
 		return false;
 	return !j || j->phase == PHASE_FINAL ||
 	       (m->attempt < j->attempt && j->phase != PHASE_CLAIMING);
@@ -657,7 +657,8 @@
  */
 static bool job_acts(const struct state *st, const struct job *j)
 {
-	return !j->shard || (unit_acts(st, j->shard->unit) && lease_valid(st));
+	return !j->shard ||
+	       (unit_is_active(st, j->shard->unit) && lease_valid(st));
 }
 
 /* What is due for one open job. */
--- a/reduce-limit.c
+++ b/reduce-limit.c
@@ -18,7 +18,7 @@
 /* What a team uses of what the cell holds. */
 uint32_t team_used(const struct cell_team *t)
 {
-	return t->running + t->ghosts;
+	return t->running + t->unconfirmed;
 }
 
 /* The key of a team's row. */
@@ -312,7 +312,7 @@
 	struct unit *u = unit_of_cell(st, &m->cell);
 	struct cell_team *t;
 
-	if (!unit_acts(st, u) || !u->cell)
+	if (!unit_is_active(st, u) || !u->cell)
 		return;
 	/* A hold left by an earlier owner is known only from the row. */
 	t = cell_team_get(st, u->cell, m->team);
--- a/reduce-member.c
+++ b/reduce-member.c
@@ -138,7 +138,7 @@
  * lease, while the others know better and hand its units over to the one that
  * joined.  They would have no owner meanwhile.
  */
-bool unit_is_heir(struct state *st, const struct unit *u)
+bool unit_is_fallback_owner(struct state *st, const struct unit *u)
 {
 	uint64_t bound = UINT64_MAX;
 
@@ -190,7 +190,7 @@
 		effect_add(st, FX_EXIT);
 		return;
 	}
-	units_suspect(st);
+	units_mark_unverified(st);
 	st->member_revision = r ? r->revision : 0;
 	st->renew_at = st->now;
 }
@@ -217,7 +217,7 @@
 						: st->member_revision + 1;
 	/* A lapse, however short, may have let others take over. */
 	if (!lease_valid(st))
-		units_suspect(st);
+		units_mark_unverified(st);
 	if (until > st->lease_until)
 		st->lease_until = until;
 }
--- a/reduce-op.c
+++ b/reduce-op.c
@@ -373,7 +373,8 @@
 		json_set_str(o, "unit", u->name);
 		json_set_str(o, "owner", st->vm);
 		json_set_int(o, "epoch", u->epoch);
-		json_object_set_new(o, "acts", json_boolean(unit_acts(st, u)));
+		json_object_set_new(o, "acts",
+				    json_boolean(unit_is_active(st, u)));
 		if (u->cell) {
 			json_set_int(o, "running", u->cell->running);
 			json_set_int(o, "queued", u->cell->queued);
--- a/reduce-own.c
+++ b/reduce-own.c
@@ -38,10 +38,10 @@
 }
 
 /* May this VM decide for the unit now? */
-bool unit_acts(const struct state *st, const struct unit *u)
+bool unit_is_active(const struct state *st, const struct unit *u)
 {
 	(void)st;
-	return u && u->state == UNIT_OWNED && !u->suspect;
+	return u && u->state == UNIT_OWNED && !u->unverified;
 }
 
 /* Make a unit, idle; takes name. */
@@ -51,7 +51,7 @@
 
 	u->kind = kind;
 	u->name = name;
-	u->loose = true;
+	u->row_unread = true;
 	HASH_ADD_BSTR(st->units, name, u);
 	return u;
 }
@@ -78,7 +78,7 @@
 		bstr_free(&u->name);
 		bstr_free(&u->id.pool);
 		bstr_free(&u->id.dc);
-		bstr_free(&u->stranger);
+		bstr_free(&u->unknown_owner);
 		free(u);
 	}
 }
@@ -94,21 +94,21 @@
 	}
 	unit_free_body(st, u);
 	u->state = UNIT_IDLE;
-	u->loose = true;
-	u->suspect = false;
-	u->checking = false;
+	u->row_unread = true;
+	u->unverified = false;
+	u->verifying = false;
 	u->unwanted_at = 0;
 	u->retry_at = st->now + UNIT_RETRY_MS +
 		      (int64_t)state_random(st, UNIT_RETRY_MS);
 }
 
 /* What is owned may have been taken over: ask before acting again. */
-void units_suspect(struct state *st)
+void units_mark_unverified(struct state *st)
 {
 	struct unit *u, *next;
 
 	HASH_ITER(hh, st->units, u, next)
-		u->suspect = u->state != UNIT_IDLE;
+		u->unverified = u->state != UNIT_IDLE;
 }
 
 /* Read a unit's row. */
@@ -162,9 +162,9 @@
 	/* One that is leaving hands over itself, until its lease ends. */
 	if (m)
 		return m->gone;
-	if (bstr_eq(u->stranger, owner))
+	if (bstr_eq(u->unknown_owner, owner))
 		return true;
-	bstr_set(&u->stranger, owner);
+	bstr_set(&u->unknown_owner, owner);
 	u->retry_at = st->now + 2 * (int64_t)st->member_renew_ms;
 	return false;
 }
@@ -173,10 +173,10 @@
 static void unit_checked(struct state *st, struct unit *u, const table_row *r,
 			 const unit_row *row)
 {
-	u->checking = false;
+	u->verifying = false;
 	if (r->revision && bstr_eq(row->owner, st->vm) &&
 	    row->epoch == u->epoch)
-		u->suspect = false;
+		u->unverified = false;
 	else
 		unit_drop(st, u, "taken over while this VM was away");
 }
@@ -188,9 +188,9 @@
  */
 static void unit_found(struct state *st, struct unit *u, bstr owner)
 {
-	u->loose = false;
+	u->row_unread = false;
 	if (bstr_eq(unit_choose(st, u), st->vm) ||
-	    (!owner.bstr_len && unit_is_heir(st, u))) {
+	    (!owner.bstr_len && unit_is_fallback_owner(st, u))) {
 		if (!unit_owner_gone(st, u, owner))
 			return;
 		u->state = UNIT_CLAIMING;
@@ -214,7 +214,7 @@
 	if (ev->outcome != PLATFORM_OK || !r ||
 	    (r->revision && !xdr_decode(XDR_PROC(xdr_unit_row), r->value, &row,
 					sizeof(row)))) {
-		u->checking = false;
+		u->verifying = false;
 		if (u->state == UNIT_READING)
 			unit_drop(st, u, "its row could not be read");
 		return;
@@ -225,7 +225,7 @@
 		u->state = UNIT_IDLE;
 		u->retry_at = st->now + UNIT_RETRY_MS;
 		unit_found(st, u, row.owner);
-	} else if (u->checking) {
+	} else if (u->verifying) {
 		unit_checked(st, u, r, &row);
 	}
 	xdr_free(XDR_PROC(xdr_unit_row), (char *)&row);
@@ -236,7 +236,7 @@
 {
 	u->state = UNIT_OWNED;
 	/* The claim may have taken longer than our lease lasted. */
-	u->suspect = !lease_valid(st);
+	u->unverified = !lease_valid(st);
 	effect_log(st, LOG_OWNED, "%.*s epoch %llu", BSTR_ARG(u->name),
 		   (unsigned long long)u->epoch);
 	effect_count(st, COUNT_TAKEOVERS, 1);
@@ -255,7 +255,7 @@
 	}
 	u->revision = row_version(ev, u->name);
 	u->epoch++;
-	bstr_free(&u->stranger);
+	bstr_free(&u->unknown_owner);
 	if (u->kind == UNIT_CELL) {
 		unit_loaded(st, u);
 		cell_start(st, u);
@@ -282,7 +282,7 @@
  */
 static void unit_release(struct state *st, struct unit *u)
 {
-	if (u->shard && !shard_quiet(u->shard))
+	if (u->shard && !shard_is_flushed(u->shard))
 		return;
 	u->state = UNIT_RELEASING;
 	unit_write(st, u, REQ_UNIT_RELEASE, st->vm, BSTR_NONE, u->epoch);
@@ -293,10 +293,11 @@
 {
 	bstr best;
 
-	if (!u->wanted || st->stopping)
+	if (!u->configured || st->stopping)
 		return true;
 	best = unit_choose(st, u);
-	if (!best.bstr_len || bstr_eq(best, st->vm) || unit_is_heir(st, u)) {
+	if (!best.bstr_len || bstr_eq(best, st->vm) ||
+	    unit_is_fallback_owner(st, u)) {
 		u->unwanted_at = 0;
 		return false;
 	}
@@ -310,10 +311,10 @@
 {
 	switch (u->state) {
 	case UNIT_IDLE:
-		if (!u->wanted || !lease_valid(st) || !st->scanned_at ||
+		if (!u->configured || !lease_valid(st) || !st->scanned_at ||
 		    st->stopping || st->now < u->retry_at ||
-		    (!u->loose && !bstr_eq(unit_choose(st, u), st->vm) &&
-		     !unit_is_heir(st, u)))
+		    (!u->row_unread && !bstr_eq(unit_choose(st, u), st->vm) &&
+		     !unit_is_fallback_owner(st, u)))
 			return;
 		u->state = UNIT_READING;
 		unit_ask(st, u);
@@ -321,10 +322,10 @@
 	case UNIT_OWNED:
 		if (!lease_valid(st))
 			return;
-		if (u->suspect) {
-			if (!u->checking)
+		if (u->unverified) {
+			if (!u->verifying)
 				unit_ask(st, u);
-			u->checking = true;
+			u->verifying = true;
 		} else if (unit_unwanted(st, u)) {
 			unit_release(st, u);
 		}
@@ -347,13 +348,13 @@
 	size_t d;
 
 	HASH_ITER(hh, st->units, u, un)
-		u->wanted = u->kind == UNIT_SHARD;
+		u->configured = u->kind == UNIT_SHARD;
 	for (i = 0; i < SHARD_COUNT; i++) {
 		if (unit_of_shard(st, i))
 			continue;
 		u = unit_new(st, UNIT_SHARD, bstr_printf("shard/%u", i));
 		u->index = i;
-		u->wanted = true;
+		u->configured = true;
 	}
 	HASH_ITER(hh, st->config->pools, p, pn) {
 		for (d = 0; d < p->dc_count; d++) {
@@ -368,7 +369,7 @@
 				u->id.pool = bstr_copy(id.pool);
 				u->id.dc = bstr_copy(id.dc);
 			}
-			u->wanted = true;
+			u->configured = true;
 		}
 	}
 }
--- a/reduce-queue.c
+++ b/reduce-queue.c
@@ -192,7 +192,7 @@
 	if (!boot_recorded(w))
 		return false;
 	r = &v->row;
-	if (w->used + w->ghost_count >= r->slots + !!left)
+	if (w->used + w->unconfirmed_count >= r->slots + !!left)
 		return false;
 	if (r->cpu_milli &&
 	    w->cpu_used + t->spec.cpu_milli > r->cpu_milli + free_of->cpu_milli)
@@ -502,8 +502,8 @@
 		if (!v || !worker_usable(st, w))
 			continue;
 		++*usable;
-		if (w->used + w->ghost_count < v->row.slots)
-			room += v->row.slots - w->used - w->ghost_count;
+		if (w->used + w->unconfirmed_count < v->row.slots)
+			room += v->row.slots - w->used - w->unconfirmed_count;
 	}
 	return room;
 }
--- a/reduce-worker.c
+++ b/reduce-worker.c
@@ -25,17 +25,17 @@
 	w->renewed_at = st->now;
 	TAILQ_INIT(&w->orders);
 	TAILQ_INIT(&w->tasks);
-	TAILQ_INIT(&w->ghosts);
+	TAILQ_INIT(&w->unconfirmed);
 	HASH_ADD_BSTR(c->workers, vm, w);
 	return w;
 }
 
 /* A start on a worker is no longer in question. */
-static void ghost_free(struct worker *w, struct ghost *g)
+static void ghost_free(struct worker *w, struct unconfirmed_start *g)
 {
-	TAILQ_REMOVE(&w->ghosts, g, entry);
-	w->ghost_count--;
-	g->team->ghosts--;
+	TAILQ_REMOVE(&w->unconfirmed, g, entry);
+	w->unconfirmed_count--;
+	g->team->unconfirmed--;
 	bstr_free(&g->task);
 	free(g);
 }
@@ -43,10 +43,10 @@
 /* Forget a worker; its tasks must be gone. */
 void worker_free(struct cell *c, struct worker *w)
 {
-	struct ghost *g;
+	struct unconfirmed_start *g;
 	struct order *o;
 
-	while ((g = TAILQ_FIRST(&w->ghosts)))
+	while ((g = TAILQ_FIRST(&w->unconfirmed)))
 		ghost_free(w, g);
 	while ((o = TAILQ_FIRST(&w->orders))) {
 		TAILQ_REMOVE(&w->orders, o, entry);
@@ -61,11 +61,11 @@
 }
 
 /* A worker's word has settled a start. */
-void worker_lay(struct worker *w, bstr task)
+void worker_confirm_ended(struct worker *w, bstr task)
 {
-	struct ghost *g;
+	struct unconfirmed_start *g;
 
-	TAILQ_FOREACH(g, &w->ghosts, entry) {
+	TAILQ_FOREACH(g, &w->unconfirmed, entry) {
 		if (!bstr_eq(g->task, task))
 			continue;
 		ghost_free(w, g);
@@ -74,19 +74,19 @@
 }
 
 /* A start may still run on a worker: count it until the worker answers. */
-void worker_haunt_id(struct worker *w, bstr task, struct cell_team *team)
+void worker_add_unconfirmed(struct worker *w, bstr task, struct cell_team *team)
 {
-	struct ghost *g;
+	struct unconfirmed_start *g;
 
-	TAILQ_FOREACH(g, &w->ghosts, entry)
+	TAILQ_FOREACH(g, &w->unconfirmed, entry)
 		if (bstr_eq(g->task, task))
 			return;
 	g = xcalloc(1, sizeof(*g));
 	g->task = bstr_copy(task);
 	g->team = team;
-	team->ghosts++;
-	w->ghost_count++;
-	TAILQ_INSERT_TAIL(&w->ghosts, g, entry);
+	team->unconfirmed++;
+	w->unconfirmed_count++;
+	TAILQ_INSERT_TAIL(&w->unconfirmed, g, entry);
 }
 
 /* Give an order about a task with the next command. */
@@ -169,7 +169,7 @@
 static bool worker_wanted(const struct worker *w)
 {
 	return w->listed || !TAILQ_EMPTY(&w->tasks) ||
-	       !TAILQ_EMPTY(&w->ghosts) || !TAILQ_EMPTY(&w->orders);
+	       !TAILQ_EMPTY(&w->unconfirmed) || !TAILQ_EMPTY(&w->orders);
 }
 
 /* Ask a worker to tell what changes; of a silent one, all it has. */
@@ -324,7 +324,7 @@
 		}
 		/* A start on its way may yet arrive, or be in the new boot. */
 		if (haunted || t->phase == TASK_STARTING)
-			worker_haunt_id(w, t->id, t->team);
+			worker_add_unconfirmed(w, t->id, t->team);
 		task_lost(st, w->cell, t);
 	}
 }
@@ -354,7 +354,7 @@
 {
 	struct task *t, *next;
 	bool settled = true;
-	struct ghost *g;
+	struct unconfirmed_start *g;
 	u_int i;
 
 	TAILQ_FOREACH(t, &w->tasks, on)
@@ -366,9 +366,9 @@
 	}
 	/*
 	 * A frozen worker may hold an unread start.  A tombstone settles it:
-	 * its report, whatever it says, lays the ghost.
+	 * its report, whatever it says, lays the unconfirmed_start.
 	 */
-	TAILQ_FOREACH(g, &w->ghosts, entry)
+	TAILQ_FOREACH(g, &w->unconfirmed, entry)
 		worker_order(st, w, g->task, TASK_STOP);
 	for (t = TAILQ_FIRST(&w->tasks); t; t = next) {
 		next = TAILQ_NEXT(t, on);
@@ -445,7 +445,7 @@
 		   BSTR_ARG(w->vm), (unsigned long long)ev->epoch,
 		   (unsigned long long)w->cell->unit->epoch);
 	effect_count(st, COUNT_DROPPED_STALE_EPOCH, 1);
-	w->cell->unit->suspect = true;
+	w->cell->unit->unverified = true;
 	w->watch_at = st->now + WATCH_BACKOFF_MS;
 }
 
@@ -598,7 +598,7 @@
 		return NULL;
 	id = (cell_id){v->row.pool, v->row.dc};
 	u = unit_of_cell(st, &id);
-	if (!u || !u->cell || !unit_acts(st, u))
+	if (!u || !u->cell || !unit_is_active(st, u))
 		return NULL;
 	HASH_FIND_BSTR(u->cell->workers, vm, w);
 	return w;
@@ -636,7 +636,7 @@
 {
 	const struct task *t;
 
-	if (!w->fenced || w->silent || w->used || !TAILQ_EMPTY(&w->ghosts))
+	if (!w->fenced || w->silent || w->used || !TAILQ_EMPTY(&w->unconfirmed))
 		return false;
 	TAILQ_FOREACH(t, &w->tasks, on)
 		if (!task_orphaned(st, t))
@@ -742,13 +742,13 @@
 		worker_check_lost(st, w);
 		if (w->lost && !w->dead && vm_absent(st, w->vm)) {
 			w->dead = true;
-			while (TAILQ_FIRST(&w->ghosts))
-				ghost_free(w, TAILQ_FIRST(&w->ghosts));
+			while (TAILQ_FIRST(&w->unconfirmed))
+				ghost_free(w, TAILQ_FIRST(&w->unconfirmed));
 		}
 		if (!w->watch && st->now >= w->watch_at && worker_wanted(w))
 			worker_watch(st, w);
 		worker_set_aside(st, w);
-		if (unit_acts(st, c->unit)) {
+		if (unit_is_active(st, c->unit)) {
 			worker_note_state(st, w);
 			worker_drain(st, w);
 			worker_reboot(st, w);
--- a/reduce.c
+++ b/reduce.c
@@ -273,7 +273,7 @@
 		effect_log(st, LOG_PAUSED, "no event for %lld ms",
 			   (long long)gap);
 		effect_count(st, COUNT_PAUSES, 1);
-		units_suspect(st);
+		units_mark_unverified(st);
 		members_paused(st);
 		jobs_paused(st);
 	}
--- a/reduce.h
+++ b/reduce.h
@@ -153,12 +153,12 @@
 	uint64_t epoch;
 	int64_t retry_at;
 	int64_t unwanted_at; /* since when another should own it, or 0 */
-	bool loose;	     /* not ours, but its row may name us */
-	bool suspect;	     /* lease lapsed: read the row again first */
-	bool checking;	     /* that read is under way */
-	bstr stranger;	     /* an owner that is not a member, seen once */
-	unsigned sent;	     /* jobs of this home that the cell has */
-	bool wanted;	     /* in the configuration */
+	bool row_unread;     /* not ours, but its row may name us */
+	bool unverified;     /* lease lapsed: read the row again first */
+	bool verifying;	     /* that read is under way */
+	bstr unknown_owner;  /* an owner that is not a member, seen once */
+	unsigned sent_jobs;  /* jobs of this home that the cell has */
+	bool configured;     /* in the configuration */
 	struct cell *cell;
 	struct shard *shard;
 	UT_hash_handle hh;
@@ -290,12 +290,12 @@
  * may still run there, so it counts against the team's upper limit until
  * the worker has answered.
  */
-struct ghost {
-	TAILQ_ENTRY(ghost) entry;
+struct unconfirmed_start {
+	TAILQ_ENTRY(unconfirmed_start) entry;
 	bstr task;
 	struct cell_team *team;
 };
-TAILQ_HEAD(ghost_list, ghost);
+TAILQ_HEAD(unconfirmed_list, unconfirmed_start);
 
 /* A team in a cell: its queue and what it may run here. */
 struct cell_team {
@@ -303,7 +303,7 @@
 	struct task_list queue[CLASS_MAX];
 	unsigned queued;
 	unsigned running; /* started and not known to have ended */
-	unsigned ghosts;
+	unsigned unconfirmed;
 	uint32_t held;	  /* of the team's upper limit, in this cell */
 	bool loaded;	  /* held is known */
 	bool stale;	  /* the row must be read before it is written */
@@ -367,8 +367,8 @@
 	uint32_t accelerators_used;
 	struct order_list orders;
 	struct task_list tasks;
-	struct ghost_list ghosts;
-	unsigned ghost_count;
+	struct unconfirmed_list unconfirmed;
+	unsigned unconfirmed_count;
 	UT_hash_handle hh;
 };
 
@@ -679,7 +679,7 @@
 bool lease_valid(const struct state *st);
 /* The VM that should own a unit; empty if nobody can. */
 bstr unit_choose(struct state *st, const struct unit *u);
-bool unit_is_heir(struct state *st, const struct unit *u);
+bool unit_is_fallback_owner(struct state *st, const struct unit *u);
 bstr unit_choose_next(struct state *st, const struct unit *u, unsigned skipped);
 void peer_send(struct state *st, bstr to, const peer_message *m);
 
@@ -708,11 +708,11 @@
 void unit_released(struct state *st, struct request *rq, const ev_platform *ev);
 void unit_loaded(struct state *st, struct unit *u);
 void unit_drop(struct state *st, struct unit *u, const char *why);
-void units_suspect(struct state *st);
+void units_mark_unverified(struct state *st);
 struct unit *unit_find(struct state *st, bstr name);
 struct unit *unit_of_cell(struct state *st, const cell_id *id);
 struct unit *unit_of_shard(struct state *st, uint32_t index);
-bool unit_acts(const struct state *st, const struct unit *u);
+bool unit_is_active(const struct state *st, const struct unit *u);
 void units_free(struct state *st);
 
 /* reduce-claim.c: a shard's journal. */
@@ -725,7 +725,7 @@
 void shards_tick(struct state *st);
 /* Take a claim back that has certainly not been written. */
 bool shard_withdraw(struct state *st, struct shard *s, bstr job);
-bool shard_quiet(const struct shard *s);
+bool shard_is_flushed(const struct shard *s);
 void shard_free(struct state *st, struct shard *s);
 
 /* reduce-call.c: callers' requests, here and forwarded. */
@@ -819,10 +819,11 @@
 		  task_verb verb);
 bool worker_usable(const struct state *st, const struct worker *w);
 void worker_free(struct cell *c, struct worker *w);
-void worker_lay(struct worker *w, bstr task);
+void worker_confirm_ended(struct worker *w, bstr task);
 bool worker_is_empty(struct state *st, bstr vm); /* and ours to decide */
 void worker_noted(struct state *st, bstr vm, bool failed);
-void worker_haunt_id(struct worker *w, bstr task, struct cell_team *team);
+void worker_add_unconfirmed(struct worker *w, bstr task,
+			    struct cell_team *team);
 
 /* reduce-boot.c: whether workers remember. */
 void boots_tick(struct state *st, struct cell *c);
