--- a/reduce-call.c
+++ b/reduce-call.c
@@ -323,7 +323,7 @@
 		v = &a.jobs.jobs_val[a.jobs.jobs_len++];
 		xdr_copy(XDR_PROC(xdr_job_view), v, &j->view, sizeof(job_view));
 		/* "Not run" is not said before it is durable. */
-		if (v->state == JOB_NOT_RUN && !job_settled(j))
+		if (v->state == JOB_NOT_RUN && !job_final_ready(j))
 			v->state = JOB_QUEUED;
 	}
 	answer_send(st, vm, call, &a);
@@ -583,7 +583,7 @@
  * A job's home moves away under a waiter.  One of another VM is told to look
  * for the new owner; one of this VM becomes a forwarded request itself.
  */
-void call_follow(struct state *st, struct job *j, struct waiter *w)
+void call_redirect(struct state *st, struct job *j, struct waiter *w)
 {
 	caller_request rq = {.body.kind = CALL_GET};
 	int64_t left = w->deadline - st->now;
--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -69,7 +69,7 @@
  * settled which of them have forgotten what they ran?  Only then can "no
  * trace" be proof that nothing was started.
  */
-bool cell_adopted(struct state *st, struct cell *c)
+bool cell_state_known(struct state *st, struct cell *c)
 {
 	struct worker *w, *next;
 
@@ -86,7 +86,7 @@
 void task_place(struct cell *c, struct task *t, struct worker *w)
 {
 	t->worker = w;
-	TAILQ_INSERT_TAIL(&w->tasks, t, on);
+	TAILQ_INSERT_TAIL(&w->tasks, t, worker_entry);
 	w->used++;
 	w->cpu_used += t->spec.cpu_milli;
 	w->memory_used += t->spec.memory_mb;
@@ -123,12 +123,12 @@
 	if (t->phase == TASK_ENDED)
 		TAILQ_REMOVE(&c->ended, t, entry);
 	if (t->worker)
-		TAILQ_REMOVE(&t->worker->tasks, t, on);
+		TAILQ_REMOVE(&t->worker->tasks, t, worker_entry);
 	HASH_DEL(c->tasks, t);
 	bstr_free(&t->job);
 	bstr_free(&t->id);
 	bstr_free(&t->checkpoint);
-	bstr_free(&t->avoid);
+	bstr_free(&t->avoid_vm);
 	xdr_free(XDR_PROC(xdr_job_spec), (char *)&t->spec);
 	xdr_free(XDR_PROC(xdr_job_view), (char *)&t->view);
 	free(t);
@@ -160,10 +160,10 @@
 	m->serial = serial;
 	m->known = TRUE;
 	m->final = t->phase == TASK_ENDED;
-	m->started = t->started;
+	m->started = t->may_have_started;
 	m->view = t->view;
 	if (t->phase == TASK_QUEUED) {
-		m->view.reason = bstr_lit(task_gate(st, c, t, &detail));
+		m->view.reason = bstr_lit(task_hold_reason(st, c, t, &detail));
 		m->view.detail = detail;
 		m->view.queued_ms = (uint32_t)(st->now - t->queued_at);
 	}
@@ -205,17 +205,18 @@
 {
 	task_leave(c, t);
 	if (t->worker)
-		TAILQ_REMOVE(&t->worker->tasks, t, on);
+		TAILQ_REMOVE(&t->worker->tasks, t, worker_entry);
 	t->worker = NULL;
 	t->unsent = false;
-	t->moving = false;
+	t->checkpoint_requested = false;
 	t->phase = TASK_QUEUED;
 	t->view.state = JOB_QUEUED;
 	queue_add(st, c, t);
 	if (t->stopping)
-		task_end(st, c, t, t->started ? JOB_FAILED : JOB_NOT_RUN,
+		task_end(st, c, t,
+			 t->may_have_started ? JOB_FAILED : JOB_NOT_RUN,
 			 "cancelled", "cancelled while it was not running");
-	else if (st->now >= t->deadline && !t->started)
+	else if (st->now >= t->deadline && !t->may_have_started)
 		task_end(st, c, t, JOB_NOT_RUN, "deadline",
 			 "its deadline passed before it was started");
 }
@@ -292,7 +293,7 @@
 	t->attempt = attempt;
 	t->start = start;
 	t->adopted = true;
-	t->started = true;
+	t->may_have_started = true;
 	t->phase = TASK_ON_WORKER;
 	t->queued_at = t->started_at = st->now;
 	t->deadline = INT64_MAX;
@@ -347,7 +348,7 @@
 	t->worker->failures++;
 	if (t->worker->failures >= WORKER_SUSPECT_FAILURES && !t->adopted &&
 	    t->spec.may_repeat && ++t->tries < st->attempts) {
-		bstr_set(&t->avoid, t->worker->vm);
+		bstr_set(&t->avoid_vm, t->worker->vm);
 		task_requeue(st, c, t);
 		return;
 	}
@@ -377,7 +378,7 @@
 	case TASK_DONE:
 		t->worker->failures = 0;
 		bstr_set(&t->view.result, r->result);
-		run_time_learn(st, t, r->ran_ms);
+		run_time_observe(st, t, r->ran_ms);
 		task_end(st, c, t, JOB_DONE, "", "");
 		return;
 	case TASK_FAILED:
@@ -391,7 +392,7 @@
 			return;
 		}
 		effect_count(st, COUNT_RETRY_TASK_REFUSED, 1);
-		t->started = t->was_started;
+		t->may_have_started = t->may_have_started_before;
 		task_requeue(st, c, t);
 		return;
 	case TASK_STOPPED:
@@ -406,8 +407,8 @@
  * A worker's word on one task.  A start that we have replaced meanwhile is
  * stopped if it runs, and forgotten once it has ended.
  */
-void task_report_take(struct state *st, struct cell *c, struct worker *w,
-		      const task_report *r)
+void task_report_handle(struct state *st, struct cell *c, struct worker *w,
+			const task_report *r)
 {
 	bstr job = r->task;
 	struct task *t;
@@ -542,7 +543,7 @@
 	u->serial = m->serial;
 	u->view.state = JOB_UNKNOWN;
 	u->known = TRUE;
-	if (!cell_adopted(st, c)) {
+	if (!cell_state_known(st, c)) {
 		u->view.reason = bstr_lit("owner-taking-over");
 		u->view.detail = bstr_lit("the cell's new owner has not yet "
 					  "heard every worker");
@@ -593,7 +594,8 @@
 	if (t->attempt != m->attempt)
 		return;
 	if (t->phase == TASK_QUEUED) {
-		task_end(st, u->cell, t, t->started ? JOB_FAILED : JOB_NOT_RUN,
+		task_end(st, u->cell, t,
+			 t->may_have_started ? JOB_FAILED : JOB_NOT_RUN,
 			 "cancelled", "cancelled while it was queued");
 		return;
 	}
@@ -663,7 +665,8 @@
 		for (i = 0; i < CLASS_MAX; i++) {
 			for (t = TAILQ_FIRST(&team->queue[i]); t; t = next) {
 				next = TAILQ_NEXT(t, entry);
-				if (st->now < t->deadline || t->started)
+				if (st->now < t->deadline ||
+				    t->may_have_started)
 					continue;
 				task_end(st, c, t, JOB_NOT_RUN, "deadline",
 					 "its deadline passed in the queue");
--- a/reduce-home.c
+++ b/reduce-home.c
@@ -6,14 +6,14 @@
 {
 	struct job *j = job_find(st, c->job);
 
-	if (j && job_over(j))
+	if (j && job_is_final(j))
 		return NULL;
 	if (!j)
 		j = job_new(st, c->job, &c->spec, s);
 	bstr_set(&j->digest, c->digest);
 	job_set_cell(j, &c->cell);
 	j->attempt = c->attempt;
-	j->ran = j->attempt > 1; /* as far as the journal tells */
+	j->may_have_run = j->attempt > 1; /* as far as the journal tells */
 	return j;
 }
 
@@ -22,11 +22,11 @@
 {
 	struct job *j = job_find(st, m->job);
 
-	if (!j || job_over(j))
+	if (!j || job_is_final(j))
 		return;
 	job_set_cell(j, &m->cell);
 	j->attempt = m->attempt;
-	j->ran = j->attempt > 1;
+	j->may_have_run = j->attempt > 1;
 }
 
 /* A final answer; NULL: there is one already. */
@@ -39,7 +39,7 @@
 
 	if (!j)
 		j = job_new(st, v->job, &bare, s);
-	if (job_over(j))
+	if (job_is_final(j))
 		return NULL;
 	xdr_free(XDR_PROC(xdr_job_view), (char *)&j->view);
 	xdr_copy(XDR_PROC(xdr_job_view), &j->view, v, sizeof(*v));
@@ -81,7 +81,8 @@
 			continue;
 		j->sent_at = st->now;
 		j->check_at = st->now;
-		j->phase = j->cell.pool.bstr_len ? PHASE_SENT : PHASE_PARKED;
+		j->phase = j->cell.pool.bstr_len ? PHASE_DISPATCHED
+						 : PHASE_UNDISPATCHED;
 	}
 }
 
@@ -100,7 +101,7 @@
 			continue;
 		while (st->out && (w = TAILQ_FIRST(&j->waiters))) {
 			if (j->phase != PHASE_CLAIMING)
-				call_follow(st, j, w);
+				call_redirect(st, j, w);
 			else
 				answer_refuse(
 					st, w->vm, w->call, 503,
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -74,9 +74,9 @@
 /* The cell no longer counts the job as sent to it. */
 static void job_uncount(struct job *j)
 {
-	if (j->counted)
-		j->counted->sent_jobs--;
-	j->counted = NULL;
+	if (j->counted_by)
+		j->counted_by->sent_jobs--;
+	j->counted_by = NULL;
 }
 
 /* Forget a job. */
@@ -103,7 +103,7 @@
 }
 
 /* Is the answer the last one? */
-bool job_over(const struct job *j)
+bool job_is_final(const struct job *j)
 {
 	return j->phase == PHASE_ENDING || j->phase == PHASE_FINAL;
 }
@@ -114,7 +114,7 @@
  * all the same, its successor would find no trace of the job in a cell that
  * has changed hands too, and run it.
  */
-bool job_settled(const struct job *j)
+bool job_final_ready(const struct job *j)
 {
 	return j->phase == PHASE_FINAL ||
 	       (j->phase == PHASE_ENDING &&
@@ -167,7 +167,7 @@
 	TAILQ_INSERT_TAIL(&st->finished, j, entry);
 	st->finished_count++;
 	job_answer_due(st, j);
-	op_job_known(st, j);
+	op_why_job_answer(st, j);
 	if (j->sent_to.bstr_len)
 		job_ack(st, j->sent_to, &m);
 }
@@ -182,7 +182,7 @@
 	record rec = {.kind = RECORD_FINAL};
 
 	/* The last attempt was not run, but the job has been. */
-	if (j->ran && j->view.state == JOB_NOT_RUN) {
+	if (j->may_have_run && j->view.state == JOB_NOT_RUN) {
 		j->view.state = JOB_UNKNOWN;
 		bstr_set(&j->view.detail,
 			 bstr_lit("an earlier attempt was started and did not "
@@ -293,15 +293,15 @@
 	bstr owner = cell_owner(st, &j->cell);
 
 	if (!u || !owner.bstr_len) {
-		j->phase = PHASE_PARKED;
+		j->phase = PHASE_UNDISPATCHED;
 		j->check_at = st->now + PARKED_MS;
 		return;
 	}
-	if (!j->counted) {
-		j->counted = u;
+	if (!j->counted_by) {
+		j->counted_by = u;
 		u->sent_jobs++;
 	}
-	j->phase = PHASE_SENT;
+	j->phase = PHASE_DISPATCHED;
 	j->sent_at = st->now;
 	j->check_at = st->now + CHECK_MS;
 	bstr_set(&j->sent_to, owner);
@@ -324,7 +324,7 @@
 	record rec = {.kind = RECORD_MOVE};
 
 	if (!u) {
-		j->phase = PHASE_PARKED;
+		j->phase = PHASE_UNDISPATCHED;
 		j->check_at = st->now + PARKED_MS;
 		return;
 	}
@@ -408,7 +408,7 @@
 	}
 	/* No cell was in reach then, so there is none to be asked after it. */
 	if (!j->cell.pool.bstr_len) {
-		j->phase = PHASE_PARKED;
+		j->phase = PHASE_UNDISPATCHED;
 		j->check_at = st->now;
 		job_answer_due(st, j);
 		return;
@@ -418,7 +418,7 @@
 	 * read by a new owner, who dispatches it: it must not be sent twice.
 	 */
 	if (!unit_is_active(st, j->shard->unit) || !lease_valid(st)) {
-		j->phase = PHASE_SENT;
+		j->phase = PHASE_DISPATCHED;
 		j->sent_at = st->now;
 		j->check_at = st->now + CHECK_AGAIN_MS;
 		job_answer_due(st, j);
@@ -467,14 +467,14 @@
 {
 	peer_message msg = {.kind = PM_CANCEL};
 
-	if (job_over(j))
+	if (job_is_final(j))
 		return;
 	j->cancelled = true;
-	if (j->phase == PHASE_PARKED) {
+	if (j->phase == PHASE_UNDISPATCHED) {
 		job_end_cancelled(st, j);
 		return;
 	}
-	if (j->phase != PHASE_SENT)
+	if (j->phase != PHASE_DISPATCHED)
 		return;
 	job_ask(st, j, j->sent_to, &msg);
 	j->check_at = st->now + CHECK_AGAIN_MS;
@@ -542,7 +542,7 @@
 	job_ack(st, from, m);
 	job_uncount(j);
 	effect_count(st, COUNT_RETRY_WORKER_LOST, 1);
-	j->ran = true;
+	j->may_have_run = true;
 	j->attempt++;
 	j->view.state = JOB_QUEUED;
 	job_place(st, j);
@@ -582,7 +582,7 @@
 			effect_count(st, COUNT_DROPPED_LATE, 1);
 		return;
 	}
-	if (j->phase != PHASE_SENT)
+	if (j->phase != PHASE_DISPATCHED)
 		return;
 	bstr_set(&j->sent_to, from);
 	if (!m->known) {
@@ -603,7 +603,7 @@
 					 ? CHECK_AGAIN_MS
 					 : CHECK_MS);
 	if (!m->final)
-		op_job_known(st, j);
+		op_why_job_answer(st, j);
 	else if (job_repeats(st, j))
 		job_repeat(st, j, from, m);
 	else
@@ -615,7 +615,7 @@
 {
 	struct job *j = job_find(st, m->job);
 
-	if (!j || j->phase != PHASE_SENT || j->attempt != m->attempt)
+	if (!j || j->phase != PHASE_DISPATCHED || j->attempt != m->attempt)
 		return;
 	effect_count(st, COUNT_RETRY_OWNER_CHANGED, 1);
 	/*
@@ -623,7 +623,7 @@
 	 * a query was refused, that owner has to be asked first.
 	 */
 	if (m->kind == PM_DISPATCH)
-		j->phase = PHASE_PARKED;
+		j->phase = PHASE_UNDISPATCHED;
 	j->check_at = st->now + PARKED_MS;
 }
 
@@ -633,7 +633,7 @@
 	struct job *j;
 
 	TAILQ_FOREACH(j, &st->active, entry)
-		if (j->phase == PHASE_SENT && bstr_eq(j->sent_to, vm) &&
+		if (j->phase == PHASE_DISPATCHED && bstr_eq(j->sent_to, vm) &&
 		    j->check_at > st->now + CHECK_AGAIN_MS)
 			j->check_at = st->now + CHECK_AGAIN_MS;
 }
@@ -665,7 +665,7 @@
 static void job_tick(struct state *st, struct job *j)
 {
 	job_answer_due(st, j);
-	if (j->phase == PHASE_SENT && j->sent_to.bstr_len &&
+	if (j->phase == PHASE_DISPATCHED && j->sent_to.bstr_len &&
 	    !bstr_eq(j->sent_to, st->vm) &&
 	    j->check_at > st->now + CHECK_AGAIN_MS &&
 	    !bstr_eq(j->sent_to, cell_owner(st, &j->cell)))
@@ -677,7 +677,7 @@
 		if (j->shard && j->attempt == 1)
 			job_claim_late(st, j);
 		break;
-	case PHASE_PARKED:
+	case PHASE_UNDISPATCHED:
 		if (st->now >= j->deadline)
 			job_end(st, j, JOB_NOT_RUN, "deadline",
 				"no cell of the pool could take it in time", 0);
@@ -689,7 +689,7 @@
 		else
 			job_place(st, j);
 		break;
-	case PHASE_SENT:
+	case PHASE_DISPATCHED:
 		job_query(st, j);
 		break;
 	case PHASE_ENDING:
--- a/reduce-op.c
+++ b/reduce-op.c
@@ -466,7 +466,7 @@
 };
 
 /* Does an operator of ours still wait for an answer? */
-bool ops_open(struct state *st)
+bool ops_pending(struct state *st)
 {
 	struct edit *e;
 
--- a/reduce-queue.c
+++ b/reduce-queue.c
@@ -40,7 +40,7 @@
  * Learn how long work under a label runs.  Declared run times are far off;
  * a moving mean of what was seen is closer after a few tasks.
  */
-void run_time_learn(struct state *st, const struct task *t, uint32_t ran_ms)
+void run_time_observe(struct state *st, const struct task *t, uint32_t ran_ms)
 {
 	struct run_time *r;
 	bstr name;
@@ -69,7 +69,7 @@
 
 	if (t->spec.urgent)
 		return CLASS_URGENT;
-	if (t->yields) /* only long work is asked to */
+	if (t->preemptions) /* only long work is asked to */
 		return CLASS_LONG;
 	name = run_time_name(t);
 	HASH_FIND_BSTR(st->run_times, name, r);
@@ -86,9 +86,9 @@
 
 	t->class = task_classify(st, t);
 	if (t->class != CLASS_LONG)
-		c->quick_at = st->now;
+		c->last_quick_at = st->now;
 	q = &t->team->queue[t->class];
-	if (t->started)
+	if (t->may_have_started)
 		TAILQ_INSERT_HEAD(q, t, entry);
 	else
 		TAILQ_INSERT_TAIL(q, t, entry);
@@ -119,7 +119,7 @@
 {
 	unsigned kept = (c->slots + QUICK_PART - 1) / QUICK_PART;
 
-	return st->now - c->quick_at > LEND_MS ||
+	return st->now - c->last_quick_at > LEND_MS ||
 	       c->long_running + kept < c->slots;
 }
 
@@ -225,10 +225,10 @@
 				    const struct task *t)
 {
 	struct worker *w, *next, *best = NULL;
-	bool other = worker_beside(st, c, t->avoid);
+	bool other = worker_beside(st, c, t->avoid_vm);
 
 	HASH_ITER(hh, c->workers, w, next) {
-		if (other && bstr_eq(w->vm, t->avoid))
+		if (other && bstr_eq(w->vm, t->avoid_vm))
 			continue;
 		if (worker_usable(st, w) && worker_fits(st, w, t, NULL) &&
 		    (!best || w->used < best->used))
@@ -251,7 +251,7 @@
 	t->id = bstr_printf("%.*s/%u/%u/%.*s", BSTR_ARG(t->job), t->attempt,
 			    t->start, BSTR_ARG(t->team->team));
 	t->unsent = true;
-	t->was_started = t->started;
+	t->may_have_started_before = t->may_have_started;
 	t->started_at = st->now;
 	t->view.queued_ms = (uint32_t)(st->now - t->queued_at);
 	bstr_set(&t->view.worker, w->vm);
@@ -299,7 +299,7 @@
 		return;
 	t->class = CLASS_LONG;
 	c->long_running++;
-	run_time_learn(st, t, (uint32_t)ran);
+	run_time_observe(st, t, (uint32_t)ran);
 }
 
 /*
@@ -317,10 +317,12 @@
 	HASH_ITER(hh, c->workers, w, next) {
 		if (!worker_usable(st, w))
 			continue;
-		TAILQ_FOREACH(t, &w->tasks, on) {
-			if (t->phase != TASK_ON_WORKER || t->moving ||
-			    t->stopping || t->adopted || !t->spec.may_repeat ||
-			    t->yields >= YIELDS_MAX || t->class != CLASS_LONG ||
+		TAILQ_FOREACH(t, &w->tasks, worker_entry) {
+			if (t->phase != TASK_ON_WORKER ||
+			    t->checkpoint_requested || t->stopping ||
+			    t->adopted || !t->spec.may_repeat ||
+			    t->preemptions >= YIELDS_MAX ||
+			    t->class != CLASS_LONG ||
 			    !worker_fits(st, w, wait, t))
 				continue;
 			level = team_level(st, t->team);
@@ -338,8 +340,8 @@
 /* Ask a task for a checkpoint, and its slot. */
 static void task_yield(struct state *st, struct task *t)
 {
-	t->moving = true;
-	t->yields++;
+	t->checkpoint_requested = true;
+	t->preemptions++;
 	worker_order(st, t->worker, t->id, TASK_CHECKPOINT);
 	effect_count(st, COUNT_RETRY_TASK_YIELDED, 1);
 }
@@ -353,12 +355,13 @@
 
 	*held = 0;
 	HASH_ITER(hh, c->workers, w, next) {
-		TAILQ_FOREACH(t, &w->tasks, on) {
+		TAILQ_FOREACH(t, &w->tasks, worker_entry) {
 			if (t->phase != TASK_ON_WORKER)
 				continue;
 			task_find_long(st, c, t);
-			n += t->moving;
-			*held += !t->moving && t->class == CLASS_LONG;
+			n += t->checkpoint_requested;
+			*held += !t->checkpoint_requested &&
+				 t->class == CLASS_LONG;
 		}
 	}
 	return n;
@@ -413,7 +416,7 @@
 	struct cell_team *t, *next, *low = NULL;
 	struct task *wait, *v;
 
-	if (st->now < c->level_at)
+	if (st->now < c->rebalance_at)
 		return;
 	HASH_ITER(hh, c->teams, t, next) {
 		if (t->queued && limit_spendable(st, c, t) &&
@@ -426,7 +429,7 @@
 	v = victim_choose(st, c, wait);
 	if (!v || team_level(st, v->team) < LEVEL_FAR * team_level(st, low))
 		return;
-	c->level_at = st->now + LEVEL_MS;
+	c->rebalance_at = st->now + LEVEL_MS;
 	task_yield(st, v);
 }
 
@@ -512,8 +515,8 @@
  * Why is a queued task not started?  Names the gate that holds it, with the
  * figures behind it and what would free it.
  */
-const char *task_gate(struct state *st, struct cell *c, struct task *t,
-		      bstr *detail)
+const char *task_hold_reason(struct state *st, struct cell *c, struct task *t,
+			     bstr *detail)
 {
 	const struct team *team = config_team(st->config, t->team->team);
 	unsigned usable, room = cell_room(st, c, &usable);
--- a/reduce-wait.c
+++ b/reduce-wait.c
@@ -57,7 +57,7 @@
 {
 	caller_answer a = {.http = job_http(&j->view, w->submit)};
 
-	if (job_over(j) && !job_settled(j)) {
+	if (job_is_final(j) && !job_final_ready(j)) {
 		waiter_refuse(st, j, w,
 			      "the platform has not confirmed the job's end; "
 			      "ask again",
@@ -65,7 +65,7 @@
 		return;
 	}
 	/* Accepted is what is durable: a claim that is not may be lost. */
-	if (j->shard && !j->record_segment && !job_over(j)) {
+	if (j->shard && !j->record_segment && !job_is_final(j)) {
 		waiter_refuse_claim(st, j, w);
 		return;
 	}
@@ -83,8 +83,8 @@
 /* Is there what a waiter asked for? */
 static bool waiter_due(const struct job *j, const struct waiter *w)
 {
-	return job_settled(j) ||
-	       (!w->until_final && !job_over(j) && j->phase != PHASE_CLAIMING);
+	return job_final_ready(j) || (!w->until_final && !job_is_final(j) &&
+				      j->phase != PHASE_CLAIMING);
 }
 
 /* Answer now if the answer is there, else when it is, or at a deadline. */
@@ -107,7 +107,7 @@
 void job_answer_due(struct state *st, struct job *j)
 {
 	struct waiter *w, *next;
-	int64_t late = job_over(j) ? SETTLE_MS : 0;
+	int64_t late = job_is_final(j) ? SETTLE_MS : 0;
 
 	for (w = TAILQ_FIRST(&j->waiters); w; w = next) {
 		next = TAILQ_NEXT(w, entry);
--- a/reduce-why.c
+++ b/reduce-why.c
@@ -67,7 +67,7 @@
 }
 
 /* A job's home has heard from its cell: answer who asked. */
-void op_job_known(struct state *st, const struct job *j)
+void op_why_job_answer(struct state *st, const struct job *j)
 {
 	struct question *q, *next;
 
@@ -111,7 +111,7 @@
 			  "no such job is known: it was never accepted, or "
 			  "its answer is no longer kept",
 			  0, NULL);
-	else if (j->phase == PHASE_SENT)
+	else if (j->phase == PHASE_DISPATCHED)
 		question_add(st, call, j);
 	else
 		why_answer(st, st->asker, call, j);
@@ -129,7 +129,7 @@
 	for (i = 0; i < CLASS_MAX && !first; i++)
 		first = TAILQ_FIRST(&t->queue[i]);
 	if (first)
-		gate = task_gate(st, c, first, &detail);
+		gate = task_hold_reason(st, c, first, &detail);
 	json_set_str(o, "pool", c->unit->id.pool);
 	json_set_str(o, "dc", c->unit->id.dc);
 	json_set_int(o, "running", team_used(t));
--- a/reduce-worker.c
+++ b/reduce-worker.c
@@ -196,16 +196,16 @@
 	struct task *t;
 	u_int n = 0;
 
-	TAILQ_FOREACH(t, &w->tasks, on)
+	TAILQ_FOREACH(t, &w->tasks, worker_entry)
 		n += start_due(w, t);
 	if (!n)
 		return;
 	x->starts.starts_val = xcalloc(n, sizeof(*s));
-	TAILQ_FOREACH(t, &w->tasks, on) {
+	TAILQ_FOREACH(t, &w->tasks, worker_entry) {
 		if (!start_due(w, t))
 			continue;
 		t->unsent = false;
-		t->started = true;
+		t->may_have_started = true;
 		t->command = x->req;
 		s = &x->starts.starts_val[x->starts.starts_len++];
 		s->task = bstr_copy(t->id);
@@ -244,7 +244,7 @@
 	const struct order *o;
 	const struct task *t;
 
-	TAILQ_FOREACH(t, &w->tasks, on)
+	TAILQ_FOREACH(t, &w->tasks, worker_entry)
 		if (start_due(w, t))
 			return true;
 	TAILQ_FOREACH(o, &w->orders, entry)
@@ -272,10 +272,10 @@
 	struct task *t, *next;
 
 	for (t = TAILQ_FIRST(&w->tasks); t; t = next) {
-		next = TAILQ_NEXT(t, on);
+		next = TAILQ_NEXT(t, worker_entry);
 		if (t->phase != TASK_STARTING || t->command != req || t->unsent)
 			continue;
-		t->started = t->was_started;
+		t->may_have_started = t->may_have_started_before;
 		task_requeue(st, w->cell, t);
 	}
 }
@@ -315,7 +315,7 @@
 	struct task *t, *next;
 
 	for (t = TAILQ_FIRST(&w->tasks); t; t = next) {
-		next = TAILQ_NEXT(t, on);
+		next = TAILQ_NEXT(t, worker_entry);
 		if (t->phase != TASK_STARTING && t->phase != TASK_ON_WORKER)
 			continue;
 		if (t->unsent) {
@@ -357,10 +357,10 @@
 	struct unconfirmed_start *g;
 	u_int i;
 
-	TAILQ_FOREACH(t, &w->tasks, on)
+	TAILQ_FOREACH(t, &w->tasks, worker_entry)
 		t->listed = false;
 	for (i = 0; i < ev->tasks.tasks_len; i++) {
-		TAILQ_FOREACH(t, &w->tasks, on)
+		TAILQ_FOREACH(t, &w->tasks, worker_entry)
 			if (bstr_eq(t->id, ev->tasks.tasks_val[i].task))
 				t->listed = true;
 	}
@@ -371,7 +371,7 @@
 	TAILQ_FOREACH(g, &w->unconfirmed, entry)
 		worker_order(st, w, g->task, TASK_STOP);
 	for (t = TAILQ_FIRST(&w->tasks); t; t = next) {
-		next = TAILQ_NEXT(t, on);
+		next = TAILQ_NEXT(t, worker_entry);
 		if (t->listed || t->unsent || t->phase == TASK_ENDED)
 			continue;
 		/*
@@ -427,7 +427,7 @@
 	u_int i;
 
 	for (i = 0; i < ev->tasks.tasks_len; i++)
-		task_report_take(st, w->cell, w, &ev->tasks.tasks_val[i]);
+		task_report_handle(st, w->cell, w, &ev->tasks.tasks_val[i]);
 	if (!watch || restarted)
 		return;
 	/* 0 asks for a full list: once wanted, only a full list ends that. */
@@ -638,7 +638,7 @@
 
 	if (!w->fenced || w->silent || w->used || !TAILQ_EMPTY(&w->unconfirmed))
 		return false;
-	TAILQ_FOREACH(t, &w->tasks, on)
+	TAILQ_FOREACH(t, &w->tasks, worker_entry)
 		if (!task_orphaned(st, t))
 			return false;
 	return true;
@@ -674,10 +674,10 @@
 	}
 	if (st->now < w->drain_by)
 		return;
-	TAILQ_FOREACH(t, &w->tasks, on) {
-		if (t->phase != TASK_ON_WORKER || t->moving)
+	TAILQ_FOREACH(t, &w->tasks, worker_entry) {
+		if (t->phase != TASK_ON_WORKER || t->checkpoint_requested)
 			continue;
-		t->moving = true;
+		t->checkpoint_requested = true;
 		worker_order(st, w, t->id, TASK_CHECKPOINT);
 	}
 }
--- a/reduce.c
+++ b/reduce.c
@@ -309,7 +309,7 @@
 static void reduce_stop_check(struct state *st)
 {
 	struct unit *u, *un;
-	bool idle = TAILQ_EMPTY(&st->forwards) && !ops_open(st);
+	bool idle = TAILQ_EMPTY(&st->forwards) && !ops_pending(st);
 	struct job *j;
 
 	if (!st->stopping || st->stopped)
--- a/reduce.h
+++ b/reduce.h
@@ -176,10 +176,10 @@
 TAILQ_HEAD(waiter_list, waiter);
 
 enum job_phase {
-	PHASE_CLAIMING, /* its claim is not durable yet */
-	PHASE_PARKED,	/* no cell could be given it so far */
-	PHASE_SENT,	/* a cell has it, or may have it */
-	PHASE_ENDING,	/* final, not durable yet */
+	PHASE_CLAIMING,	    /* its claim is not durable yet */
+	PHASE_UNDISPATCHED, /* no cell could be given it so far */
+	PHASE_DISPATCHED,   /* a cell has it, or may have it */
+	PHASE_ENDING,	    /* final, not durable yet */
 	PHASE_FINAL
 };
 
@@ -203,9 +203,10 @@
 	uint64_t query;	  /* serial of the latest query */
 	int64_t query_at; /* when it was sent */
 	bool cancelled;
-	bool ran; /* an earlier attempt was started, or may have been */
+	bool may_have_run; /* an earlier attempt was started, or may have been
+			    */
 	bstr sent_to;
-	struct unit *counted;	 /* the cell that counts it as sent */
+	struct unit *counted_by; /* the cell that counts it as sent */
 	uint64_t record_segment; /* holds its latest full record */
 	UT_hash_handle hh;
 };
@@ -251,8 +252,8 @@
 struct cell_team;
 
 struct task {
-	TAILQ_ENTRY(task) entry; /* in its team's queue, or in ended */
-	TAILQ_ENTRY(task) on;	 /* among its worker's tasks */
+	TAILQ_ENTRY(task) entry;	/* in its team's queue, or in ended */
+	TAILQ_ENTRY(task) worker_entry; /* among its worker's tasks */
 	bstr job;
 	uint32_t attempt; /* the home's */
 	uint32_t start;	  /* counts starts within the attempt */
@@ -268,17 +269,17 @@
 	int64_t deadline;
 	int64_t notify_at;
 	int64_t ended_at;
-	bool stopping;	  /* cancelled */
-	bool moving;	  /* asked to make a checkpoint */
-	unsigned yields;  /* times it was, for urgent or quick work */
-	bool unsent;	  /* its start is to go with the next command */
-	bool listed;	  /* its worker's full list has it */
-	int64_t known_at; /* when it was first reported running */
-	uint64_t command; /* that carried its start */
-	bool started;	  /* some start may have reached a worker */
-	bool was_started; /* an earlier one had */
+	bool stopping;		   /* cancelled */
+	bool checkpoint_requested; /* asked to make a checkpoint */
+	unsigned preemptions;	   /* times it was, for urgent or quick work */
+	bool unsent;	       /* its start is to go with the next command */
+	bool listed;	       /* its worker's full list has it */
+	int64_t known_at;      /* when it was first reported running */
+	uint64_t command;      /* that carried its start */
+	bool may_have_started; /* some start may have reached a worker */
+	bool may_have_started_before; /* an earlier one had */
 	bstr checkpoint;
-	bstr avoid; /* the VM it failed on */
+	bstr avoid_vm; /* the VM it failed on */
 	unsigned tries;
 	job_view view;
 	UT_hash_handle hh;
@@ -389,9 +390,9 @@
 	unsigned queued;
 	unsigned running;
 	unsigned long_running;
-	unsigned slots;	  /* of usable workers, in the pass under way */
-	int64_t level_at; /* no task yields for its team's share before */
-	int64_t quick_at; /* when quick or urgent work last came */
+	unsigned slots;	       /* of usable workers, in the pass under way */
+	int64_t rebalance_at;  /* no task yields for its team's share before */
+	int64_t last_quick_at; /* when quick or urgent work last came */
 	bool dirty;
 };
 
@@ -736,7 +737,7 @@
 void call_unowned(struct state *st, bstr from, const pm_unowned *m);
 void call_peer_lost(struct state *st, bstr vm);
 void calls_tick(struct state *st);
-void call_follow(struct state *st, struct job *j, struct waiter *w);
+void call_redirect(struct state *st, struct job *j, struct waiter *w);
 void calls_stop(struct state *st);
 void answer_send(struct state *st, bstr vm, uint64_t call,
 		 const caller_answer *a);
@@ -754,8 +755,8 @@
 void job_submit(struct state *st, struct shard *shard, bstr id,
 		const job_spec *spec, bstr digest, bstr vm, uint64_t call);
 void job_cancel(struct state *st, struct job *j);
-bool job_over(const struct job *j);
-bool job_settled(const struct job *j);
+bool job_is_final(const struct job *j);
+bool job_final_ready(const struct job *j);
 void job_claimed(struct state *st, struct job *j);
 void job_final_durable(struct state *st, struct job *j);
 void job_update(struct state *st, bstr from, const pm_update *m);
@@ -789,7 +790,7 @@
 void cell_ack(struct state *st, const pm_cancel *m);
 void cells_tick(struct state *st);
 void cells_schedule(struct state *st);
-bool cell_adopted(struct state *st, struct cell *c);
+bool cell_state_known(struct state *st, struct cell *c);
 void cell_free(struct state *st, struct cell *c);
 struct cell_team *cell_team_get(struct state *st, struct cell *c, bstr team);
 void task_end(struct state *st, struct cell *c, struct task *t, job_state state,
@@ -800,16 +801,16 @@
 void task_place(struct cell *c, struct task *t, struct worker *w);
 void task_leave(struct cell *c, struct task *t);
 void task_free(struct cell *c, struct task *t);
-void task_report_take(struct state *st, struct cell *c, struct worker *w,
-		      const task_report *r);
+void task_report_handle(struct state *st, struct cell *c, struct worker *w,
+			const task_report *r);
 
 /* reduce-queue.c: which task is next, and where. */
 void queue_add(struct state *st, struct cell *c, struct task *t);
 void queue_remove(struct cell *c, struct task *t);
 void cell_schedule(struct state *st, struct cell *c);
-const char *task_gate(struct state *st, struct cell *c, struct task *t,
-		      bstr *detail);
-void run_time_learn(struct state *st, const struct task *t, uint32_t ran_ms);
+const char *task_hold_reason(struct state *st, struct cell *c, struct task *t,
+			     bstr *detail);
+void run_time_observe(struct state *st, const struct task *t, uint32_t ran_ms);
 
 /* reduce-worker.c: exchanges with workers. */
 void workers_tick(struct state *st, struct cell *c);
@@ -886,7 +887,7 @@
 void waves_free(struct state *st);
 
 /* reduce-op.c: operators' requests. */
-bool ops_open(struct state *st);
+bool ops_pending(struct state *st);
 void ops_stop(struct state *st);
 void op_event(struct state *st, uint64_t call, const op_request *rq);
 void op_asked(struct state *st, bstr from, const pm_operate *m);
@@ -905,7 +906,7 @@
 /* reduce-why.c: what holds a job or a team. */
 void op_why_job(struct state *st, uint64_t call, const op_request *rq);
 void op_why_team(struct state *st, uint64_t call, const op_request *rq);
-void op_job_known(struct state *st, const struct job *j);
+void op_why_job_answer(struct state *st, const struct job *j);
 void questions_tick(struct state *st);
 void questions_free(struct state *st);
 
