--- a/reduce-boot.c
+++ b/reduce-boot.c
@@ -104,7 +104,7 @@
 }
 
 /* Is it durable which workers have forgotten? */
-bool boots_settled(struct state *st, struct cell *c)
+bool boots_durable(struct state *st, struct cell *c)
 {
 	boots_row row;
 	bool changed;
--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -73,7 +73,7 @@
 {
 	struct worker *w, *next;
 
-	if (!c->rows_known || !boots_settled(st, c))
+	if (!c->rows_known || !boots_durable(st, c))
 		return false;
 	HASH_ITER(hh, c->workers, w, next) {
 		if (!w->fenced && !w->dead)
@@ -87,7 +87,7 @@
 {
 	t->worker = w;
 	TAILQ_INSERT_TAIL(&w->tasks, t, worker_entry);
-	w->used++;
+	w->task_count++;
 	w->cpu_used += t->spec.cpu_milli;
 	w->memory_used += t->spec.memory_mb;
 	w->accelerators_used += t->spec.accelerators;
@@ -103,7 +103,7 @@
 
 	if (!w || t->phase == TASK_ENDED)
 		return;
-	w->used--;
+	w->task_count--;
 	w->cpu_used -= t->spec.cpu_milli;
 	w->memory_used -= t->spec.memory_mb;
 	w->accelerators_used -= t->spec.accelerators;
@@ -179,7 +179,8 @@
 	if (home.bstr_len)
 		task_tell(st, c, t, home, 0);
 	bstr_free(&home);
-	t->notify_at = t->phase == TASK_ENDED ? st->now + NOTIFY_MS : INT64_MAX;
+	t->notify_at = t->phase == TASK_ENDED ? st->now + NOTIFY_RETRY_MS
+					      : INT64_MAX;
 }
 
 /* A task has come to its end here. */
@@ -696,12 +697,12 @@
 		queued += u->cell->queued;
 		running += u->cell->running;
 	}
-	if (queued != st->told_queued)
+	if (queued != st->reported_queued)
 		effect_count(st, COUNT_QUEUED, queued);
-	if (running != st->told_running)
+	if (running != st->reported_running)
 		effect_count(st, COUNT_RUNNING, running);
-	st->told_queued = queued;
-	st->told_running = running;
+	st->reported_queued = queued;
+	st->reported_running = running;
 }
 
 /* Schedule the cells in which something has changed. */
--- a/reduce-claim.c
+++ b/reduce-claim.c
@@ -17,7 +17,7 @@
 /*
  * A final answer is given before it is durable, so its record can wait to go
  * with the next claim; not so "not run", whose callers wait for it.  Below
- * NOTIFY_MS, or cells would repeat themselves.
+ * NOTIFY_RETRY_MS, or cells would repeat themselves.
  */
 #define FINAL_WAIT_MS 400
 
@@ -59,7 +59,7 @@
 
 	jobs_drop(st, s);
 	entries_free(&s->pending);
-	entries_free(&s->flying);
+	entries_free(&s->in_flight);
 	while ((g = TAILQ_FIRST(&s->segments)))
 		segment_free(s, g);
 	free(s);
@@ -133,7 +133,7 @@
 	s->next_segment = 1;
 	s->flushed_at = st->now;
 	TAILQ_INIT(&s->pending);
-	TAILQ_INIT(&s->flying);
+	TAILQ_INIT(&s->in_flight);
 	TAILQ_INIT(&s->segments);
 	for (i = 0; i < ev->rows.rows_len; i++) {
 		if (segment_read(st, s, &ev->rows.rows_val[i]))
@@ -205,21 +205,22 @@
 	unsigned n = 0;
 	bstr key;
 
-	if (s->commit || TAILQ_EMPTY(&s->pending))
+	if (s->commit_request || TAILQ_EMPTY(&s->pending))
 		return;
 	g = segment_open(s);
 	while ((e = TAILQ_FIRST(&s->pending)) && n++ < FLUSH_RECORDS) {
 		TAILQ_REMOVE(&s->pending, e, entry);
-		TAILQ_INSERT_TAIL(&s->flying, e, entry);
+		TAILQ_INSERT_TAIL(&s->in_flight, e, entry);
 	}
 	xdr_copy(XDR_PROC(xdr_journal_row), &row, &g->row, sizeof(row));
-	row_extend(&row, &s->flying);
+	row_extend(&row, &s->in_flight);
 	key = segment_key(s->unit, g->number);
 	commit_check(&c, s->unit->name, s->unit->revision);
 	commit_check(&c, key, g->revision);
 	commit_put(&c, key, XDR_PROC(xdr_journal_row), &row);
-	s->commit = table_commit(st, REQ_JOURNAL_COMMIT, s->unit->name, &c, 0);
-	s->target = g;
+	s->commit_request = table_commit(st, REQ_JOURNAL_COMMIT, s->unit->name,
+					 &c, 0);
+	s->commit_segment = g;
 	s->flushed_at = st->now;
 	xdr_free(XDR_PROC(xdr_journal_row), (char *)&row);
 	bstr_free(&key);
@@ -229,17 +230,17 @@
 static void shard_durable(struct state *st, struct shard *s,
 			  const ev_platform *ev)
 {
-	struct segment *g = s->target;
+	struct segment *g = s->commit_segment;
 	bstr key = segment_key(s->unit, g->number);
 	struct journal_entry *e;
 	struct job *j;
 
 	g->revision = row_version(ev, key);
 	bstr_free(&key);
-	row_extend(&g->row, &s->flying);
+	row_extend(&g->row, &s->in_flight);
 	g->bytes = xdr_sizeof(XDR_PROC(xdr_journal_row), &g->row);
-	while ((e = TAILQ_FIRST(&s->flying))) {
-		TAILQ_REMOVE(&s->flying, e, entry);
+	while ((e = TAILQ_FIRST(&s->in_flight))) {
+		TAILQ_REMOVE(&s->in_flight, e, entry);
 		j = job_find(st, e->job);
 		if (j && j->shard == s) {
 			if (e->rec.kind != RECORD_MOVE)
@@ -259,9 +260,9 @@
 {
 	struct shard *s = u->shard;
 
-	if (!s || s->commit != rq->id)
+	if (!s || s->commit_request != rq->id)
 		return;
-	s->commit = 0;
+	s->commit_request = 0;
 	if (ev->outcome != PLATFORM_OK) {
 		/*
 		 * The unit's row or the segment's is not at our version:
@@ -279,7 +280,7 @@
 /* Is nothing waiting to become durable? */
 bool shard_is_flushed(const struct shard *s)
 {
-	return !s->commit && TAILQ_EMPTY(&s->pending) && !s->trimming;
+	return !s->commit_request && TAILQ_EMPTY(&s->pending) && !s->trimming;
 }
 
 /*
@@ -288,15 +289,17 @@
  */
 bool shard_withdraw(struct state *st, struct shard *s, bstr job)
 {
-	struct request *rq = s->commit ? request_find(st, s->commit) : NULL;
+	struct request *rq = s->commit_request
+				     ? request_find(st, s->commit_request)
+				     : NULL;
 	struct journal_entry *e;
 
 	if (rq && !rq->uncertain && rq->resend_at) {
 		request_free(st, rq);
-		s->commit = 0;
+		s->commit_request = 0;
 		s->flush_at = st->now;
-		while ((e = TAILQ_LAST(&s->flying, journal_list))) {
-			TAILQ_REMOVE(&s->flying, e, entry);
+		while ((e = TAILQ_LAST(&s->in_flight, journal_list))) {
+			TAILQ_REMOVE(&s->in_flight, e, entry);
 			TAILQ_INSERT_HEAD(&s->pending, e, entry);
 		}
 	}
@@ -362,7 +365,7 @@
 	fx_commit c = {0};
 	bstr key;
 
-	if (st->now < s->trim_at || s->trimming || s->commit || !g ||
+	if (st->now < s->trim_at || s->trimming || s->commit_request || !g ||
 	    !TAILQ_NEXT(g, entry))
 		return;
 	s->trim_at = st->now + TRIM_MS;
--- a/reduce-config.c
+++ b/reduce-config.c
@@ -174,13 +174,13 @@
 	bstr text;
 
 	json_object_set_new(head, "revision",
-			    json_integer((json_int_t)c->base + 1));
+			    json_integer((json_int_t)c->base_revision + 1));
 	json_object_set_new(head, "object", bstr_json(c->object));
-	json_object_set_new(
-		head, "history",
-		history_add(st, c->base + 1, c->object, c->request.kind));
+	json_object_set_new(head, "history",
+			    history_add(st, c->base_revision + 1, c->object,
+					c->request.kind));
 	text = config_text(head);
-	commit_check(&commit, bstr_lit(HEAD_KEY), c->head);
+	commit_check(&commit, bstr_lit(HEAD_KEY), c->head_revision);
 	commit_put_bytes(&commit, bstr_lit(HEAD_KEY), text);
 	table_commit(st, REQ_CHANGE_COMMIT, c->object, &commit, c->deadline);
 	bstr_free(&text);
@@ -198,8 +198,8 @@
 
 	json_decref(c->doc);
 	c->doc = NULL;
-	c->base = st->config->revision;
-	c->head = st->head_revision;
+	c->base_revision = st->config->revision;
+	c->head_revision = st->head_revision;
 	if (c->request.kind == OP_CONFIG_APPLY &&
 	    oc->revision != st->config->revision) {
 		s = xasprintf("expected revision %llu, in force is %llu",
@@ -221,14 +221,14 @@
 	}
 	bstr_free(&c->object);
 	c->object = bstr_printf("config-%llu-%.*s-%016llx-%llu",
-				(unsigned long long)c->base + 1,
+				(unsigned long long)c->base_revision + 1,
 				BSTR_ARG(st->vm),
 				(unsigned long long)st->incarnation,
 				(unsigned long long)++st->next_serial);
 	text = config_text(c->doc);
 	object_put(st, REQ_CHANGE_PUT, c->object, c->object, text);
 	bstr_free(&text);
-	c->flying = true;
+	c->in_flight = true;
 }
 
 /* The change that is being committed, if any. */
@@ -237,7 +237,7 @@
 	struct change *c;
 
 	TAILQ_FOREACH(c, &st->changes, entry)
-		if (c->flying)
+		if (c->in_flight)
 			return c;
 	return NULL;
 }
@@ -267,7 +267,7 @@
 
 	for (c = TAILQ_FIRST(&st->changes); c; c = next) {
 		next = TAILQ_NEXT(c, entry);
-		if (c->flying)
+		if (c->in_flight)
 			return;
 		if (c->accepted)
 			continue;
@@ -282,7 +282,7 @@
 		}
 		/* After a lost race, wait until the winner is in force. */
 		if (!config_is_head(st) ||
-		    (c->tries && st->config->revision <= c->base))
+		    (c->tries && st->config->revision <= c->base_revision))
 			return;
 		change_start(st, c);
 		/*
@@ -327,9 +327,9 @@
 		change_commit(st, c);
 		return;
 	}
-	c->flying = false;
+	c->in_flight = false;
 	if (++c->tries < CHANGE_TRIES) {
-		c->base = 0; /* try again at the next tick */
+		c->base_revision = 0; /* try again at the next tick */
 		return;
 	}
 	change_answer(st, c, OP_UNAVAILABLE, "platform-unavailable",
@@ -397,10 +397,10 @@
 
 	if (!c)
 		return;
-	c->flying = false;
+	c->in_flight = false;
 	switch (ev->outcome) {
 	case PLATFORM_OK:
-		c->accepted = c->base + 1;
+		c->accepted = c->base_revision + 1;
 		c->deadline = st->now + st->fresh_ms;
 		st->head_revision = row_version(ev, bstr_lit(HEAD_KEY));
 		bstr_set(&st->head_value,
@@ -445,7 +445,7 @@
 		next = TAILQ_NEXT(c, entry);
 		if (c->accepted)
 			change_report(st, c);
-		else if (!c->flying && st->now >= c->deadline)
+		else if (!c->in_flight && st->now >= c->deadline)
 			change_answer(st, c, OP_UNAVAILABLE,
 				      "platform-unavailable",
 				      "nothing was changed", RETRY_AFTER_MS * 2,
@@ -457,7 +457,7 @@
 /* Poll the heads, the backstop of the peers' announcements. */
 void config_tick(struct state *st)
 {
-	bstr keys[] = {bstr_lit(HEAD_KEY), bstr_lit(VMS_KEY)};
+	bstr keys[] = {bstr_lit(HEAD_KEY), bstr_lit(VMS_HEAD_KEY)};
 	bool ready;
 	effect *fx;
 
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -496,7 +496,7 @@
 /*
  * The cell, with every worker of it fenced, has no trace of the job, so it
  * was not started and can't be any more, but for a dispatch that is still
- * on its way.  That is dead after MESSAGE_DEAD_MS, so only the answer to a
+ * on its way.  That is dead after MESSAGE_EXPIRED_MS, so only the answer to a
  * question asked after that counts: an earlier one may have overtaken the
  * dispatch, and the job would run twice.
  */
@@ -504,8 +504,8 @@
 {
 	if (serial != j->query)
 		return;
-	if (j->query_at - j->sent_at <= MESSAGE_DEAD_MS) {
-		j->check_at = j->sent_at + MESSAGE_DEAD_MS + 1;
+	if (j->query_at - j->sent_at <= MESSAGE_EXPIRED_MS) {
+		j->check_at = j->sent_at + MESSAGE_EXPIRED_MS + 1;
 		return;
 	}
 	job_uncount(j);
--- a/reduce-limit.c
+++ b/reduce-limit.c
@@ -68,17 +68,18 @@
 static uint32_t allow_ceiling(struct state *st, const struct cell_team *t)
 {
 	uint64_t sum = allow_sum(&t->row), limit = team_limit(st, t->team);
-	uint32_t fair, held = t->held;
+	uint32_t fair, held = t->allowance;
 
 	if (sum > limit)
 		held = (uint32_t)(held * limit / sum);
-	if (!t->asked)
+	if (!t->return_requested)
 		return held;
 	fair = (uint32_t)(limit / (t->row.holds.holds_len + 1));
 	if (held <= fair)
 		return held;
-	return held - t->asked > fair && held > t->asked ? held - t->asked
-							 : fair;
+	return held - t->return_requested > fair && held > t->return_requested
+		       ? held - t->return_requested
+		       : fair;
 }
 
 /* Slots of workers that may run what an earlier owner started. */
@@ -126,7 +127,7 @@
 	else
 		t->loaded = true;
 	h = allow_find(&t->row, &c->unit->id);
-	t->held = h ? h->amount : 0;
+	t->allowance = h ? h->amount : 0;
 	/*
 	 * A write that gave some back went unanswered and may still land, as
 	 * long as the row is at the version that it checks.  Another cell
@@ -134,8 +135,8 @@
 	 * the team would run more than its limit.
 	 */
 	t->capped = t->capped && t->cap_revision == t->revision;
-	if (t->capped && t->held > t->cap)
-		t->held = t->cap;
+	if (t->capped && t->allowance > t->cap)
+		t->allowance = t->cap;
 }
 
 /* Find a cell's team by the name of a request: "pool dc team". */
@@ -172,7 +173,7 @@
 				BSTR_ARG(c->unit->id.dc), BSTR_ARG(t->team));
 	bstr key = allow_key(t->team);
 
-	t->request = table_read(st, REQ_ALLOW_READ, name, &key, 1);
+	t->request = table_read(st, REQ_ALLOWANCE_READ, name, &key, 1);
 	bstr_free(&key);
 	bstr_free(&name);
 }
@@ -207,10 +208,10 @@
 	commit_check(&k, key, t->revision);
 	commit_put(&k, key, XDR_PROC(xdr_allow_row), &row);
 	/* Less is in force at once, more only when it is committed. */
-	if (amount < t->held)
-		t->held = amount;
-	t->wrote = amount;
-	t->request = table_commit(st, REQ_ALLOW_COMMIT, name, &k,
+	if (amount < t->allowance)
+		t->allowance = amount;
+	t->commit_allowance = amount;
+	t->request = table_commit(st, REQ_ALLOWANCE_COMMIT, name, &k,
 				  st->now + ALLOW_GIVE_UP_MS);
 	xdr_free(XDR_PROC(xdr_allow_row), (char *)&row);
 	bstr_free(&key);
@@ -218,7 +219,7 @@
 }
 
 /* A team's row was read. */
-void allow_read(struct state *st, struct request *rq, const ev_platform *ev)
+void allowance_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct cell *c = NULL;
 	struct cell_team *t = allow_who(st, rq->name, &c);
@@ -242,8 +243,8 @@
  * changed another cell's, or is a successor, which counts what may run here
  * until the workers answer to it.
  */
-void allow_committed(struct state *st, struct request *rq,
-		     const ev_platform *ev)
+void allowance_committed(struct state *st, struct request *rq,
+			 const ev_platform *ev)
 {
 	struct cell *c = NULL;
 	struct cell_team *t = allow_who(st, rq->name, &c);
@@ -254,8 +255,8 @@
 		return;
 	t->request = 0;
 	if (ev->outcome == PLATFORM_UNKNOWN) {
-		if (!t->capped || t->wrote < t->cap)
-			t->cap = t->wrote;
+		if (!t->capped || t->commit_allowance < t->cap)
+			t->cap = t->commit_allowance;
 		t->capped = true;
 		t->cap_revision = t->revision;
 	}
@@ -273,7 +274,7 @@
 					  rq->commit.writes.writes_val[i].key);
 	}
 	h = allow_find(&t->row, &c->unit->id);
-	t->held = h ? h->amount : 0;
+	t->allowance = h ? h->amount : 0;
 	t->capped = false; /* the row's version has moved on */
 	t->retry_at = st->now + ALLOW_RETRY_MS / 3;
 	c->dirty = true;
@@ -288,9 +289,9 @@
 	bstr owner;
 	u_int i;
 
-	if (st->now < t->want_at)
+	if (st->now < t->request_more_at)
 		return;
-	t->want_at = st->now + ALLOW_RETRY_MS * 2;
+	t->request_more_at = st->now + ALLOW_RETRY_MS * 2;
 	t->stale = true; /* they will change the row */
 	for (i = 0; i < t->row.holds.holds_len; i++) {
 		allow_hold *h = &t->row.holds.holds_val[i];
@@ -316,8 +317,8 @@
 		return;
 	/* A hold left by an earlier owner is known only from the row. */
 	t = cell_team_get(st, u->cell, m->team);
-	t->asked = m->amount;
-	t->loaded = t->loaded && t->held;
+	t->return_requested = m->amount;
+	t->loaded = t->loaded && t->allowance;
 	t->retry_at = st->now;
 	effect_wake(st, st->now);
 }
@@ -342,12 +343,12 @@
 	if (need < BLOCK && free_part >= limit / 2 + BLOCK)
 		need = BLOCK;
 	if (need > free_part) {
-		if (!t->asked)
+		if (!t->return_requested)
 			allow_want(st, c, t, need - free_part);
 		need = free_part;
 	}
 	if (need)
-		allow_write(st, c, t, t->held + need);
+		allow_write(st, c, t, t->allowance + need);
 }
 
 /* Give back what was asked for, or what has not been used for a while. */
@@ -356,28 +357,28 @@
 	uint32_t used = team_used(t), ceiling = allow_ceiling(st, t);
 	uint32_t keep = used + allow_need(c, t), idle;
 
-	if (ceiling < t->held) {
+	if (ceiling < t->allowance) {
 		/* Lowered or asked for: down to the ceiling, not below use. */
 		if (keep > ceiling)
 			keep = ceiling;
 		if (keep < used)
 			keep = used;
-		if (keep < t->held)
+		if (keep < t->allowance)
 			allow_write(st, c, t, keep);
 		if (keep <= ceiling)
-			t->asked = 0;
+			t->return_requested = 0;
 		return;
 	}
-	t->asked = 0;
-	if (t->most < keep)
-		t->most = keep;
+	t->return_requested = 0;
+	if (t->peak_need < keep)
+		t->peak_need = keep;
 	/* Nobody can take it while the platform is down. */
 	if (st->now - t->idle_at < IDLE_MS || !st->platform_up)
 		return;
-	idle = t->held > t->most ? t->held - t->most : 0;
+	idle = t->allowance > t->peak_need ? t->allowance - t->peak_need : 0;
 	if (idle)
-		allow_write(st, c, t, t->held - (idle + 1) / 2);
-	t->most = keep;
+		allow_write(st, c, t, t->allowance - (idle + 1) / 2);
+	t->peak_need = keep;
 	t->idle_at = st->now;
 }
 
@@ -390,7 +391,7 @@
 		if (t->request || st->now < t->retry_at)
 			continue;
 		if (!t->loaded || t->stale) {
-			if (t->queued || t->asked || team_used(t))
+			if (t->queued || t->return_requested || team_used(t))
 				allow_load(st, c, t);
 			continue;
 		}
--- a/reduce-member.c
+++ b/reduce-member.c
@@ -19,7 +19,7 @@
 /* Does its lease hold, as far as the rows tell? */
 bool member_alive(const struct member *m)
 {
-	return m->listed && !m->gone && !m->leaving;
+	return m->listed && !m->lease_expired && !m->leaving;
 }
 
 /* Has it answered a ping lately? */
@@ -37,7 +37,7 @@
 {
 	return member_alive(m) &&
 	       (m->ponged_at >= 0 ||
-		st->now - m->known_at < 4 * (int64_t)st->ping_ms);
+		st->now - m->incarnation_seen_at < 4 * (int64_t)st->ping_ms);
 }
 
 /*
@@ -69,7 +69,7 @@
 	fx = effect_add(st, FX_PEER);
 	fx->effect_u.peer.to = bstr_copy(to);
 	fx->effect_u.peer.address = bstr_copy(p->address);
-	fx->effect_u.peer.deadline = st->now + MESSAGE_LIFE_MS;
+	fx->effect_u.peer.deadline = st->now + MESSAGE_TTL_MS;
 	xdr_copy(XDR_PROC(xdr_peer_message), &fx->effect_u.peer.message, m,
 		 sizeof(*m));
 }
@@ -259,7 +259,7 @@
 		m = xcalloc(1, sizeof(*m));
 		m->vm = bstr_copy(row.vm);
 		m->ponged_at = m->proof_at = INT64_MIN / 2;
-		m->known_at = st->now;
+		m->incarnation_seen_at = st->now;
 		m->seen_at = st->now;
 		HASH_ADD_BSTR(st->members, vm, m);
 		effect_log(st, LOG_MEMBER_SEEN, "%.*s at %.*s",
@@ -267,17 +267,18 @@
 	}
 	if (m->incarnation != row.incarnation) {
 		m->ponged_at = m->proof_at = INT64_MIN / 2;
-		m->known_at = st->now;
+		m->incarnation_seen_at = st->now;
 		m->config_revision = 0;
 	}
 	if (m->incarnation != row.incarnation || m->seq != row.seq) {
 		m->seen_at = st->now;
-		m->gone = false;
+		m->lease_expired = false;
 		m->leaving = row.leaving;
-	} else if (!m->gone && sent_at >= m->seen_at + st->member_lease_ms +
-						  LEASE_MARGIN_MS) {
-		m->gone = true;
-		m->gone_at = st->now;
+	} else if (!m->lease_expired && sent_at >= m->seen_at +
+							   st->member_lease_ms +
+							   LEASE_MARGIN_MS) {
+		m->lease_expired = true;
+		m->lease_expired_at = st->now;
 		effect_log(st, LOG_MEMBER_GONE, "%.*s has not renewed",
 			   BSTR_ARG(m->vm));
 	}
@@ -320,7 +321,8 @@
 	fx_commit c = {0};
 	bstr key;
 
-	if (!m->gone || st->now - m->gone_at < PEER_PROOF_MS ||
+	if (!m->lease_expired ||
+	    st->now - m->lease_expired_at < PEER_PROOF_MS ||
 	    state_random(st, 32))
 		return;
 	key = bstr_printf(MEMBER_PREFIX "%.*s", BSTR_ARG(m->vm));
--- a/reduce-op.c
+++ b/reduce-op.c
@@ -189,7 +189,7 @@
 			continue;
 		running += team_used(t);
 		queued += t->queued;
-		held += t->held;
+		held += t->allowance;
 	}
 	json_set_int(o, "running", running);
 	json_set_int(o, "queued", queued);
@@ -398,8 +398,8 @@
 	HASH_ITER(hh, st->members, m, next)
 		json_array_append_new(members,
 				      member_json(m->vm, m->dc,
-						  m->leaving ? "leaving"
-						  : m->gone  ? "gone"
+						  m->leaving	     ? "leaving"
+						  : m->lease_expired ? "gone"
 						  : member_reachable(st, m)
 							  ? "alive"
 							  : "unheard",
--- a/reduce-own.c
+++ b/reduce-own.c
@@ -161,7 +161,7 @@
 		return true;
 	/* One that is leaving hands over itself, until its lease ends. */
 	if (m)
-		return m->gone;
+		return m->lease_expired;
 	if (bstr_eq(u->unknown_owner, owner))
 		return true;
 	bstr_set(&u->unknown_owner, owner);
@@ -391,10 +391,10 @@
 		cells += u->kind == UNIT_CELL && u->state == UNIT_OWNED;
 		shards += u->kind == UNIT_SHARD && u->state == UNIT_OWNED;
 	}
-	if (cells != st->told_cells || shards != st->told_shards) {
+	if (cells != st->reported_cells || shards != st->reported_shards) {
 		effect_count(st, COUNT_CELLS, cells);
 		effect_count(st, COUNT_SHARDS, shards);
 	}
-	st->told_cells = cells;
-	st->told_shards = shards;
+	st->reported_cells = cells;
+	st->reported_shards = shards;
 }
--- a/reduce-pool.c
+++ b/reduce-pool.c
@@ -54,7 +54,7 @@
 		wave_drained(st, e->wave, e->vm, status, detail);
 	if ((e->kind == EDIT_FAILED || e->kind == EDIT_RECOVERED) &&
 	    (status == OP_OK || status == OP_NOT_FOUND))
-		worker_noted(st, e->vm, e->kind == EDIT_FAILED);
+		worker_health_recorded(st, e->vm, e->kind == EDIT_FAILED);
 	edit_free(st, e);
 }
 
@@ -70,11 +70,11 @@
 	else if (e->kind == EDIT_OPERATOR)
 		bstr_set(&e->pool, o->pool);
 	keys[0] = bstr_printf(VM_PREFIX "%.*s", BSTR_ARG(e->vm));
-	keys[1] = bstr_lit(VMS_KEY);
+	keys[1] = bstr_lit(VMS_HEAD_KEY);
 	keys[2] = bstr_printf("pool/%.*s", BSTR_ARG(e->pool));
 	name = request_name(e->id);
 	table_read(st, REQ_EDIT_READ, name, keys, 3);
-	e->flying = true;
+	e->in_flight = true;
 	bstr_free(&keys[0]);
 	bstr_free(&keys[2]);
 	bstr_free(&name);
@@ -447,7 +447,7 @@
 	room = budget > worst ? out + 1 + worst <= budget : budget && !out;
 
 	if (r->vm.state != VM_ACTIVE || bstr_eq(r->vm.wave, e->wave) ||
-	    wave_holds(st, r->vm.wave, e->vm))
+	    wave_tracks_vm(st, r->vm.wave, e->vm))
 		return edit_refuse(r, OP_CONFLICT, "not-active", NULL);
 	if (out_failed(&r->pool, e->vm))
 		return edit_refuse(r, OP_CONFLICT, "failed",
@@ -591,7 +591,7 @@
 	list[0] = (vm_change){h->generation, bstr_copy(vm)};
 	h->recent.recent_val = list;
 	h->recent.recent_len = n + 1;
-	while (h->recent.recent_len > RECENT_MAX)
+	while (h->recent.recent_len > HEAD_RECENT_MAX)
 		bstr_free(&list[--h->recent.recent_len].vm);
 }
 
@@ -608,9 +608,9 @@
 	if (r->pool_write)
 		commit_put(&c, pool, XDR_PROC(xdr_pool_row), &r->pool);
 	if (r->vm_write || r->vm_remove) {
-		commit_check(&c, bstr_lit(VMS_KEY), r->head_revision);
+		commit_check(&c, bstr_lit(VMS_HEAD_KEY), r->head_revision);
 		head_note(&r->head, e->vm);
-		commit_put(&c, bstr_lit(VMS_KEY), XDR_PROC(xdr_vms_head),
+		commit_put(&c, bstr_lit(VMS_HEAD_KEY), XDR_PROC(xdr_vms_head),
 			   &r->head);
 	}
 	if (r->vm_write)
@@ -642,7 +642,7 @@
  */
 static void edit_again(struct state *st, struct edit *e)
 {
-	e->flying = false;
+	e->in_flight = false;
 	e->retry_at = st->now + EDIT_RETRY_MS +
 		      (int64_t)state_random(st, EDIT_RETRY_MS);
 	if (++e->tries >= EDIT_TRIES && e->kind == EDIT_OPERATOR)
@@ -667,7 +667,7 @@
 	}
 	/* Our view of its pool was old: read that pool's row instead. */
 	if (r.vm_revision && !bstr_eq(r.vm.pool, e->pool)) {
-		vm_take(st, &ev->rows.rows_val[0]);
+		vm_row_apply(st, &ev->rows.rows_val[0]);
 		rows_free(&r);
 		edit_again(st, e);
 		return;
@@ -700,7 +700,7 @@
 	switch (ev->outcome) {
 	case PLATFORM_OK:
 		st->heads_at = st->now;
-		vms_take_own(st, rq, ev);
+		vms_apply_committed(st, rq, ev);
 		edit_answer(st, e, OP_OK, e->reason, "", 0);
 		break;
 	case PLATFORM_CONFLICT:
@@ -726,7 +726,7 @@
 
 	for (e = TAILQ_FIRST(&st->edits); e; e = next) {
 		next = TAILQ_NEXT(e, entry);
-		if (e->flying)
+		if (e->in_flight)
 			continue;
 		if (st->now >= e->deadline)
 			edit_answer(st, e, OP_UNAVAILABLE,
--- a/reduce-queue.c
+++ b/reduce-queue.c
@@ -192,7 +192,7 @@
 	if (!boot_recorded(w))
 		return false;
 	r = &v->row;
-	if (w->used + w->unconfirmed_count >= r->slots + !!left)
+	if (w->task_count + w->unconfirmed_count >= r->slots + !!left)
 		return false;
 	if (r->cpu_milli &&
 	    w->cpu_used + t->spec.cpu_milli > r->cpu_milli + free_of->cpu_milli)
@@ -231,7 +231,7 @@
 		if (other && bstr_eq(w->vm, t->avoid_vm))
 			continue;
 		if (worker_usable(st, w) && worker_fits(st, w, t, NULL) &&
-		    (!best || w->used < best->used))
+		    (!best || w->task_count < best->task_count))
 			best = w;
 	}
 	return best;
@@ -505,8 +505,9 @@
 		if (!v || !worker_usable(st, w))
 			continue;
 		++*usable;
-		if (w->used + w->unconfirmed_count < v->row.slots)
-			room += v->row.slots - w->used - w->unconfirmed_count;
+		if (w->task_count + w->unconfirmed_count < v->row.slots)
+			room += v->row.slots - w->task_count -
+				w->unconfirmed_count;
 	}
 	return room;
 }
@@ -546,7 +547,7 @@
 			"the team runs %u of the %u that this cell holds of "
 			"its upper limit %u; other cells hold the rest, or "
 			"the platform has not answered",
-			used, t->team->held, team->limit);
+			used, t->team->allowance, team->limit);
 		return "allowance";
 	}
 	if (!room) {
--- a/reduce-table.c
+++ b/reduce-table.c
@@ -256,11 +256,11 @@
 	case REQ_BOOTS_COMMIT:
 		boots_committed(st, rq, ev);
 		break;
-	case REQ_ALLOW_READ:
-		allow_read(st, rq, ev);
+	case REQ_ALLOWANCE_READ:
+		allowance_read(st, rq, ev);
 		break;
-	case REQ_ALLOW_COMMIT:
-		allow_committed(st, rq, ev);
+	case REQ_ALLOWANCE_COMMIT:
+		allowance_committed(st, rq, ev);
 		break;
 	case REQ_VMS_SCAN:
 		vms_scanned(st, rq, ev);
--- a/reduce-vm.c
+++ b/reduce-vm.c
@@ -44,7 +44,7 @@
 }
 
 /* Take one row: newer than what we hold, or gone. */
-void vm_take(struct state *st, const table_row *r)
+void vm_row_apply(struct state *st, const table_row *r)
 {
 	bstr name = bstr_ref(r->key.bstr_val + sizeof(VM_PREFIX) - 1,
 			     r->key.bstr_len - (sizeof(VM_PREFIX) - 1));
@@ -80,8 +80,8 @@
 }
 
 /* What we have committed ourselves need not be read again. */
-void vms_take_own(struct state *st, const struct request *rq,
-		  const ev_platform *ev)
+void vms_apply_committed(struct state *st, const struct request *rq,
+			 const ev_platform *ev)
 {
 	const size_t n = sizeof(VM_PREFIX) - 1;
 	table_row r;
@@ -94,7 +94,7 @@
 		    memcmp(w->key.bstr_val, VM_PREFIX, n) != 0)
 			continue;
 		r = (table_row){w->key, row_version(ev, w->key), w->value};
-		vm_take(st, &r);
+		vm_row_apply(st, &r);
 	}
 }
 
@@ -129,10 +129,10 @@
 /* Read the rows that changed since the generation we hold, each once. */
 static void vms_read_recent(struct state *st, const vms_head *h)
 {
-	bstr keys[RECENT_MAX] = {BSTR_NONE};
+	bstr keys[HEAD_RECENT_MAX] = {BSTR_NONE};
 	size_t n = 0, i;
 
-	for (i = 0; i < h->recent.recent_len && n < RECENT_MAX; i++) {
+	for (i = 0; i < h->recent.recent_len && n < HEAD_RECENT_MAX; i++) {
 		const vm_change *c = &h->recent.recent_val[i];
 
 		if (c->generation > st->vms_generation && !change_named(h, i))
@@ -147,7 +147,7 @@
 /* The VMs' head was read: if it has moved, read what changed. */
 void vms_head_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
-	const table_row *r = row_find(ev, bstr_lit(VMS_KEY));
+	const table_row *r = row_find(ev, bstr_lit(VMS_HEAD_KEY));
 	vms_head h = {0};
 	uint64_t first = 0;
 
@@ -182,7 +182,7 @@
 	if (ev->outcome != PLATFORM_OK)
 		return;
 	for (i = 0; i < ev->rows.rows_len; i++)
-		vm_take(st, &ev->rows.rows_val[i]);
+		vm_row_apply(st, &ev->rows.rows_val[i]);
 	vms_reached(st, rq);
 }
 
@@ -198,7 +198,7 @@
 	HASH_ITER(hh, st->vms, v, next)
 		v->marked = false;
 	for (i = 0; i < ev->rows.rows_len; i++)
-		vm_take(st, &ev->rows.rows_val[i]);
+		vm_row_apply(st, &ev->rows.rows_val[i]);
 	HASH_ITER(hh, st->vms, v, next) {
 		if (!v->marked)
 			vm_free(st, v);
--- a/reduce-wave.c
+++ b/reduce-wave.c
@@ -95,7 +95,7 @@
 		w->started_at = 0;
 	} else if (!w->started_at) {
 		w->started_at = st->now;
-		w->done_then = wave_done(&row);
+		w->done_at_start = wave_done(&row);
 	}
 	HASH_ADD_BSTR(st->waves, row.wave, w);
 }
@@ -110,7 +110,7 @@
 	if (ev->outcome != PLATFORM_OK)
 		return;
 	HASH_ITER(hh, st->waves, w, next)
-		w->marked = w->flying;
+		w->marked = w->in_flight;
 	for (i = 0; i < ev->rows.rows_len; i++)
 		wave_take(st, &ev->rows.rows_val[i]);
 	HASH_ITER(hh, st->waves, w, next) {
@@ -140,7 +140,7 @@
 	table_row r;
 
 	if (w)
-		w->flying = false;
+		w->in_flight = false;
 	st->waves_at = st->now;
 	if (ev->outcome != PLATFORM_OK || !w)
 		return;
@@ -165,12 +165,12 @@
 		bstr_free(&w->blocked);
 		return;
 	}
-	w->next_at = st->now +
-		     (status == OP_REFUSED ? WAVE_REFUSED_MS : WAVE_NEXT_MS);
+	w->next_drain_at = st->now + (status == OP_REFUSED ? WAVE_REFUSED_MS
+							   : WAVE_NEXT_MS);
 	for (i = 0; i < w->row.vms.vms_len && status == OP_CONFLICT; i++) {
 		if (!bstr_eq(w->row.vms.vms_val[i].vm, vm))
 			continue;
-		w->from = i + 1;
+		w->next_index = i + 1;
 	}
 	if (!*detail)
 		return;
@@ -184,7 +184,7 @@
  * Has a wave still to note what became of a VM?  If another one drained it
  * before that, it would look as if it had been taken away.
  */
-bool wave_holds(struct state *st, bstr wave, bstr vm)
+bool wave_tracks_vm(struct state *st, bstr wave, bstr vm)
 {
 	struct wave *w = wave_find(st, wave);
 	u_int i;
@@ -260,10 +260,10 @@
 {
 	u_int i, n = w->row.vms.vms_len;
 
-	if (st->now < w->next_at)
+	if (st->now < w->next_drain_at)
 		return;
 	for (i = 0; i < n; i++) {
-		const wave_vm *v = &w->row.vms.vms_val[(w->from + i) % n];
+		const wave_vm *v = &w->row.vms.vms_val[(w->next_index + i) % n];
 		struct vm *vm = vm_find(st, v->vm);
 
 		if (wave_look(st, w, v) != STEP_WAITING || !vm ||
@@ -301,7 +301,7 @@
 {
 	wave_row row;
 
-	if (w->flying || !wave_mine(st, w) || w->row.state == WAVE_PLANNED ||
+	if (w->in_flight || !wave_mine(st, w) || w->row.state == WAVE_PLANNED ||
 	    w->row.state == WAVE_FINISHED)
 		return;
 	xdr_copy(XDR_PROC(xdr_wave_row), &row, &w->row, sizeof(row));
@@ -310,7 +310,7 @@
 	 * being drained as one that was given back, and it would be passed.
 	 */
 	if (st->vms_at > w->read_at && wave_follow(st, w, &row)) {
-		w->flying = true;
+		w->in_flight = true;
 		wave_write(st, REQ_WAVE_COMMIT, w->row.wave, &row, w->revision);
 		if (row.state == WAVE_FINISHED)
 			effect_log(st, LOG_WAVE_CHANGED, "%.*s finished",
@@ -600,10 +600,10 @@
 	json_object_set_new(o, "late", late);
 	/* From what was done since this VM has seen it run. */
 	if (w->row.state == WAVE_RUNNING && w->started_at &&
-	    done > w->done_then)
+	    done > w->done_at_start)
 		json_set_int(o, "expected_ms",
 			     (uint64_t)(st->now - w->started_at) * left /
-				     (done - w->done_then));
+				     (done - w->done_at_start));
 	if (steps)
 		json_object_set_new(o, "vms", list);
 	else
--- a/reduce-why.c
+++ b/reduce-why.c
@@ -133,7 +133,7 @@
 	json_set_str(o, "pool", c->unit->id.pool);
 	json_set_str(o, "dc", c->unit->id.dc);
 	json_set_int(o, "running", team_used(t));
-	json_set_int(o, "held", t->held);
+	json_set_int(o, "held", t->allowance);
 	json_set_int(o, "queued", t->queued);
 	json_object_set_new(o, "gate", json_string(gate));
 	json_set_str(o, "detail", detail);
--- a/reduce-worker.c
+++ b/reduce-worker.c
@@ -177,10 +177,10 @@
 {
 	fx_worker *x = worker_exchange(st, w, true);
 
-	w->full = !w->seq;
+	w->watch_full = !w->seq;
 	w->watch_sent_at = st->now;
 	x->since = w->seq;
-	x->wait_ms = w->full || w->silent ? 0 : st->watch_ms;
+	x->wait_ms = w->watch_full || w->silent ? 0 : st->watch_ms;
 }
 
 /* Is a task's start to go to its worker now? */
@@ -431,9 +431,9 @@
 	if (!watch || restarted)
 		return;
 	/* 0 asks for a full list: once wanted, only a full list ends that. */
-	if (w->full ? worker_take_full(st, w, ev) : w->seq != 0)
+	if (w->watch_full ? worker_take_full(st, w, ev) : w->seq != 0)
 		w->seq = ev->seq ? ev->seq : 1;
-	else if (w->full)
+	else if (w->watch_full)
 		w->watch_at = st->now + FULL_AGAIN_MS;
 }
 
@@ -574,15 +574,16 @@
 static void worker_note_state(struct state *st, struct worker *w)
 {
 	struct vm *v = vm_find(st, w->vm);
-	enum worker_note is = NOTED_NOTHING;
+	enum worker_health is = HEALTH_UNKNOWN;
 
 	if (w->lost && v && v->row.state != VM_OUT)
-		is = NOTED_FAILED;
+		is = HEALTH_FAILED;
 	else if (w->fenced && !w->silent)
-		is = NOTED_WELL;
-	if (!v || !w->listed || is == NOTED_NOTHING || is == w->noted)
+		is = HEALTH_OK;
+	if (!v || !w->listed || is == HEALTH_UNKNOWN ||
+	    is == w->recorded_health)
 		return;
-	edit_vm(st, is == NOTED_FAILED ? EDIT_FAILED : EDIT_RECOVERED, w->vm,
+	edit_vm(st, is == HEALTH_FAILED ? EDIT_FAILED : EDIT_RECOVERED, w->vm,
 		BSTR_NONE);
 }
 
@@ -605,12 +606,12 @@
 }
 
 /* The pool's row says now whether a worker is lost. */
-void worker_noted(struct state *st, bstr vm, bool failed)
+void worker_health_recorded(struct state *st, bstr vm, bool failed)
 {
 	struct worker *w = worker_of_vm(st, vm);
 
 	if (w)
-		w->noted = failed ? NOTED_FAILED : NOTED_WELL;
+		w->recorded_health = failed ? HEALTH_FAILED : HEALTH_OK;
 }
 
 /* Has a task's home ended, with the caller that waited there? */
@@ -636,7 +637,8 @@
 {
 	const struct task *t;
 
-	if (!w->fenced || w->silent || w->used || !TAILQ_EMPTY(&w->unconfirmed))
+	if (!w->fenced || w->silent || w->task_count ||
+	    !TAILQ_EMPTY(&w->unconfirmed))
 		return false;
 	TAILQ_FOREACH(t, &w->tasks, worker_entry)
 		if (!task_orphaned(st, t))
--- a/reduce.c
+++ b/reduce.c
@@ -140,7 +140,7 @@
 	TAILQ_INIT(&st->questions);
 	TAILQ_INIT(&st->asks);
 	/* Distances to the past must hold from the first event on. */
-	st->tick_at = -1;
+	st->last_event_at = -1;
 	st->proof_at = INT64_MIN / 2;
 	st->platform_at = INT64_MIN / 2;
 	st->lease_until = INT64_MIN / 2;
@@ -266,10 +266,10 @@
  */
 static void reduce_pause(struct state *st)
 {
-	int64_t gap = st->now - st->tick_at;
+	int64_t gap = st->now - st->last_event_at;
 
-	if (st->tick_at >= 0 && gap > PAUSE_MS + st->tick_ms) {
-		st->woke_at = st->now;
+	if (st->last_event_at >= 0 && gap > PAUSE_DETECT_MS + st->tick_ms) {
+		st->resumed_at = st->now;
 		effect_log(st, LOG_PAUSED, "no event for %lld ms",
 			   (long long)gap);
 		effect_count(st, COUNT_PAUSES, 1);
@@ -277,7 +277,7 @@
 		members_paused(st);
 		jobs_paused(st);
 	}
-	st->tick_at = st->now;
+	st->last_event_at = st->now;
 }
 
 /* Begin a planned stop: the balancer is told first. */
--- a/reduce.h
+++ b/reduce.h
@@ -16,12 +16,12 @@
  * A message to a peer is not sent after this, see edge-peer.c, and not taken
  * after the second, by wall clocks that differ by up to a second.
  */
-#define MESSAGE_LIFE_MS 2000
-#define MESSAGE_DEAD_MS (MESSAGE_LIFE_MS + 1000)
+#define MESSAGE_TTL_MS 2000
+#define MESSAGE_EXPIRED_MS (MESSAGE_TTL_MS + 1000)
 /* A process that took no event for so long was paused. */
-#define PAUSE_MS 1000
+#define PAUSE_DETECT_MS 1000
 #define TASK_START_BY_MS 3000
-#define NOTIFY_MS 1000
+#define NOTIFY_RETRY_MS 1000
 #define RETRY_AFTER_MS 1000
 /* Failures in a row from which a worker is suspected of failing all. */
 #define WORKER_SUSPECT_FAILURES 4
@@ -50,8 +50,8 @@
 	REQ_JOURNAL_TRIM,
 	REQ_BOOTS_READ,
 	REQ_BOOTS_COMMIT,
-	REQ_ALLOW_READ,
-	REQ_ALLOW_COMMIT,
+	REQ_ALLOWANCE_READ,
+	REQ_ALLOWANCE_COMMIT,
 	REQ_VMS_SCAN,
 	REQ_VMS_READ,
 	REQ_VM_LIST,
@@ -95,12 +95,12 @@
 	uint64_t revision; /* of its row */
 	int64_t seen_at;   /* when this seq was first read */
 	bool leaving;
-	bool gone; /* its lease has ended, by our reading */
-	int64_t gone_at;
+	bool lease_expired; /* its lease has ended, by our reading */
+	int64_t lease_expired_at;
 	bool listed;
 	uint64_t ping_seq;
 	int64_t ping_at;
-	int64_t known_at;  /* this life of it, here */
+	int64_t incarnation_seen_at; /* this life of it, here */
 	int64_t ponged_at; /* when the latest answered ping was sent */
 	int64_t heard_at;
 	int64_t proof_at; /* its proof, on our clock */
@@ -231,12 +231,12 @@
 
 struct shard {
 	struct unit *unit;
-	struct journal_list pending; /* not sent yet */
-	struct journal_list flying;  /* in the commit under way */
+	struct journal_list pending;   /* not sent yet */
+	struct journal_list in_flight; /* in the commit under way */
 	struct segment_list segments;
 	uint64_t next_segment;
-	uint64_t commit;	/* request id, 0: none */
-	struct segment *target; /* of that commit */
+	uint64_t commit_request;	/* request id, 0: none */
+	struct segment *commit_segment; /* of that commit */
 	int64_t flushed_at;
 	int64_t flush_at; /* when the oldest of pending is due */
 	int64_t trim_at;
@@ -305,24 +305,24 @@
 	unsigned queued;
 	unsigned running; /* started and not known to have ended */
 	unsigned unconfirmed;
-	uint32_t held;	  /* of the team's upper limit, in this cell */
-	bool loaded;	  /* held is known */
-	bool stale;	  /* the row must be read before it is written */
-	bool blocked;	  /* in the scheduling pass under way */
-	int64_t long_at;  /* when long work of it was last started */
-	uint64_t started; /* tasks, for the round robin of the bench */
+	uint32_t allowance; /* of the team's upper limit, in this cell */
+	bool loaded;	    /* held is known */
+	bool stale;	    /* the row must be read before it is written */
+	bool blocked;	    /* in the scheduling pass under way */
+	int64_t long_at;    /* when long work of it was last started */
+	uint64_t started;   /* tasks, for the round robin of the bench */
 	allow_row row;
 	uint64_t revision;
-	uint64_t request; /* read or commit under way */
-	uint32_t wrote;	  /* the hold in that commit */
-	bool capped;	  /* a write of cap over cap_revision may still land */
+	uint64_t request;	   /* read or commit under way */
+	uint32_t commit_allowance; /* the hold in that commit */
+	bool capped; /* a write of cap over cap_revision may still land */
 	uint32_t cap;
 	uint64_t cap_revision;
 	int64_t retry_at;
-	int64_t idle_at; /* since when most is looked for */
-	uint32_t most;	 /* used since then: what exceeds it is given back */
-	uint32_t asked;	 /* by other cells, to be given back */
-	int64_t want_at; /* when others are asked next */
+	int64_t idle_at;    /* since when most is looked for */
+	uint32_t peak_need; /* used since then: what exceeds it is given back */
+	uint32_t return_requested; /* by other cells, to be given back */
+	int64_t request_more_at;   /* when others are asked next */
 	UT_hash_handle hh;
 };
 
@@ -334,7 +334,7 @@
 TAILQ_HEAD(order_list, order);
 
 /* What its pool's row was last made to say of a worker. */
-enum worker_note { NOTED_NOTHING, NOTED_WELL, NOTED_FAILED };
+enum worker_health { HEALTH_UNKNOWN, HEALTH_OK, HEALTH_FAILED };
 
 struct worker {
 	struct cell *cell;
@@ -345,8 +345,8 @@
 	bool lost; /* silent beyond its tasks' leases */
 	bool dead; /* lost, and no longer in the platform's list */
 	bool leaving;
-	bool listed; /* its row is in this cell's pool */
-	bool full;   /* the watch under way lists everything */
+	bool listed;	 /* its row is in this cell's pool */
+	bool watch_full; /* the watch under way lists everything */
 	bstr boot;
 	uint64_t seq;
 	uint64_t watch; /* request ids, 0: none */
@@ -360,9 +360,9 @@
 	int64_t drain_by;   /* tasks are moved then; 0: not draining */
 	int64_t reboot_at;  /* when a reboot is asked for next */
 	int64_t set_aside_until;
-	enum worker_note noted;
-	unsigned failures; /* in a row */
-	unsigned used;	   /* tasks taken to be on it */
+	enum worker_health recorded_health;
+	unsigned failures;   /* in a row */
+	unsigned task_count; /* tasks taken to be on it */
 	uint32_t cpu_used;
 	uint32_t memory_used;
 	uint32_t accelerators_used;
@@ -432,11 +432,11 @@
 	bstr vm; /* the VM that asked, empty: this one */
 	op_request request;
 	json_t *doc;
-	uint64_t base; /* revision it was made from */
-	uint64_t head; /* row version to replace */
+	uint64_t base_revision; /* revision it was made from */
+	uint64_t head_revision; /* row version to replace */
 	bstr object;
 	unsigned tries;
-	bool flying;
+	bool in_flight;
 	uint64_t accepted; /* revision it became, once committed */
 	int64_t made_at;
 	int64_t deadline;
@@ -469,7 +469,7 @@
 	unsigned tries;
 	int64_t deadline;
 	int64_t retry_at;
-	bool flying;
+	bool in_flight;
 };
 TAILQ_HEAD(edit_list, edit);
 
@@ -477,14 +477,14 @@
 struct wave {
 	wave_row row;
 	uint64_t revision;
-	bool flying; /* a commit of its row */
+	bool in_flight; /* a commit of its row */
 	bool marked;
-	int64_t read_at;    /* when the row came */
-	bstr blocked;	    /* why the next VM is not drained */
-	int64_t next_at;    /* no drain before */
-	unsigned from;	    /* the place in the list to look on from */
-	int64_t started_at; /* here, to estimate the end */
-	unsigned done_then;
+	int64_t read_at;       /* when the row came */
+	bstr blocked;	       /* why the next VM is not drained */
+	int64_t next_drain_at; /* no drain before */
+	unsigned next_index;   /* the place in the list to look on from */
+	int64_t started_at;    /* here, to estimate the end */
+	unsigned done_at_start;
 	UT_hash_handle hh;
 };
 
@@ -553,8 +553,8 @@
 	uint32_t queue_per_cell, queue_per_team, retention_ms, attempts;
 
 	int64_t now;
-	int64_t tick_at; /* latest event */
-	int64_t woke_at; /* end of the latest pause */
+	int64_t last_event_at; /* latest event */
+	int64_t resumed_at;    /* end of the latest pause */
 	struct effects *out;
 	struct local_list local;
 	uint64_t next_request;
@@ -610,7 +610,8 @@
 
 	struct unit *units;
 	uint64_t units_revision; /* of the configuration they follow */
-	uint64_t told_cells, told_shards, told_queued, told_running;
+	uint64_t reported_cells, reported_shards, reported_queued,
+		reported_running;
 	struct job *jobs;
 	struct job_list active;
 	struct job_list finished;
@@ -822,13 +823,13 @@
 void worker_free(struct cell *c, struct worker *w);
 void worker_confirm_ended(struct worker *w, bstr task);
 bool worker_is_empty(struct state *st, bstr vm); /* and ours to decide */
-void worker_noted(struct state *st, bstr vm, bool failed);
+void worker_health_recorded(struct state *st, bstr vm, bool failed);
 void worker_add_unconfirmed(struct worker *w, bstr task,
 			    struct cell_team *team);
 
 /* reduce-boot.c: whether workers remember. */
 void boots_tick(struct state *st, struct cell *c);
-bool boots_settled(struct state *st, struct cell *c);
+bool boots_durable(struct state *st, struct cell *c);
 bool boot_recorded(const struct worker *w);
 void boots_read(struct state *st, struct request *rq, const ev_platform *ev);
 void boots_committed(struct state *st, struct request *rq,
@@ -838,19 +839,20 @@
 void limits_tick(struct state *st, struct cell *c);
 uint32_t limit_spendable(struct state *st, struct cell *c, struct cell_team *t);
 uint32_t team_used(const struct cell_team *t);
-void allow_read(struct state *st, struct request *rq, const ev_platform *ev);
-void allow_committed(struct state *st, struct request *rq,
-		     const ev_platform *ev);
+void allowance_read(struct state *st, struct request *rq,
+		    const ev_platform *ev);
+void allowance_committed(struct state *st, struct request *rq,
+			 const ev_platform *ev);
 void limit_wanted(struct state *st, const pm_want *m);
 void cell_team_free(struct cell *c, struct cell_team *t);
 
 /* reduce-vm.c: the VMs' rows and the platform's list. */
 #define VM_PREFIX "vm/"
-#define VMS_KEY "vms/head"
-#define RECENT_MAX 64 /* changes that the head names */
-void vm_take(struct state *st, const table_row *r);
-void vms_take_own(struct state *st, const struct request *rq,
-		  const ev_platform *ev);
+#define VMS_HEAD_KEY "vms/head"
+#define HEAD_RECENT_MAX 64 /* changes that the head names */
+void vm_row_apply(struct state *st, const table_row *r);
+void vms_apply_committed(struct state *st, const struct request *rq,
+			 const ev_platform *ev);
 void vms_head_read(struct state *st, struct request *rq, const ev_platform *ev);
 void vms_rows_read(struct state *st, struct request *rq, const ev_platform *ev);
 void vms_scanned(struct state *st, struct request *rq, const ev_platform *ev);
@@ -882,7 +884,7 @@
 		    const ev_platform *ev);
 void wave_drained(struct state *st, bstr wave, bstr vm, op_status status,
 		  const char *detail);
-bool wave_holds(struct state *st, bstr wave, bstr vm);
+bool wave_tracks_vm(struct state *st, bstr wave, bstr vm);
 void waves_tick(struct state *st);
 void waves_free(struct state *st);
 
