--- a/edge-platform.c
+++ b/edge-platform.c
@@ -118,8 +118,9 @@
 		r->body = bstr_copy(fx->effect_u.object.body);
 		break;
 	case FX_REBOOT:
-		r->body = json_write(json_pack(
-			"{s:o}", "boot", bstr_json(fx->effect_u.reboot.boot)));
+		r->body = json_write(
+			json_pack("{s:o}", "boot",
+				  bstr_json(fx->effect_u.reboot.boot_id)));
 		break;
 	default:
 		break;
--- a/edge-worker.c
+++ b/edge-worker.c
@@ -207,8 +207,8 @@
 	     bstr_eq(name, w->vm);
 	bstr_free(&name);
 	return ok && json_read_bool(j, "leaving", &ev->leaving) &&
-	       json_read_text(j, "boot", NAME_BYTES, &ev->boot) &&
-	       ev->boot.bstr_len && json_read_u64(j, "epoch", &ev->epoch) &&
+	       json_read_text(j, "boot", NAME_BYTES, &ev->boot_id) &&
+	       ev->boot_id.bstr_len && json_read_u64(j, "epoch", &ev->epoch) &&
 	       ev->epoch >= w->epoch && json_read_u64(j, "seq", &ev->seq) &&
 	       json_read_u32(j, "slots", &ev->slots) &&
 	       tasks_read(json_object_get(j, "tasks"), w, ev);
@@ -218,7 +218,7 @@
 static bool stale_read(const json_t *j, const fx_worker *w, ev_worker *ev)
 {
 	return json_read_u64(j, "epoch", &ev->epoch) && ev->epoch > w->epoch &&
-	       json_read_text(j, "boot", NAME_BYTES, &ev->boot);
+	       json_read_text(j, "boot", NAME_BYTES, &ev->boot_id);
 }
 
 /* Read an answer with a status. */
--- a/event.h
+++ b/event.h
@@ -96,7 +96,7 @@
 struct fx_reboot {
 	uint64_t req;
 	bstr vm;
-	bstr boot;
+	bstr boot_id;
 };
 typedef struct fx_reboot fx_reboot;
 
@@ -199,7 +199,7 @@
 	uint64_t req;
 	bstr vm;
 	worker_outcome outcome;
-	bstr boot;
+	bstr boot_id;
 	uint64_t epoch;
 	uint64_t seq;
 	bool_t leaving;
--- a/event.x
+++ b/event.x
@@ -68,7 +68,7 @@
 struct fx_reboot {
 	uint64_t req;
 	bstr vm;
-	bstr boot;
+	bstr boot_id;
 };
 
 struct ev_platform {
@@ -155,7 +155,7 @@
 	uint64_t req;
 	bstr vm;
 	worker_outcome outcome;
-	bstr boot;		/* changes when the worker restarts */
+	bstr boot_id;		/* changes when the worker restarts */
 	uint64_t epoch;		/* the highest it has seen for the cell */
 	uint64_t seq;
 	bool leaving;
--- a/event_xdr.c
+++ b/event_xdr.c
@@ -142,7 +142,7 @@
 		 return FALSE;
 	 if (!xdr_bstr (xdrs, &objp->vm))
 		 return FALSE;
-	 if (!xdr_bstr (xdrs, &objp->boot))
+	 if (!xdr_bstr (xdrs, &objp->boot_id))
 		 return FALSE;
 	return TRUE;
 }
@@ -300,7 +300,7 @@
 		 return FALSE;
 	 if (!xdr_worker_outcome (xdrs, &objp->outcome))
 		 return FALSE;
-	 if (!xdr_bstr (xdrs, &objp->boot))
+	 if (!xdr_bstr (xdrs, &objp->boot_id))
 		 return FALSE;
 	 if (!xdr_uint64_t (xdrs, &objp->epoch))
 		 return FALSE;
--- a/reduce-ask.c
+++ b/reduce-ask.c
@@ -20,7 +20,7 @@
 	a->id = ++st->next_serial;
 	a->call = call;
 	a->deadline = deadline;
-	a->vms = bstr_new(" ");
+	a->pending_vms = bstr_new(" ");
 	xdr_copy(XDR_PROC(xdr_op_request), &a->request, rq, sizeof(*rq));
 	TAILQ_INSERT_TAIL(&st->asks, a, entry);
 	return a;
@@ -31,7 +31,7 @@
 	TAILQ_REMOVE(&st->asks, a, entry);
 	xdr_free(XDR_PROC(xdr_op_request), (char *)&a->request);
 	xdr_free(XDR_PROC(xdr_op_reply), (char *)&a->reply);
-	bstr_free(&a->vms);
+	bstr_free(&a->pending_vms);
 	json_decref(a->body);
 	free(a);
 }
@@ -49,11 +49,12 @@
 static void ask_send(struct state *st, struct ask *a, bstr vm)
 {
 	peer_message msg = {.kind = PM_OPERATE};
-	bstr vms = bstr_printf("%.*s%.*s ", BSTR_ARG(a->vms), BSTR_ARG(vm));
+	bstr vms = bstr_printf("%.*s%.*s ", BSTR_ARG(a->pending_vms),
+			       BSTR_ARG(vm));
 
-	bstr_free(&a->vms);
-	a->vms = vms;
-	a->open++;
+	bstr_free(&a->pending_vms);
+	a->pending_vms = vms;
+	a->pending++;
 	msg.peer_message_u.operate = (pm_operate){a->id, a->request};
 	peer_send(st, vm, &msg);
 }
@@ -174,14 +175,14 @@
 /* Answer the operator with what there is. */
 static void ask_finish(struct state *st, struct ask *a)
 {
-	char *missing = bstr_cstr(a->vms), *detail, *reason;
+	char *missing = bstr_cstr(a->pending_vms), *detail, *reason;
 
 	if (a->body) {
-		detail = a->open ? xasprintf("no answer from:%s", missing)
-				 : xstrdup("");
-		op_answer(st, a->call, OP_OK, a->open ? "partial" : "", detail,
-			  0, json_incref(a->body));
-	} else if (a->open) {
+		detail = a->pending ? xasprintf("no answer from:%s", missing)
+				    : xstrdup("");
+		op_answer(st, a->call, OP_OK, a->pending ? "partial" : "",
+			  detail, 0, json_incref(a->body));
+	} else if (a->pending) {
 		detail = xasprintf("no answer from:%s", missing);
 		op_answer(st, a->call, OP_UNAVAILABLE, "no-answer", detail,
 			  RETRY_AFTER_MS, NULL);
@@ -201,17 +202,18 @@
 static bool ask_strike(struct ask *a, bstr vm)
 {
 	bstr name = bstr_printf(" %.*s ", BSTR_ARG(vm));
-	char *at = memmem(a->vms.bstr_val, a->vms.bstr_len, name.bstr_val,
-			  name.bstr_len);
+	char *at = memmem(a->pending_vms.bstr_val, a->pending_vms.bstr_len,
+			  name.bstr_val, name.bstr_len);
 	size_t rest;
 
 	if (at) {
-		rest = (size_t)(a->vms.bstr_val + a->vms.bstr_len - at) -
+		rest = (size_t)(a->pending_vms.bstr_val +
+				a->pending_vms.bstr_len - at) -
 		       name.bstr_len;
 		/* The space before the next name stays. */
 		memmove(at + 1, at + name.bstr_len, rest);
-		a->vms.bstr_len -= name.bstr_len - 1;
-		a->open--;
+		a->pending_vms.bstr_len -= name.bstr_len - 1;
+		a->pending--;
 	}
 	bstr_free(&name);
 	return at;
@@ -236,7 +238,7 @@
 		xdr_copy(XDR_PROC(xdr_op_reply), &a->reply, &m->reply,
 			 sizeof(a->reply));
 	}
-	if (!a->open)
+	if (!a->pending)
 		ask_finish(st, a);
 }
 
--- a/reduce-boot.c
+++ b/reduce-boot.c
@@ -39,7 +39,7 @@
 {
 	const worker_boot *b = boot_find(&w->cell->boots, w->vm);
 
-	return w->cell->boots_loaded && b && bstr_eq(b->boot, w->boot);
+	return w->cell->boots_loaded && b && bstr_eq(b->boot, w->boot_id);
 }
 
 /* Take entries of VMs that are no longer this cell's out of a row. */
@@ -73,17 +73,17 @@
 	worker_boot *b = boot_find(row, w->vm);
 	u_int n = row->boots.boots_len;
 
-	if (b && bstr_eq(b->boot, w->boot))
+	if (b && bstr_eq(b->boot, w->boot_id))
 		return false;
 	if (b) {
 		row->forgotten = TRUE;
-		bstr_set(&b->boot, w->boot);
+		bstr_set(&b->boot, w->boot_id);
 		return true;
 	}
 	row->boots.boots_val = xrealloc(row->boots.boots_val, n + 1,
 					sizeof(*b));
 	row->boots.boots_val[n] = (worker_boot){bstr_copy(w->vm),
-						bstr_copy(w->boot)};
+						bstr_copy(w->boot_id)};
 	row->boots.boots_len++;
 	return true;
 }
--- a/reduce-call.c
+++ b/reduce-call.c
@@ -218,7 +218,7 @@
 	struct forward *f;
 
 	while ((f = TAILQ_FIRST(&st->forwards))) {
-		if (f->gather && !--f->gather->open) {
+		if (f->gather && !--f->gather->pending) {
 			xdr_free(XDR_PROC(xdr_caller_answer),
 				 (char *)&f->gather->answer);
 			free(f->gather);
@@ -287,7 +287,7 @@
 			 &a->jobs.jobs_val[i], sizeof(job_view));
 	}
 	g->missing += !a;
-	if (--g->open)
+	if (--g->pending)
 		return;
 	if (g->missing) {
 		detail = xasprintf("%u VMs did not answer: jobs there may be "
@@ -343,13 +343,13 @@
 	g->answer.http = 200;
 	f = forward_new(st, call, rq, team, 0, st->vm, deadline);
 	f->gather = g;
-	g->open = 1;
+	g->pending = 1;
 	HASH_ITER(hh, st->members, m, next) {
 		if (!member_alive(m))
 			continue;
 		f = forward_new(st, call, rq, team, 0, m->vm, deadline);
 		f->gather = g;
-		g->open++;
+		g->pending++;
 	}
 	for (f = TAILQ_FIRST(&st->forwards); f; f = TAILQ_NEXT(f, entry))
 		if (f->gather == g)
--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -372,7 +372,7 @@
 		t->view.state = JOB_RUNNING;
 		t->unsent = false;
 		if (first) {
-			t->known_at = st->now;
+			t->running_seen_at = st->now;
 			task_notify(st, c, t);
 		}
 		return;
--- a/reduce-config.c
+++ b/reduce-config.c
@@ -52,7 +52,7 @@
 		error_init(&e);
 		if (!st->config)
 			st->config = config_parse(bstr_lit("{}"), 0, &e);
-		st->head_at = rq->sent_at;
+		st->head_confirmed_at = rq->sent_at;
 		proof_platform(st, rq->sent_at);
 		return;
 	}
@@ -60,7 +60,7 @@
 		effect_log(st, LOG_CONFIG_BAD, "the head can't be read");
 	} else if (st->config && revision <= st->config->revision) {
 		st->config_known = true;
-		st->head_at = rq->sent_at;
+		st->head_confirmed_at = rq->sent_at;
 		proof_platform(st, rq->sent_at);
 	} else if (!st->get_request) {
 		st->get_request = object_get(st, REQ_CONFIG_GET, object,
@@ -111,7 +111,7 @@
 			free(text);
 		}
 	}
-	st->heads_at = st->now;
+	st->heads_poll_at = st->now;
 	error_free(&e);
 	bstr_free(&object);
 }
@@ -276,8 +276,8 @@
 		 * VM whose configuration lags would say "no such key" of one
 		 * that another VM has just made, and it would stay in force.
 		 */
-		if (st->head_at < c->made_at) {
-			st->heads_at = st->now;
+		if (st->head_confirmed_at < c->made_at) {
+			st->heads_poll_at = st->now;
 			return;
 		}
 		/* After a lost race, wait until the winner is in force. */
@@ -407,7 +407,7 @@
 			 rq->commit.writes.writes_val[0].value);
 		error_init(&e);
 		config_adopt(st, config_new(c->doc, c->accepted, &e));
-		st->heads_at = st->now;
+		st->heads_poll_at = st->now;
 		effect_log(
 			st, LOG_OPERATOR_DID, "operation %d made revision %llu",
 			(int)c->request.kind, (unsigned long long)c->accepted);
@@ -415,7 +415,7 @@
 		change_report(st, c);
 		break;
 	case PLATFORM_CONFLICT:
-		st->heads_at = st->now;
+		st->heads_poll_at = st->now;
 		if (++c->tries < CHANGE_TRIES)
 			break;
 		change_answer(st, c, OP_CONFLICT, "too-many-races",
@@ -461,10 +461,10 @@
 	bool ready;
 	effect *fx;
 
-	if (!st->heads_request && st->now >= st->heads_at) {
+	if (!st->heads_request && st->now >= st->heads_poll_at) {
 		st->heads_request = table_read(st, REQ_HEADS_READ, st->vm, keys,
 					       2);
-		st->heads_at = st->now + st->config_poll_ms;
+		st->heads_poll_at = st->now + st->config_poll_ms;
 	}
 	changes_tick(st);
 	ready = st->config_known && st->vms_known && !st->stopping;
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -373,7 +373,8 @@
 		job_wait(st, j, vm, call, deadline, spec->wait, true);
 		return;
 	}
-	if (shard && !st->platform_up && st->now - st->platform_at > CLAIM_MS) {
+	if (shard && !st->platform_up &&
+	    st->now - st->platform_answered_at > CLAIM_MS) {
 		answer_refuse(st, vm, call, 503, COUNT_REFUSED_PLATFORM,
 			      "the platform does not answer, so the work "
 			      "can't be claimed; it was not run",
@@ -455,10 +456,10 @@
 static void job_ask(struct state *st, struct job *j, bstr owner,
 		    peer_message *msg)
 {
-	j->query = ++st->next_serial;
+	j->query_serial = ++st->next_serial;
 	j->query_at = st->now;
 	msg->peer_message_u.cancel = (pm_cancel){j->cell, j->id, j->attempt,
-						 j->query};
+						 j->query_serial};
 	peer_send(st, owner, msg);
 }
 
@@ -502,7 +503,7 @@
  */
 static void job_untraced(struct state *st, struct job *j, uint64_t serial)
 {
-	if (serial != j->query)
+	if (serial != j->query_serial)
 		return;
 	if (j->query_at - j->sent_at <= MESSAGE_EXPIRED_MS) {
 		j->check_at = j->sent_at + MESSAGE_EXPIRED_MS + 1;
--- a/reduce-key.c
+++ b/reduce-key.c
@@ -33,7 +33,8 @@
 	struct member *m, *next;
 	int64_t at = st->now;
 
-	if (!st->scanned_at || st->now - st->platform_at > PEER_PROOF_MS)
+	if (!st->scanned_at ||
+	    st->now - st->platform_answered_at > PEER_PROOF_MS)
 		return INT64_MIN / 2;
 	HASH_ITER(hh, st->members, m, next) {
 		if (m->leaving)
--- a/reduce-member.c
+++ b/reduce-member.c
@@ -399,7 +399,7 @@
 	m->heard_at = st->now;
 	m->config_revision = p->config_revision;
 	if (st->config && p->config_revision > st->config->revision)
-		st->heads_at = st->now;
+		st->heads_poll_at = st->now;
 	if (!pong) {
 		msg.peer_message_u.ping = member_words(st, p->seq);
 		peer_send(st, from, &msg);
--- a/reduce-pool.c
+++ b/reduce-pool.c
@@ -19,7 +19,7 @@
 	xdr_free(XDR_PROC(xdr_op_request), (char *)&e->request);
 	bstr_free(&e->vm);
 	bstr_free(&e->pool);
-	bstr_free(&e->boot);
+	bstr_free(&e->boot_id);
 	bstr_free(&e->wave);
 	free(e);
 }
@@ -130,7 +130,7 @@
 	if (edit_open(st, kind, vm))
 		return;
 	e = edit_new(st, kind, vm);
-	e->boot = bstr_copy(boot);
+	e->boot_id = bstr_copy(boot);
 	e->revision = v ? v->revision : 0;
 	edit_start(st, e);
 }
@@ -478,9 +478,9 @@
 static op_status edit_rebooted(struct edit *e, struct edit_rows *r)
 {
 	if (r->vm.state != VM_OUT || !r->vm.wave.bstr_len ||
-	    bstr_eq(r->vm.boot, e->boot))
+	    bstr_eq(r->vm.boot, e->boot_id))
 		return edit_refuse(r, OP_CONFLICT, "not-rebooting", NULL);
-	bstr_set(&r->vm.boot, e->boot);
+	bstr_set(&r->vm.boot, e->boot_id);
 	return edit_return(r);
 }
 
@@ -518,7 +518,7 @@
 	if (r->vm.state != VM_DRAINING || r->vm_revision != e->revision)
 		return edit_refuse(r, OP_CONFLICT, "not-draining", NULL);
 	r->vm_write = true;
-	bstr_set(&r->vm.boot, e->boot);
+	bstr_set(&r->vm.boot, e->boot_id);
 	if (!r->vm.target.bstr_len) {
 		r->vm.state = VM_OUT;
 		r->reason = "drained";
@@ -699,7 +699,7 @@
 		return;
 	switch (ev->outcome) {
 	case PLATFORM_OK:
-		st->heads_at = st->now;
+		st->heads_poll_at = st->now;
 		vms_apply_committed(st, rq, ev);
 		edit_answer(st, e, OP_OK, e->reason, "", 0);
 		break;
--- a/reduce-queue.c
+++ b/reduce-queue.c
@@ -158,7 +158,7 @@
 	if (l && !long_may_start(st, c))
 		l = NULL;
 	if (l && (!s || (st->now - l->queued_at >= AGE_MS &&
-			 st->now - team->long_at >= AGE_MS)))
+			 st->now - team->last_long_at >= AGE_MS)))
 		return l;
 	return s;
 }
@@ -174,7 +174,7 @@
 	double share = t && t->share ? t->share : 0.01;
 
 	if (st->queue_policy == QUEUE_ROUND_ROBIN)
-		return ((double)team->started + 1) / share;
+		return ((double)team->started_count + 1) / share;
 	return (team->running + 1) / share;
 }
 
@@ -242,9 +242,9 @@
 			  struct worker *w)
 {
 	queue_remove(c, t);
-	t->team->started++;
+	t->team->started_count++;
 	if (t->class == CLASS_LONG)
-		t->team->long_at = st->now;
+		t->team->last_long_at = st->now;
 	t->phase = TASK_STARTING;
 	t->start++;
 	bstr_free(&t->id);
--- a/reduce-table.c
+++ b/reduce-table.c
@@ -301,7 +301,7 @@
 static void platform_seen(struct state *st, bool answered)
 {
 	if (answered)
-		st->platform_at = st->now;
+		st->platform_answered_at = st->now;
 	if (answered == st->platform_up)
 		return;
 	st->platform_up = answered;
--- a/reduce-vm.c
+++ b/reduce-vm.c
@@ -104,7 +104,7 @@
 	st->vms_revision = st->vms_target;
 	st->vms_generation = st->vms_target_generation;
 	st->vms_known = true;
-	st->vms_at = rq->sent_at;
+	st->vms_current_at = rq->sent_at;
 }
 
 /* Read all rows. */
@@ -154,7 +154,7 @@
 	if (!r || st->vms_request)
 		return;
 	if (st->vms_known && r->revision == st->vms_revision) {
-		st->vms_at = rq->sent_at;
+		st->vms_current_at = rq->sent_at;
 		return;
 	}
 	if (r->revision &&
@@ -260,9 +260,9 @@
 	struct request *rq;
 	effect *fx;
 
-	if (st->list_request || st->now < st->list_at)
+	if (st->list_request || st->now < st->list_poll_at)
 		return;
-	st->list_at = st->now + st->list_poll_ms;
+	st->list_poll_at = st->now + st->list_poll_ms;
 	rq = request_new(st, REQ_VM_LIST, st->vm);
 	st->list_request = rq->id;
 	fx = effect_add(st, FX_VM_LIST);
--- a/reduce-wave.c
+++ b/reduce-wave.c
@@ -141,7 +141,7 @@
 
 	if (w)
 		w->in_flight = false;
-	st->waves_at = st->now;
+	st->waves_poll_at = st->now;
 	if (ev->outcome != PLATFORM_OK || !w)
 		return;
 	r = (table_row){x->key, row_version(ev, x->key), x->value};
@@ -309,7 +309,7 @@
 	 * VMs' rows that are older than the wave's would show a VM that is
 	 * being drained as one that was given back, and it would be passed.
 	 */
-	if (st->vms_at > w->read_at && wave_follow(st, w, &row)) {
+	if (st->vms_current_at > w->read_at && wave_follow(st, w, &row)) {
 		w->in_flight = true;
 		wave_write(st, REQ_WAVE_COMMIT, w->row.wave, &row, w->revision);
 		if (row.state == WAVE_FINISHED)
@@ -329,10 +329,11 @@
 	struct wave_change *c, *cn;
 	struct wave *w, *next;
 
-	if (!st->waves_request && st->now >= st->waves_at && st->config_known) {
+	if (!st->waves_request && st->now >= st->waves_poll_at &&
+	    st->config_known) {
 		st->waves_request = table_scan(st, REQ_WAVES_SCAN, st->vm,
 					       bstr_lit(WAVE_PREFIX));
-		st->waves_at = st->now + WAVES_POLL_MS;
+		st->waves_poll_at = st->now + WAVES_POLL_MS;
 	}
 	for (c = TAILQ_FIRST(&st->wave_changes); c; c = cn) {
 		cn = TAILQ_NEXT(c, entry);
@@ -494,7 +495,7 @@
 	struct wave_change *c = wave_change_find(st, rq->name);
 	json_t *body;
 
-	st->waves_at = st->now;
+	st->waves_poll_at = st->now;
 	if (!c)
 		return;
 	switch (ev->outcome) {
--- a/reduce-worker.c
+++ b/reduce-worker.c
@@ -56,7 +56,7 @@
 	HASH_DEL(c->workers, w);
 	bstr_free(&w->vm);
 	bstr_free(&w->address);
-	bstr_free(&w->boot);
+	bstr_free(&w->boot_id);
 	free(w);
 }
 
@@ -159,9 +159,9 @@
 	if (!w->silent)
 		w->renewed_at = st->now;
 	if (watch)
-		w->watch = rq->id;
+		w->watch_request = rq->id;
 	else
-		w->command = rq->id;
+		w->command_request = rq->id;
 	return x;
 }
 
@@ -206,7 +206,7 @@
 			continue;
 		t->unsent = false;
 		t->may_have_started = true;
-		t->command = x->req;
+		t->start_request = x->req;
 		s = &x->starts.starts_val[x->starts.starts_len++];
 		s->task = bstr_copy(t->id);
 		s->payload = bstr_copy(t->spec.payload);
@@ -231,7 +231,7 @@
 		return;
 	x->orders.orders_val = xcalloc(n, sizeof(task_order));
 	TAILQ_FOREACH(o, &w->orders, entry) {
-		o->command = x->req;
+		o->request = x->req;
 		xdr_copy(XDR_PROC(xdr_task_order),
 			 &x->orders.orders_val[x->orders.orders_len++],
 			 &o->body, sizeof(task_order));
@@ -258,7 +258,8 @@
 {
 	fx_worker *x;
 
-	if (w->command || w->silent || !w->fenced || !worker_has_work(st, w))
+	if (w->command_request || w->silent || !w->fenced ||
+	    !worker_has_work(st, w))
 		return;
 	x = worker_exchange(st, w, false);
 	command_starts(st, w, x);
@@ -273,7 +274,8 @@
 
 	for (t = TAILQ_FIRST(&w->tasks); t; t = next) {
 		next = TAILQ_NEXT(t, worker_entry);
-		if (t->phase != TASK_STARTING || t->command != req || t->unsent)
+		if (t->phase != TASK_STARTING || t->start_request != req ||
+		    t->unsent)
 			continue;
 		t->may_have_started = t->may_have_started_before;
 		task_requeue(st, w->cell, t);
@@ -287,7 +289,7 @@
 
 	for (o = TAILQ_FIRST(&w->orders); o; o = next) {
 		next = TAILQ_NEXT(o, entry);
-		if (o->command != req)
+		if (o->request != req)
 			continue;
 		TAILQ_REMOVE(&w->orders, o, entry);
 		xdr_free(XDR_PROC(xdr_task_order), (char *)&o->body);
@@ -358,11 +360,11 @@
 	u_int i;
 
 	TAILQ_FOREACH(t, &w->tasks, worker_entry)
-		t->listed = false;
+		t->in_full_list = false;
 	for (i = 0; i < ev->tasks.tasks_len; i++) {
 		TAILQ_FOREACH(t, &w->tasks, worker_entry)
 			if (bstr_eq(t->id, ev->tasks.tasks_val[i].task))
-				t->listed = true;
+				t->in_full_list = true;
 	}
 	/*
 	 * A frozen worker may hold an unread start.  A tombstone settles it:
@@ -372,21 +374,21 @@
 		worker_order(st, w, g->task, TASK_STOP);
 	for (t = TAILQ_FIRST(&w->tasks); t; t = next) {
 		next = TAILQ_NEXT(t, worker_entry);
-		if (t->listed || t->unsent || t->phase == TASK_ENDED)
+		if (t->in_full_list || t->unsent || t->phase == TASK_ENDED)
 			continue;
 		/*
 		 * A start whose command got no answer: the worker has not
 		 * taken it, but the command may still arrive.  The same start
 		 * again settles it; starts are idempotent by their id.
 		 */
-		if (t->phase == TASK_STARTING && !w->command &&
+		if (t->phase == TASK_STARTING && !w->command_request &&
 		    w->command_ended_at < w->watch_sent_at)
 			t->unsent = true;
 		else if (t->phase == TASK_STARTING)
 			settled = false;
 		/* The list may be older than the answer to its start. */
 		if (t->phase == TASK_ON_WORKER &&
-		    t->known_at < w->watch_sent_at)
+		    t->running_seen_at < w->watch_sent_at)
 			task_lost(st, w->cell, t);
 	}
 	w->cell->dirty = true;
@@ -400,7 +402,8 @@
 static bool worker_answered(struct state *st, struct worker *w,
 			    const ev_worker *ev)
 {
-	bool restarted = w->boot.bstr_len && !bstr_eq(w->boot, ev->boot);
+	bool restarted = w->boot_id.bstr_len &&
+			 !bstr_eq(w->boot_id, ev->boot_id);
 
 	if (!w->fenced || w->silent)
 		effect_log(st, LOG_WORKER_SEEN, "%.*s", BSTR_ARG(w->vm));
@@ -410,7 +413,7 @@
 	w->silent = w->lost = w->dead = false;
 	w->leaving = ev->leaving;
 	w->answered_at = st->now;
-	bstr_set(&w->boot, ev->boot);
+	bstr_set(&w->boot_id, ev->boot_id);
 	if (!restarted)
 		return false;
 	effect_log(st, LOG_WORKER_RESTARTED, "%.*s", BSTR_ARG(w->vm));
@@ -453,7 +456,7 @@
 static void command_event(struct state *st, struct worker *w, uint64_t req,
 			  const ev_worker *ev)
 {
-	w->command = 0;
+	w->command_request = 0;
 	w->command_ended_at = st->now;
 	switch (ev->outcome) {
 	case WORKER_OK:
@@ -486,7 +489,7 @@
 /* A watch has its outcome. */
 static void watch_event(struct state *st, struct worker *w, const ev_worker *ev)
 {
-	w->watch = 0;
+	w->watch_request = 0;
 	switch (ev->outcome) {
 	case WORKER_OK:
 		w->watch_at = st->now;
@@ -526,7 +529,8 @@
 		if (!u->cell)
 			continue;
 		HASH_FIND_BSTR(u->cell->workers, ev->vm, w);
-		if (!w || (watch ? w->watch : w->command) != ev->req)
+		if (!w ||
+		    (watch ? w->watch_request : w->command_request) != ev->req)
 			continue;
 		if (watch)
 			watch_event(st, w, ev);
@@ -544,7 +548,7 @@
 	struct worker *w, *wn;
 	struct vm *v, *vn;
 
-	if (st->vms_at > c->started_at)
+	if (st->vms_current_at > c->started_at)
 		c->rows_known = true;
 	HASH_ITER(hh, c->workers, w, wn)
 		w->listed = false;
@@ -560,7 +564,8 @@
 			bstr_set(&w->address, v->row.address);
 	}
 	HASH_ITER(hh, c->workers, w, wn) {
-		if (!worker_wanted(w) && !w->watch && !w->command)
+		if (!worker_wanted(w) && !w->watch_request &&
+		    !w->command_request)
 			worker_free(c, w);
 	}
 }
@@ -671,7 +676,7 @@
 	if (!w->drain_by)
 		w->drain_by = st->now + v->row.deadline_ms;
 	if (worker_empty(st, w)) {
-		edit_vm(st, EDIT_DRAINED, w->vm, w->boot);
+		edit_vm(st, EDIT_DRAINED, w->vm, w->boot_id);
 		return;
 	}
 	if (st->now < w->drain_by)
@@ -696,9 +701,9 @@
 
 	if (!v || v->row.state != VM_OUT || !v->row.wave.bstr_len)
 		return;
-	if (w->fenced && !bstr_eq(w->boot, v->row.boot)) {
+	if (w->fenced && !bstr_eq(w->boot_id, v->row.boot)) {
 		if (!w->silent)
-			edit_vm(st, EDIT_REBOOTED, w->vm, w->boot);
+			edit_vm(st, EDIT_REBOOTED, w->vm, w->boot_id);
 		return;
 	}
 	/* The row's boot id, so that an owner who never heard it can ask. */
@@ -709,7 +714,7 @@
 	fx = effect_add(st, FX_REBOOT);
 	fx->effect_u.reboot.req = rq->id;
 	fx->effect_u.reboot.vm = bstr_copy(w->vm);
-	fx->effect_u.reboot.boot = bstr_copy(v->row.boot);
+	fx->effect_u.reboot.boot_id = bstr_copy(v->row.boot);
 }
 
 /*
@@ -747,7 +752,8 @@
 			while (TAILQ_FIRST(&w->unconfirmed))
 				ghost_free(w, TAILQ_FIRST(&w->unconfirmed));
 		}
-		if (!w->watch && st->now >= w->watch_at && worker_wanted(w))
+		if (!w->watch_request && st->now >= w->watch_at &&
+		    worker_wanted(w))
 			worker_watch(st, w);
 		worker_set_aside(st, w);
 		if (unit_is_active(st, c->unit)) {
--- a/reduce.c
+++ b/reduce.c
@@ -142,7 +142,7 @@
 	/* Distances to the past must hold from the first event on. */
 	st->last_event_at = -1;
 	st->proof_at = INT64_MIN / 2;
-	st->platform_at = INT64_MIN / 2;
+	st->platform_answered_at = INT64_MIN / 2;
 	st->lease_until = INT64_MIN / 2;
 	return st;
 }
--- a/reduce.h
+++ b/reduce.h
@@ -200,8 +200,8 @@
 	int64_t sent_at;  /* latest dispatch; or takeover */
 	int64_t check_at; /* look after it then */
 	int64_t expire_at;
-	uint64_t query;	  /* serial of the latest query */
-	int64_t query_at; /* when it was sent */
+	uint64_t query_serial; /* serial of the latest query */
+	int64_t query_at;      /* when it was sent */
 	bool cancelled;
 	bool may_have_run; /* an earlier attempt was started, or may have been
 			    */
@@ -272,11 +272,11 @@
 	bool stopping;		   /* cancelled */
 	bool checkpoint_requested; /* asked to make a checkpoint */
 	unsigned preemptions;	   /* times it was, for urgent or quick work */
-	bool unsent;	       /* its start is to go with the next command */
-	bool listed;	       /* its worker's full list has it */
-	int64_t known_at;      /* when it was first reported running */
-	uint64_t command;      /* that carried its start */
-	bool may_have_started; /* some start may have reached a worker */
+	bool unsent;		 /* its start is to go with the next command */
+	bool in_full_list;	 /* its worker's full list has it */
+	int64_t running_seen_at; /* when it was first reported running */
+	uint64_t start_request;	 /* that carried its start */
+	bool may_have_started;	 /* some start may have reached a worker */
 	bool may_have_started_before; /* an earlier one had */
 	bstr checkpoint;
 	bstr avoid_vm; /* the VM it failed on */
@@ -305,12 +305,12 @@
 	unsigned queued;
 	unsigned running; /* started and not known to have ended */
 	unsigned unconfirmed;
-	uint32_t allowance; /* of the team's upper limit, in this cell */
-	bool loaded;	    /* held is known */
-	bool stale;	    /* the row must be read before it is written */
-	bool blocked;	    /* in the scheduling pass under way */
-	int64_t long_at;    /* when long work of it was last started */
-	uint64_t started;   /* tasks, for the round robin of the bench */
+	uint32_t allowance;	/* of the team's upper limit, in this cell */
+	bool loaded;		/* held is known */
+	bool stale;		/* the row must be read before it is written */
+	bool blocked;		/* in the scheduling pass under way */
+	int64_t last_long_at;	/* when long work of it was last started */
+	uint64_t started_count; /* tasks, for the round robin of the bench */
 	allow_row row;
 	uint64_t revision;
 	uint64_t request;	   /* read or commit under way */
@@ -329,7 +329,7 @@
 struct order {
 	TAILQ_ENTRY(order) entry;
 	task_order body;
-	uint64_t command; /* the one that carries it */
+	uint64_t request; /* the one that carries it */
 };
 TAILQ_HEAD(order_list, order);
 
@@ -347,10 +347,10 @@
 	bool leaving;
 	bool listed;	 /* its row is in this cell's pool */
 	bool watch_full; /* the watch under way lists everything */
-	bstr boot;
+	bstr boot_id;
 	uint64_t seq;
-	uint64_t watch; /* request ids, 0: none */
-	uint64_t command;
+	uint64_t watch_request; /* request ids, 0: none */
+	uint64_t command_request;
 	int64_t watch_at;
 	int64_t watch_sent_at;
 	int64_t command_at; /* orders to forget are due */
@@ -399,7 +399,7 @@
 /* Answers of several VMs to one request. */
 struct gather {
 	uint64_t call;
-	unsigned open;
+	unsigned pending;
 	unsigned missing;
 	caller_answer answer;
 };
@@ -460,9 +460,9 @@
 	uint64_t call; /* EDIT_OPERATOR */
 	op_request request;
 	bstr vm;
-	bstr pool; /* whose row was read with it */
-	bstr boot; /* EDIT_DRAINED, EDIT_REBOOTED: the worker\'s */
-	bstr wave; /* EDIT_WAVE_DRAIN, EDIT_WAVE_RETURN */
+	bstr pool;    /* whose row was read with it */
+	bstr boot_id; /* EDIT_DRAINED, EDIT_REBOOTED: the worker\'s */
+	bstr wave;    /* EDIT_WAVE_DRAIN, EDIT_WAVE_RETURN */
 	uint32_t deadline_ms;
 	const char *reason; /* what it did, once committed */
 	uint64_t revision;  /* of the VM's row when it was seen */
@@ -514,8 +514,8 @@
 	uint64_t id; /* names it on the wire */
 	uint64_t call;
 	op_request request;
-	bstr vms; /* who has not answered, spaces around each */
-	unsigned open;
+	bstr pending_vms; /* who has not answered, spaces around each */
+	unsigned pending;
 	op_reply reply; /* the first that is an error, or the last */
 	json_t *body;
 	int64_t deadline;
@@ -563,7 +563,7 @@
 
 	/* platform, membership, proof */
 	bool platform_up;
-	int64_t platform_at; /* latest answer */
+	int64_t platform_answered_at; /* latest answer */
 	struct member *members;
 	uint64_t member_revision;
 	uint64_t member_seq;
@@ -582,10 +582,11 @@
 	struct config *config;
 	bool config_known; /* a head, or its absence, has been read */
 	uint64_t head_revision;
-	int64_t head_at; /* when it was read and named what is in force */
+	int64_t head_confirmed_at; /* when it was read and named what is in
+				      force */
 	bstr head_value;
 	uint64_t heads_request;
-	int64_t heads_at;
+	int64_t heads_poll_at;
 	uint64_t get_request;
 	struct change_list changes;
 	bool ready;
@@ -597,16 +598,16 @@
 	uint64_t vms_target; /* version of the head that is being read up to */
 	uint64_t vms_target_generation;
 	bool vms_known;
-	int64_t vms_at; /* the rows held then were the newest */
+	int64_t vms_current_at; /* the rows held then were the newest */
 	uint64_t vms_request;
 	struct listed *listed;
 	uint64_t list_request;
-	int64_t list_at;
+	int64_t list_poll_at;
 	struct edit_list edits;
 	struct wave *waves;
 	struct wave_change_list wave_changes;
 	uint64_t waves_request;
-	int64_t waves_at;
+	int64_t waves_poll_at;
 
 	struct unit *units;
 	uint64_t units_revision; /* of the configuration they follow */
--- a/tests/support-fleet.c
+++ b/tests/support-fleet.c
@@ -680,7 +680,7 @@
 		return;
 	ev = event_new(EV_WORKER);
 	r = &ev->body.event_body_u.worker;
-	r->boot = bstr_printf("%s-%u", w->name, w->boot);
+	r->boot_id = bstr_printf("%s-%u", w->name, w->boot);
 	r->epoch = w->epoch[pool];
 	r->seq = w->seq;
 	r->leaving = w->leaving;
--- a/tests/support-sim.c
+++ b/tests/support-sim.c
@@ -159,7 +159,7 @@
 		return;
 	}
 	boot = bstr_printf("%s-%u", w->name, w->boot);
-	if (!w->up || !bstr_eq(boot, r->boot)) {
+	if (!w->up || !bstr_eq(boot, r->boot_id)) {
 		p->outcome = PLATFORM_CONFLICT;
 	} else {
 		s->reboots++;
@@ -248,7 +248,7 @@
 
 	r->req = req;
 	r->vm = bstr_new(w->name);
-	r->boot = bstr_printf("%s-%u", w->name, w->boot);
+	r->boot_id = bstr_printf("%s-%u", w->name, w->boot);
 	r->seq = w->seq;
 	return ev;
 }
--- a/tests/test-edge-worker.c
+++ b/tests/test-edge-worker.c
@@ -209,7 +209,7 @@
 		if (w.outcome == WORKER_STALE)
 			cr_expect_eq(w.epoch, 9);
 		else if (w.outcome != WORKER_OK)
-			cr_expect(!w.tasks.tasks_len && !w.boot.bstr_len,
+			cr_expect(!w.tasks.tasks_len && !w.boot_id.bstr_len,
 				  "%s: has contents", cases[i].what);
 		cr_expect_eq(counter_get(COUNT_DROPPED_WORKER_GARBAGE), garbage,
 			     "%s: counter", cases[i].what);
@@ -254,7 +254,7 @@
 			edge_worker_send(edge, exchange(fake_port(f), 40, i)));
 		w = expect(inbox, 40, WORKER_OK, lines[i]);
 		cr_expect(w.slots == 8 && w.seq == 3 && w.epoch == 7 &&
-			  !w.leaving && bstr_eq_str(w.boot, "b1"));
+			  !w.leaving && bstr_eq_str(w.boot_id, "b1"));
 		cr_assert_eq(w.tasks.tasks_len, 1);
 		t = w.tasks.tasks_val;
 		cr_expect(bstr_eq_str(t->task, i ? "t9" : "t1"));
