--- a/event.x
+++ b/event.x
@@ -1,18 +1,19 @@
 /*
- * What goes into the reducer and what comes out.  Recordings are a stream
- * of these, so a replay needs nothing but the file.
+ * Events that the reducer consumes and effects that it emits.  A recording is
+ * a stream of both, so a replay needs nothing but the file.
  */
 %#include "types.h"
 %#include "operator.h"
 %#include "peer.h"
 
-/* Platform. */
+/* The platform: its table, objects and list of VMs. */
 struct table_row {
 	bstr key;
-	uint64_t revision;	/* 0: there is no such row */
+	uint64_t revision;	/* 0: no such row */
 	bstr value;
 };
 
+/* Commit condition: the row is at this revision (0: does not exist). */
 struct table_check {
 	bstr key;
 	uint64_t revision;
@@ -26,7 +27,7 @@
 
 struct fx_commit {
 	uint64_t req;
-	bstr txid;		/* same id, same transaction: idempotent */
+	bstr txid;		/* makes a repeated commit idempotent */
 	table_check checks<LIST_MAX>;
 	table_write writes<LIST_MAX>;
 };
@@ -44,16 +45,16 @@
 struct fx_object {
 	uint64_t req;
 	bstr name;
-	bstr body;		/* put only */
+	bstr body;		/* FX_OBJECT_PUT only */
 };
 
 enum platform_outcome {
 	PLATFORM_OK = 0,
 	PLATFORM_CONFLICT = 1,	/* a check failed; nothing was written */
-	PLATFORM_REFUSED = 2,	/* rate limited or down; nothing was done */
-	PLATFORM_UNKNOWN = 3,	/* no answer: may or may not have happened */
+	PLATFORM_REFUSED = 2,	/* rate limited or down; not executed */
+	PLATFORM_UNKNOWN = 3,	/* no answer; may have been executed */
 	PLATFORM_NOT_FOUND = 4,
-	PLATFORM_INVALID = 5	/* the answer made no sense */
+	PLATFORM_INVALID = 5	/* the answer could not be parsed */
 };
 
 struct listed_vm {
@@ -64,13 +65,14 @@
 	bool leaving;
 };
 
-/* Reboot a VM whose worker still has this boot id; no other. */
+/* Reboots a VM, provided that its worker still has this boot id. */
 struct fx_reboot {
 	uint64_t req;
 	bstr vm;
 	bstr boot_id;
 };
 
+/* The platform's answer to a request, or that there was none. */
 struct ev_platform {
 	uint64_t req;
 	platform_outcome outcome;
@@ -84,39 +86,40 @@
 enum task_state {
 	TASK_RUNNING = 0,
 	TASK_DONE = 1,
-	TASK_FAILED = 2,	/* it ran and failed */
-	TASK_REFUSED = 3,	/* it did not and will not start here */
-	TASK_STOPPED = 4,	/* it ran and was stopped */
-	TASK_LAPSED = 5,	/* its lease ended; it was stopped */
-	TASK_CHECKPOINTED = 6	/* it was stopped with its progress kept */
+	TASK_FAILED = 2,	/* ran and failed */
+	TASK_REFUSED = 3,	/* not started, and never will be here */
+	TASK_STOPPED = 4,	/* stopped after it had started */
+	TASK_LAPSED = 5,	/* stopped because its lease expired */
+	TASK_CHECKPOINTED = 6	/* stopped, with its progress saved */
 };
 
 struct task_start {
 	bstr task;
 	bstr payload;
-	bstr checkpoint;	/* to resume from; empty: from the start */
-	uint32_t start_by_ms;	/* the worker refuses it after this */
+	bstr checkpoint;	/* state to resume from; empty: none */
+	uint32_t start_by_ms;	/* refused by the worker after this */
 	uint32_t cpu_milli;
 	uint32_t memory_mb;
 	uint32_t accelerators;
 };
 
 enum task_verb {
-	TASK_STOP = 1,		/* stop it, or never start it: a tombstone */
+	TASK_STOP = 1,		/* stop it, and refuse any later start */
 	TASK_CHECKPOINT = 2,
 	TASK_THROTTLE = 3,
-	TASK_FORGET = 4		/* its result has been taken */
+	TASK_FORGET = 4		/* its result was stored; drop its report */
 };
 
 struct task_order {
 	bstr task;
 	task_verb verb;
-	uint32_t percent;	/* throttle */
+	uint32_t percent;	/* TASK_THROTTLE only */
 };
 
 /*
- * One exchange with a worker.  A watch is answered when a task changes or
- * after wait_ms; either kind renews the lease of every task of the cell.
+ * A request to a worker.  A watch is a long poll: it is answered when a task
+ * changes after since (a seq of ev_worker), or after wait_ms.  A command
+ * carries starts and orders.  Both renew the leases of all tasks of the cell.
  */
 struct fx_worker {
 	uint64_t req;
@@ -144,20 +147,21 @@
 
 enum worker_outcome {
 	WORKER_OK = 0,
-	WORKER_STALE = 1,	/* a higher epoch has been seen; refused */
-	WORKER_NOT_SENT = 2,	/* no connection: the worker saw nothing */
-	WORKER_NO_ANSWER = 3,	/* it may have seen it */
-	WORKER_INVALID = 4,	/* an answer that made no sense */
-	WORKER_BUSY = 5		/* refused whole before anything was done */
+	WORKER_STALE = 1,	/* refused: it has seen a higher epoch */
+	WORKER_NOT_SENT = 2,	/* no connection; it received nothing */
+	WORKER_NO_ANSWER = 3,	/* it may have received the request */
+	WORKER_INVALID = 4,	/* the answer could not be parsed */
+	WORKER_BUSY = 5		/* refused; no part of it was executed */
 };
 
+/* A worker's answer to an exchange, or that there was none. */
 struct ev_worker {
 	uint64_t req;
 	bstr vm;
 	worker_outcome outcome;
 	bstr boot_id;		/* changes when the worker restarts */
-	uint64_t epoch;		/* the highest it has seen for the cell */
-	uint64_t seq;
+	uint64_t epoch;		/* highest that it has seen for the cell */
+	uint64_t seq;		/* position in the worker's task changes */
 	bool leaving;
 	uint32_t slots;
 	task_report tasks<LIST_MAX>;
@@ -185,7 +189,7 @@
 	EV_CALL_GONE = 2,
 	EV_OPERATE = 3,
 	EV_PEER = 4,
-	EV_PEER_LOST = 5,	/* messages to it may not have arrived */
+	EV_PEER_LOST = 5,	/* messages to a peer may be lost */
 	EV_PLATFORM = 6,
 	EV_WORKER = 7,
 	EV_STOP = 8
@@ -195,13 +199,13 @@
 case EV_CALL:
 	ev_call call;
 case EV_CALL_GONE:
-	uint64_t gone;
+	uint64_t gone;		/* call whose caller disconnected */
 case EV_OPERATE:
 	ev_operate operate;
 case EV_PEER:
 	ev_peer peer;
 case EV_PEER_LOST:
-	bstr lost;
+	bstr lost;		/* the peer */
 case EV_PLATFORM:
 	ev_platform platform;
 case EV_WORKER:
@@ -228,8 +232,8 @@
 };
 
 /*
- * After the deadline (monotonic) the message must not be sent any more: a
- * process that thaws must not deliver what it decided before it froze.
+ * The message must not be sent after the deadline (monotonic): a process that
+ * resumes after a pause must not deliver what it decided before.
  */
 struct fx_peer {
 	bstr to;
@@ -239,7 +243,7 @@
 };
 
 struct fx_log {
-	uint32_t number;
+	uint32_t number;	/* of the event in log.def */
 	bstr text;
 };
 
@@ -261,8 +265,8 @@
 	FX_WORKER = 10,
 	FX_LOG = 11,
 	FX_COUNT = 12,
-	FX_WAKE = 13,		/* a tick is wanted at this time */
-	FX_READY = 14,		/* readiness for the balancer */
+	FX_WAKE = 13,		/* requests a tick at this time */
+	FX_READY = 14,		/* readiness, as the load balancer sees it */
 	FX_EXIT = 15,
 	FX_REBOOT = 16
 };
@@ -284,7 +288,7 @@
 case FX_OBJECT_GET:
 	fx_object object;
 case FX_VM_LIST:
-	uint64_t vm_list;
+	uint64_t vm_list;	/* request id */
 case FX_REBOOT:
 	fx_reboot reboot;
 case FX_WORKER:
@@ -301,7 +305,7 @@
 	void;
 };
 
-/* A recording: a header, then steps. */
+/* A recording is a header, followed by steps. */
 struct step {
 	event event;
 	effect effects<LIST_MAX>;
--- a/reduce.h
+++ b/reduce.h
@@ -1,7 +1,7 @@
 /*
- * Inside of the reducer: its state and what its files offer each other.
- * Nothing here does I/O, reads a clock or draws a random number that the
- * seed does not give.
+ * Internal header of the reducer: its state and the functions that its files
+ * share.  The reducer does no I/O, reads no clock and takes random numbers
+ * only from its seed, so that a recording replays exactly.
  */
 #ifndef REDUCE_H
 #define REDUCE_H
@@ -13,25 +13,36 @@
 #include "bstr-hash.h"
 
 /*
- * A message to a peer is not sent after this, see edge-peer.c, and not taken
- * after the second, by wall clocks that differ by up to a second.
+ * Lifetime of a message between entry VMs.  The sender drops it after
+ * MESSAGE_TTL_MS (see edge-peer.c).  The receiver rejects it after
+ * MESSAGE_EXPIRED_MS at the latest, because the wall clocks of two VMs may
+ * differ by up to a second.
  */
 #define MESSAGE_TTL_MS 2000
 #define MESSAGE_EXPIRED_MS (MESSAGE_TTL_MS + 1000)
-/* A process that took no event for so long was paused. */
+/* A gap this long between events, plus a tick, means the process was paused. */
 #define PAUSE_DETECT_MS 1000
+/* A worker refuses a start that is older than this. */
 #define TASK_START_BY_MS 3000
+/* Interval at which a cell repeats a result until the home acknowledges it. */
 #define NOTIFY_RETRY_MS 1000
+/* Retry hint of answers that refuse or give up a request. */
 #define RETRY_AFTER_MS 1000
-/* Failures in a row from which a worker is suspected of failing all. */
+/* This many consecutive failures suggest that the worker fails every task. */
 #define WORKER_SUSPECT_FAILURES 4
 #define JOB_ID_LEN 32
-/* The same at every VM, for ever: it decides where a claim is looked for. */
+/*
+ * Number of shards that jobs are hashed to.  Must be the same on every VM and
+ * never change: it decides in which shard's journal a job's claim is found.
+ */
 #define SHARD_COUNT 24
-/* Without the platform, VMs vouch for each other's freshness this long. */
+/*
+ * While the platform is unreachable, VMs confirm to each other for this long
+ * that they accepted no newer configuration.
+ */
 #define PEER_PROOF_MS 600000
 
-/* What the answer to a platform or worker request is for. */
+/* Which operation the answer to a platform or worker request belongs to. */
 enum request_kind {
 	REQ_MEMBER_RENEW,
 	REQ_MEMBER_READ,
@@ -67,62 +78,62 @@
 };
 
 /*
- * A request under way.  A commit is kept until its outcome is certain: the
+ * An outstanding request.  A commit is kept until its outcome is certain: the
  * table ignores a transaction id that it has committed, so sending the same
- * one again reads the outcome back without repeating the write.
+ * one again reads back the outcome without repeating the write.
  */
 struct request {
 	uint64_t id;
 	enum request_kind kind;
-	bstr name;	    /* the unit, team, VM or edit it is for */
-	int64_t sent_at;    /* of the first try: it may have taken effect */
-	int64_t resend_at;  /* 0: a try is under way */
+	bstr name;	    /* the unit, team, VM or edit that it is for */
+	int64_t sent_at;    /* first attempt; it may have taken effect */
+	int64_t resend_at;  /* 0: an attempt is outstanding */
 	int64_t give_up_at; /* 0: never */
 	unsigned tries;
-	bool uncertain; /* some try may have taken effect */
+	bool uncertain; /* some attempt may have taken effect */
 	fx_commit commit;
 	bool is_commit;
 	UT_hash_handle hh;
 };
 
-/* An entry VM, as the member rows and its own words tell. */
+/* Another entry VM, as its member row and its pings describe it. */
 struct member {
 	bstr vm;
 	bstr dc;
 	bstr address;
-	uint64_t incarnation;
-	uint64_t seq;
-	uint64_t revision; /* of its row */
-	int64_t seen_at;   /* when this seq was first read */
+	uint64_t incarnation; /* differs after each restart */
+	uint64_t seq;	      /* number of the latest lease renewal */
+	uint64_t revision;    /* of the member row */
+	int64_t seen_at;      /* when this seq was first read */
 	bool leaving;
-	bool lease_expired; /* its lease has ended, by our reading */
+	bool lease_expired; /* seq unchanged for longer than a lease */
 	int64_t lease_expired_at;
-	bool listed;
-	uint64_t ping_seq;
+	bool listed;	   /* the latest scan found its row */
+	uint64_t ping_seq; /* of the latest ping sent to it */
 	int64_t ping_at;
-	int64_t incarnation_seen_at; /* this life of it, here */
+	int64_t incarnation_seen_at; /* when this incarnation was first read */
 	int64_t ponged_at; /* when the latest answered ping was sent */
 	int64_t heard_at;
-	int64_t proof_at; /* its proof, on our clock */
+	int64_t proof_at; /* its freshness proof, on our clock */
 	uint64_t config_revision;
 	UT_hash_handle hh;
 };
 
-/* An endpoint VM as its row tells. */
+/* An endpoint VM, as its row was last read. */
 struct vm {
 	vm_row row;
 	uint64_t revision;
-	int64_t state_at; /* since when it is in its state, as seen here */
-	bool marked;	  /* seen in the scan under way */
+	int64_t state_at; /* when this VM first saw its current state */
+	bool marked;	  /* seen in the current scan */
 	UT_hash_handle hh;
 };
 
-/* What the platform's lagging list says of a VM. */
+/* A VM in the platform's list of VMs, which lags behind. */
 struct listed {
 	bstr vm;
 	bool leaving;
-	bool marked;
-	int64_t absent_at; /* since when it is not in the list; 0: it is */
+	bool marked;	   /* seen in the list that is being read */
+	int64_t absent_at; /* when it went missing; 0: it is in the list */
 	UT_hash_handle hh;
 };
 
@@ -140,11 +151,12 @@
 };
 
 /*
- * What is owned by one entry VM at a time.  The row's epoch fences: the
- * journal checks the row in each commit, workers refuse lower epochs.
+ * A cell or a shard: a unit of work that one entry VM owns at a time.  The
+ * epoch in the unit's row is a fencing token: each journal commit checks the
+ * version of the row, and workers refuse lower epochs.
  */
 struct unit {
-	bstr name;
+	bstr name; /* also the key of its row */
 	enum unit_kind kind;
 	cell_id id;	/* UNIT_CELL */
 	uint32_t index; /* UNIT_SHARD */
@@ -152,43 +164,46 @@
 	uint64_t revision;
 	uint64_t epoch;
 	int64_t retry_at;
-	int64_t unwanted_at; /* since when another should own it, or 0 */
-	bool row_unread;     /* not ours, but its row may name us */
-	bool unverified;     /* lease lapsed: read the row again first */
-	bool verifying;	     /* that read is under way */
-	bstr unknown_owner;  /* an owner that is not a member, seen once */
-	unsigned sent_jobs;  /* jobs of this home that the cell has */
-	bool configured;     /* in the configuration */
+	int64_t unwanted_at; /* since when another VM should own it; 0: not */
+	bool row_unread;     /* not owned, but its row may still name this VM */
+	bool unverified;     /* may have been taken over: read the row first */
+	bool verifying;	     /* that read is outstanding */
+	bstr unknown_owner; /* owner in the row that was no member, seen once */
+	unsigned sent_jobs; /* jobs with their home here, sent to the cell */
+	bool configured;    /* the configuration names it */
 	struct cell *cell;
 	struct shard *shard;
 	UT_hash_handle hh;
 };
 
-/* Somebody who wants the answer about a job. */
+/* A caller that waits for a job. */
 struct waiter {
 	TAILQ_ENTRY(waiter) entry;
-	bstr vm; /* empty: a call of this VM */
+	bstr vm; /* entry VM that forwarded the call; empty: this one */
 	uint64_t call;
 	int64_t deadline;
-	bool until_final;
-	bool submit;
+	bool until_final; /* answer only when the job is final */
+	bool submit;	  /* the call submitted the job */
 };
 TAILQ_HEAD(waiter_list, waiter);
 
 enum job_phase {
 	PHASE_CLAIMING,	    /* its claim is not durable yet */
-	PHASE_UNDISPATCHED, /* no cell could be given it so far */
+	PHASE_UNDISPATCHED, /* no cell could take it so far */
 	PHASE_DISPATCHED,   /* a cell has it, or may have it */
-	PHASE_ENDING,	    /* final, not durable yet */
+	PHASE_ENDING,	    /* final, but not durable yet */
 	PHASE_FINAL
 };
 
-/* A job at its home: the owner of its shard, or for soft ones this VM. */
+/*
+ * A job at its home.  The home of a durable job is the owner of its shard.  A
+ * soft job has no journal; its home is the VM that accepted it.
+ */
 struct job {
 	TAILQ_ENTRY(job) entry;
 	bstr id;
 	job_spec spec;
-	bstr digest;
+	bstr digest; /* of the request; detects a reused idempotency key */
 	struct shard *shard; /* NULL: soft */
 	enum job_phase phase;
 	cell_id cell;
@@ -197,21 +212,21 @@
 	struct waiter_list waiters;
 	int64_t accepted_at;
 	int64_t deadline;
-	int64_t sent_at;  /* latest dispatch; or takeover */
-	int64_t check_at; /* look after it then */
+	int64_t sent_at;  /* latest dispatch, or takeover of the shard */
+	int64_t check_at; /* next check on its progress */
 	int64_t expire_at;
-	uint64_t query_serial; /* serial of the latest query */
-	int64_t query_at;      /* when it was sent */
+	uint64_t query_serial; /* of the latest query to the cell */
+	int64_t query_at;      /* when that query was sent */
 	bool cancelled;
-	bool may_have_run; /* an earlier attempt was started, or may have been
-			    */
-	bstr sent_to;
-	struct unit *counted_by; /* the cell that counts it as sent */
-	uint64_t record_segment; /* holds its latest full record */
+	bool may_have_run; /* an earlier attempt may have been started */
+	bstr sent_to;	   /* cell owner that last got the job or a query */
+	struct unit *counted_by; /* cell whose sent_jobs includes it */
+	uint64_t record_segment; /* segment with its latest full record */
 	UT_hash_handle hh;
 };
 TAILQ_HEAD(job_list, job);
 
+/* A record that is not durable yet. */
 struct journal_entry {
 	TAILQ_ENTRY(journal_entry) entry;
 	record rec;
@@ -219,7 +234,7 @@
 };
 TAILQ_HEAD(journal_list, journal_entry);
 
-/* A journal row that is on the table. */
+/* A row of a shard's journal, as stored in the platform's table. */
 struct segment {
 	TAILQ_ENTRY(segment) entry;
 	uint64_t number;
@@ -229,37 +244,38 @@
 };
 TAILQ_HEAD(segment_list, segment);
 
+/* A shard that this VM owns, with its journal. */
 struct shard {
 	struct unit *unit;
 	struct journal_list pending;   /* not sent yet */
-	struct journal_list in_flight; /* in the commit under way */
+	struct journal_list in_flight; /* in the outstanding commit */
 	struct segment_list segments;
 	uint64_t next_segment;
-	uint64_t commit_request;	/* request id, 0: none */
-	struct segment *commit_segment; /* of that commit */
+	uint64_t commit_request;	/* request id; 0: none */
+	struct segment *commit_segment; /* segment that it writes */
 	int64_t flushed_at;
-	int64_t flush_at; /* when the oldest of pending is due */
+	int64_t flush_at; /* when the oldest pending record is due */
 	int64_t trim_at;
 	bool trimming;
 	unsigned jobs;
 };
 
-/* Cell: tasks. */
 enum task_phase { TASK_QUEUED, TASK_STARTING, TASK_ON_WORKER, TASK_ENDED };
 enum task_class { CLASS_URGENT, CLASS_SHORT, CLASS_LONG, CLASS_MAX };
 
 struct worker;
 struct cell_team;
 
+/* A job's current attempt, in the cell that runs it. */
 struct task {
-	TAILQ_ENTRY(task) entry;	/* in its team's queue, or in ended */
-	TAILQ_ENTRY(task) worker_entry; /* among its worker's tasks */
+	TAILQ_ENTRY(task) entry;	/* in its team's queue or in ended */
+	TAILQ_ENTRY(task) worker_entry; /* in its worker's tasks */
 	bstr job;
-	uint32_t attempt; /* the home's */
-	uint32_t start;	  /* counts starts within the attempt */
-	bstr id;	  /* on the worker */
+	uint32_t attempt; /* number that the home gave it */
+	uint32_t start;	  /* number of the start within the attempt */
+	bstr id;	  /* name of this start on the worker */
 	job_spec spec;
-	bool adopted; /* found on a worker: there is no spec */
+	bool adopted; /* found on a worker, not dispatched: no spec */
 	struct cell_team *team;
 	struct worker *worker;
 	enum task_phase phase;
@@ -269,27 +285,26 @@
 	int64_t deadline;
 	int64_t notify_at;
 	int64_t ended_at;
-	bool stopping;		   /* cancelled */
-	bool checkpoint_requested; /* asked to make a checkpoint */
-	unsigned preemptions;	   /* times it was, for urgent or quick work */
-	bool unsent;		 /* its start is to go with the next command */
-	bool in_full_list;	 /* its worker's full list has it */
-	int64_t running_seen_at; /* when it was first reported running */
-	uint64_t start_request;	 /* that carried its start */
-	bool may_have_started;	 /* some start may have reached a worker */
-	bool may_have_started_before; /* an earlier one had */
+	bool stopping; /* cancelled */
+	bool checkpoint_requested;
+	unsigned preemptions;	      /* requests to free its slot */
+	bool unsent;		      /* start goes with the next command */
+	bool in_full_list;	      /* its worker's full list names it */
+	int64_t running_seen_at;      /* when it was first reported running */
+	uint64_t start_request;	      /* command that carried its start */
+	bool may_have_started;	      /* some start may have reached a worker */
+	bool may_have_started_before; /* the same before the latest start */
 	bstr checkpoint;
-	bstr avoid_vm; /* the VM it failed on */
-	unsigned tries;
+	bstr avoid_vm;	/* VM on which it failed */
+	unsigned tries; /* failed or lost starts */
 	job_view view;
 	UT_hash_handle hh;
 };
 TAILQ_HEAD(task_list, task);
 
 /*
- * A start whose worker went silent before it was known to have ended.  It
- * may still run there, so it counts against the team's upper limit until
- * the worker has answered.
+ * A start that may still run on a worker that went silent.  It counts against
+ * the team's upper limit until the worker confirms that it has ended.
  */
 struct unconfirmed_start {
 	TAILQ_ENTRY(unconfirmed_start) entry;
@@ -298,71 +313,78 @@
 };
 TAILQ_HEAD(unconfirmed_list, unconfirmed_start);
 
-/* A team in a cell: its queue and what it may run here. */
+/* A team in a cell: its queue and its allowance of the upper limit. */
 struct cell_team {
 	bstr team;
 	struct task_list queue[CLASS_MAX];
 	unsigned queued;
-	unsigned running; /* started and not known to have ended */
-	unsigned unconfirmed;
-	uint32_t allowance;	/* of the team's upper limit, in this cell */
-	bool loaded;		/* held is known */
-	bool stale;		/* the row must be read before it is written */
-	bool blocked;		/* in the scheduling pass under way */
-	int64_t last_long_at;	/* when long work of it was last started */
-	uint64_t started_count; /* tasks, for the round robin of the bench */
+	unsigned running;     /* started and not known to have ended */
+	unsigned unconfirmed; /* unconfirmed starts on all workers */
+	uint32_t allowance;   /* part of the team's upper limit held here */
+	bool loaded;	      /* allowance is known */
+	bool stale;	      /* read the row again before writing it */
+	bool blocked;	      /* for the rest of the current scheduling pass */
+	int64_t last_long_at; /* when a long task of it was last started */
+	uint64_t started_count; /* tasks started, for QUEUE_ROUND_ROBIN */
 	allow_row row;
 	uint64_t revision;
-	uint64_t request;	   /* read or commit under way */
-	uint32_t commit_allowance; /* the hold in that commit */
-	bool capped; /* a write of cap over cap_revision may still land */
+	uint64_t request;	   /* outstanding read or commit */
+	uint32_t commit_allowance; /* allowance that this commit writes */
+	/*
+	 * A write that lowered the allowance to cap went unanswered.  It may
+	 * still take effect while the row is at cap_revision, so no more than
+	 * cap may be used until then.
+	 */
+	bool capped;
 	uint32_t cap;
 	uint64_t cap_revision;
 	int64_t retry_at;
-	int64_t idle_at;    /* since when most is looked for */
-	uint32_t peak_need; /* used since then: what exceeds it is given back */
-	uint32_t return_requested; /* by other cells, to be given back */
-	int64_t request_more_at;   /* when others are asked next */
+	int64_t idle_at;    /* start of the period that peak_need covers */
+	uint32_t peak_need; /* allowance above this is returned */
+	uint32_t return_requested; /* amount that other cells asked for */
+	int64_t request_more_at;   /* earliest next request to other cells */
 	UT_hash_handle hh;
 };
 
+/* An order about a task that a worker has not confirmed yet. */
 struct order {
 	TAILQ_ENTRY(order) entry;
 	task_order body;
-	uint64_t request; /* the one that carries it */
+	uint64_t request; /* latest command that carried it */
 };
 TAILQ_HEAD(order_list, order);
 
-/* What its pool's row was last made to say of a worker. */
+/* Health of a worker, as last recorded in its pool's row. */
 enum worker_health { HEALTH_UNKNOWN, HEALTH_OK, HEALTH_FAILED };
 
+/* The worker of an endpoint VM, as seen by the owner of its cell. */
 struct worker {
 	struct cell *cell;
 	bstr vm;
 	bstr address;
-	bool fenced; /* it has answered to our epoch */
-	bool silent;
-	bool lost; /* silent beyond its tasks' leases */
-	bool dead; /* lost, and no longer in the platform's list */
+	bool fenced; /* has answered to the current epoch */
+	bool silent; /* did not answer the latest exchange */
+	bool lost;   /* silent for longer than its tasks' leases last */
+	bool dead;   /* lost, and gone from the platform's list */
 	bool leaving;
 	bool listed;	 /* its row is in this cell's pool */
-	bool watch_full; /* the watch under way lists everything */
-	bstr boot_id;
-	uint64_t seq;
-	uint64_t watch_request; /* request ids, 0: none */
+	bool watch_full; /* the outstanding watch asks for all tasks */
+	bstr boot_id;	 /* changes when the worker restarts */
+	uint64_t seq;	 /* position in its reports; 0: ask for all tasks */
+	uint64_t watch_request; /* request ids; 0: none */
 	uint64_t command_request;
 	int64_t watch_at;
 	int64_t watch_sent_at;
-	int64_t command_at; /* orders to forget are due */
+	int64_t command_at; /* when pending TASK_FORGET orders are due */
 	int64_t command_ended_at;
 	int64_t answered_at;
-	int64_t renewed_at; /* latest request that renews leases in full */
-	int64_t drain_by;   /* tasks are moved then; 0: not draining */
-	int64_t reboot_at;  /* when a reboot is asked for next */
+	int64_t renewed_at; /* latest request that renewed leases in full */
+	int64_t drain_by;   /* tasks are moved after it; 0: not draining */
+	int64_t reboot_at;  /* next request for a reboot */
 	int64_t set_aside_until;
 	enum worker_health recorded_health;
-	unsigned failures;   /* in a row */
-	unsigned task_count; /* tasks taken to be on it */
+	unsigned failures;   /* consecutive */
+	unsigned task_count; /* tasks believed to occupy it */
 	uint32_t cpu_used;
 	uint32_t memory_used;
 	uint32_t accelerators_used;
@@ -373,16 +395,17 @@
 	UT_hash_handle hh;
 };
 
+/* A cell that this VM owns: the workers of a pool in one data centre. */
 struct cell {
 	struct unit *unit;
-	int64_t started_at;
-	bool rows_known; /* the VMs' rows were read since */
-	boots_row boots; /* as it is on the table */
+	int64_t started_at; /* when this VM became its owner */
+	bool rows_known;    /* VM rows were read after started_at */
+	boots_row boots;    /* as stored in the table */
 	uint64_t boots_revision;
 	bool boots_loaded;
-	uint64_t boots_request; /* read or commit under way */
+	uint64_t boots_request; /* outstanding read or commit */
 	int64_t boots_retry_at;
-	int64_t forgotten_at; /* when the mark was found or made */
+	int64_t forgotten_at; /* when boots.forgotten was set or found set */
 	struct worker *workers;
 	struct task *tasks;
 	struct cell_team *teams;
@@ -390,60 +413,59 @@
 	unsigned queued;
 	unsigned running;
 	unsigned long_running;
-	unsigned slots;	       /* of usable workers, in the pass under way */
-	int64_t rebalance_at;  /* no task yields for its team's share before */
-	int64_t last_quick_at; /* when quick or urgent work last came */
-	bool dirty;
+	unsigned slots;	       /* of usable workers, in the current pass */
+	int64_t rebalance_at;  /* no preemption between teams before this */
+	int64_t last_quick_at; /* when short or urgent work last came */
+	bool dirty;	       /* needs a scheduling pass */
 };
 
-/* Answers of several VMs to one request. */
+/* Collects the answers of several VMs to one caller's request. */
 struct gather {
 	uint64_t call;
-	unsigned pending;
-	unsigned missing;
+	unsigned pending; /* answers still expected */
+	unsigned missing; /* answers that will not come */
 	caller_answer answer;
 };
 
-/* A caller's request that another VM handles. */
+/* A caller's request that is forwarded to another entry VM. */
 struct forward {
 	TAILQ_ENTRY(forward) entry;
-	uint64_t id;	       /* names the request on the wire */
-	uint64_t call;	       /* the caller's */
-	struct gather *gather; /* NULL: its answer is the answer */
+	uint64_t id;	       /* identifies the request between VMs */
+	uint64_t call;	       /* the caller's call */
+	struct gather *gather; /* NULL: answers the caller directly */
 	caller_request request;
 	bstr team;
-	bstr to;
+	bstr to; /* where it was last sent */
 	uint32_t shard;
 	bstr vm; /* the only VM that can answer; empty: the shard's owner */
 	int64_t made_at;
 	int64_t deadline;
-	int64_t resend_at; /* 0: sent, waiting */
+	int64_t resend_at; /* 0: sent, waiting for the answer */
 	bool sent;
-	unsigned sends; /* copies that may have been handled */
-	unsigned
-		skipped; /* VMs that said they do not own it, this time round */
+	unsigned sends;	  /* copies that may have been handled */
+	unsigned skipped; /* VMs of this round that do not own the shard */
 };
 TAILQ_HEAD(forward_list, forward);
 
-/* An operator's change of the configuration, one at a time. */
+/* An operator's change of the configuration; one is applied at a time. */
 struct change {
 	TAILQ_ENTRY(change) entry;
 	uint64_t call;
-	bstr vm; /* the VM that asked, empty: this one */
+	bstr vm; /* entry VM that forwarded it; empty: this one */
 	op_request request;
 	json_t *doc;
-	uint64_t base_revision; /* revision it was made from */
-	uint64_t head_revision; /* row version to replace */
+	uint64_t base_revision; /* configuration it is based on */
+	uint64_t head_revision; /* version of the head row to replace */
 	bstr object;
 	unsigned tries;
 	bool in_flight;
-	uint64_t accepted; /* revision it became, once committed */
+	uint64_t accepted; /* its configuration revision; 0: not committed */
 	int64_t made_at;
 	int64_t deadline;
 };
 TAILQ_HEAD(change_list, change);
 
-/* A change of a VM's row, by an operator or by the owner of its cell. */
+/* A change to a VM's row, by an operator, a wave or the owner of its cell. */
 enum edit_kind {
 	EDIT_OPERATOR,
 	EDIT_DRAINED,
@@ -453,6 +475,7 @@
 	EDIT_WAVE_DRAIN,
 	EDIT_WAVE_RETURN
 };
+
 struct edit {
 	TAILQ_ENTRY(edit) entry;
 	enum edit_kind kind;
@@ -460,12 +483,12 @@
 	uint64_t call; /* EDIT_OPERATOR */
 	op_request request;
 	bstr vm;
-	bstr pool;    /* whose row was read with it */
-	bstr boot_id; /* EDIT_DRAINED, EDIT_REBOOTED: the worker\'s */
+	bstr pool;    /* pool whose row was read with the VM's */
+	bstr boot_id; /* EDIT_DRAINED, EDIT_REBOOTED: the worker's */
 	bstr wave;    /* EDIT_WAVE_DRAIN, EDIT_WAVE_RETURN */
 	uint32_t deadline_ms;
-	const char *reason; /* what it did, once committed */
-	uint64_t revision;  /* of the VM's row when it was seen */
+	const char *reason; /* result for the operator, once committed */
+	uint64_t revision;  /* of the VM's row that was read */
 	unsigned tries;
 	int64_t deadline;
 	int64_t retry_at;
@@ -473,22 +496,22 @@
 };
 TAILQ_HEAD(edit_list, edit);
 
-/* A maintenance wave, as its row was last read. */
+/* A maintenance wave, as its row was last read or written. */
 struct wave {
 	wave_row row;
 	uint64_t revision;
-	bool in_flight; /* a commit of its row */
-	bool marked;
-	int64_t read_at;       /* when the row came */
-	bstr blocked;	       /* why the next VM is not drained */
-	int64_t next_drain_at; /* no drain before */
-	unsigned next_index;   /* the place in the list to look on from */
-	int64_t started_at;    /* here, to estimate the end */
-	unsigned done_at_start;
+	bool in_flight;	 /* a commit of its row is outstanding */
+	bool marked;	 /* seen in the current scan */
+	int64_t read_at; /* when the row was received */
+	bstr blocked;	 /* why the next VM can't be drained; empty: it can */
+	int64_t next_drain_at; /* earliest next drain */
+	unsigned next_index; /* index in the VM list where the search starts */
+	int64_t started_at;  /* first seen running here; to estimate the end */
+	unsigned done_at_start; /* VMs done at started_at */
 	UT_hash_handle hh;
 };
 
-/* An operator's change of a wave. */
+/* An operator's request to create or change a wave. */
 struct wave_change {
 	TAILQ_ENTRY(wave_change) entry;
 	uint64_t id;
@@ -498,47 +521,52 @@
 };
 TAILQ_HEAD(wave_change_list, wave_change);
 
-/* An operator's question that waits for a job's cell. */
+/* An operator's request for why a job waits; needs the answer of its cell. */
 struct question {
 	TAILQ_ENTRY(question) entry;
 	uint64_t call;
-	bstr asker; /* the VM that asked, empty: an operator of ours */
+	bstr asker; /* entry VM that forwarded it; empty: this one */
 	bstr job;
 	int64_t deadline;
 };
 TAILQ_HEAD(question_list, question);
 
-/* An operator's question that other entry VMs answer, or one of them. */
+/* An operator's request that all entry VMs answer, or another one does. */
 struct ask {
 	TAILQ_ENTRY(ask) entry;
-	uint64_t id; /* names it on the wire */
+	uint64_t id; /* identifies the request between VMs */
 	uint64_t call;
 	op_request request;
-	bstr pending_vms; /* who has not answered, spaces around each */
+	bstr pending_vms; /* VMs without an answer yet, each between spaces */
 	unsigned pending;
-	op_reply reply; /* the first that is an error, or the last */
+	op_reply reply; /* the first error, or else the latest reply */
 	json_t *body;
 	int64_t deadline;
 };
 TAILQ_HEAD(ask_list, ask);
 
+/* A message to this VM itself, delivered without the network. */
 struct local_message {
 	TAILQ_ENTRY(local_message) entry;
 	peer_message message;
 };
 TAILQ_HEAD(local_list, local_message);
 
-/* Observed run time of a team's work under a label. */
+/* Mean observed run time of a team's tasks with one label. */
 struct run_time {
 	bstr name;
 	uint32_t mean_ms;
 	UT_hash_handle hh;
 };
 
-/* The bench compares; the daemon has no way to choose. */
+/*
+ * Alternative policies, which only the bench selects for comparison.  The
+ * daemon always uses the first of each.
+ */
 enum queue_policy { QUEUE_SHARES, QUEUE_FIFO, QUEUE_ROUND_ROBIN };
 enum wave_policy { WAVE_ROOM_FOR_RACK, WAVE_BY_RACK, WAVE_BY_NAME };
 
+/* The whole state of an entry VM's reducer. */
 struct state {
 	enum queue_policy queue_policy;
 	enum wave_policy wave_policy;
@@ -553,17 +581,17 @@
 	uint32_t queue_per_cell, queue_per_team, retention_ms, attempts;
 
 	int64_t now;
-	int64_t last_event_at; /* latest event */
-	int64_t resumed_at;    /* end of the latest pause */
+	int64_t last_event_at; /* -1: no event yet */
+	int64_t resumed_at;    /* end of the latest detected pause */
 	struct effects *out;
 	struct local_list local;
 	uint64_t next_request;
 	uint64_t next_serial;
 	struct request *requests;
 
-	/* platform, membership, proof */
+	/* platform, membership, freshness */
 	bool platform_up;
-	int64_t platform_answered_at; /* latest answer */
+	int64_t platform_answered_at;
 	struct member *members;
 	uint64_t member_revision;
 	uint64_t member_seq;
@@ -572,18 +600,17 @@
 	int64_t renew_at;
 	int64_t scan_at;
 	int64_t lease_until;
-	int64_t scanned_at; /* latest good scan */
+	int64_t scanned_at; /* latest successful scan */
 	int64_t ping_at;
 	uint64_t ping_seq;
-	int64_t proof_at; /* all withdrawals up to then are known here */
+	int64_t proof_at; /* key withdrawals up to this time are known here */
 	bool fresh;
 
 	/* configuration */
 	struct config *config;
-	bool config_known; /* a head, or its absence, has been read */
+	bool config_known; /* the head row, or its absence, has been read */
 	uint64_t head_revision;
-	int64_t head_confirmed_at; /* when it was read and named what is in
-				      force */
+	int64_t head_confirmed_at; /* read of the head that named config */
 	bstr head_value;
 	uint64_t heads_request;
 	int64_t heads_poll_at;
@@ -595,10 +622,10 @@
 	struct vm *vms;
 	uint64_t vms_generation;
 	uint64_t vms_revision;
-	uint64_t vms_target; /* version of the head that is being read up to */
+	uint64_t vms_target; /* head version that the current read covers */
 	uint64_t vms_target_generation;
 	bool vms_known;
-	int64_t vms_current_at; /* the rows held then were the newest */
+	int64_t vms_current_at; /* when vms last matched the table */
 	uint64_t vms_request;
 	struct listed *listed;
 	uint64_t list_request;
@@ -610,9 +637,10 @@
 	int64_t waves_poll_at;
 
 	struct unit *units;
-	uint64_t units_revision; /* of the configuration they follow */
-	uint64_t reported_cells, reported_shards, reported_queued,
-		reported_running;
+	uint64_t units_revision; /* configuration that units reflect */
+	/* Gauges, as last reported. */
+	uint64_t reported_cells, reported_shards;
+	uint64_t reported_queued, reported_running;
 	struct job *jobs;
 	struct job_list active;
 	struct job_list finished;
@@ -620,7 +648,7 @@
 	struct forward_list forwards;
 	struct question_list questions;
 	struct ask_list asks;
-	bstr asker; /* of the operator's request at hand; not owned */
+	bstr asker; /* forwarded the current operator request; not owned */
 	struct run_time *run_times;
 
 	bool stopping;
@@ -656,7 +684,7 @@
 void commit_put(fx_commit *c, bstr key, xdrproc_t proc, const void *value);
 void commit_put_bytes(fx_commit *c, bstr key, bstr value);
 void commit_remove(fx_commit *c, bstr key);
-/* Takes what c holds.  give_up_at 0: until it is certain. */
+/* Takes ownership of c's content; give_up_at 0: retries until certain. */
 uint64_t table_commit(struct state *st, enum request_kind kind, bstr name,
 		      fx_commit *c, int64_t give_up_at);
 void platform_event(struct state *st, const ev_platform *ev);
@@ -664,7 +692,7 @@
 const table_row *row_find(const ev_platform *ev, bstr key);
 uint64_t row_version(const ev_platform *ev, bstr key);
 
-/* reduce-member.c: who is there. */
+/* reduce-member.c: membership and leases of entry VMs. */
 void member_tick(struct state *st);
 void member_renewed(struct state *st, struct request *rq,
 		    const ev_platform *ev);
@@ -680,20 +708,20 @@
 void member_free_all(struct state *st);
 void members_paused(struct state *st);
 bool lease_valid(const struct state *st);
-/* The VM that should own a unit; empty if nobody can. */
+/* Returns the VM that should own a unit, empty if there is none. */
 bstr unit_choose(struct state *st, const struct unit *u);
 bool unit_is_fallback_owner(struct state *st, const struct unit *u);
 bstr unit_choose_next(struct state *st, const struct unit *u, unsigned skipped);
 void peer_send(struct state *st, bstr to, const peer_message *m);
 
-/* reduce-key.c: proof of freshness, and whose key it is. */
+/* reduce-key.c: proof that the configuration is fresh; key checks. */
 void proof_update(struct state *st);
 void proof_platform(struct state *st, int64_t sent_at);
 bool proof_fresh(const struct state *st);
 const struct team *key_check(struct state *st, const caller_request *rq,
 			     caller_answer *refusal);
 
-/* reduce-config.c */
+/* reduce-config.c: the configuration in force and changes to it. */
 void config_tick(struct state *st);
 void heads_read(struct state *st, struct request *rq, const ev_platform *ev);
 void config_got(struct state *st, struct request *rq, const ev_platform *ev);
@@ -704,7 +732,7 @@
 void change_free(struct state *st, struct change *c);
 json_t *config_history(const struct state *st);
 
-/* reduce-own.c: cells and shards. */
+/* reduce-own.c: ownership of cells and shards. */
 void units_tick(struct state *st);
 void unit_read(struct state *st, struct request *rq, const ev_platform *ev);
 void unit_claimed(struct state *st, struct request *rq, const ev_platform *ev);
@@ -726,7 +754,7 @@
 		     const ev_platform *ev);
 void shard_trimmed(struct state *st, struct unit *u, const ev_platform *ev);
 void shards_tick(struct state *st);
-/* Take a claim back that has certainly not been written. */
+/* Withdraws a job's claim if it has certainly not been written. */
 bool shard_withdraw(struct state *st, struct shard *s, bstr job);
 bool shard_is_flushed(const struct shard *s);
 void shard_free(struct state *st, struct shard *s);
@@ -769,7 +797,7 @@
 void job_set_cell(struct job *j, const cell_id *cell);
 void job_free(struct state *st, struct job *j);
 
-/* reduce-wait.c: who waits for a job, and what they are told. */
+/* reduce-wait.c: callers that wait for a job, and their answers. */
 void job_wait(struct state *st, struct job *j, bstr vm, uint64_t call,
 	      int64_t deadline, bool until_final, bool submit);
 void job_answer_due(struct state *st, struct job *j);
@@ -779,12 +807,12 @@
 void waiter_free(struct job *j, struct waiter *w);
 void waiters_free(struct job *j);
 
-/* reduce-home.c: a shard's jobs as it comes and goes. */
+/* reduce-home.c: jobs of a shard that is taken over or given up. */
 void job_replay(struct state *st, struct shard *s, const record *rec);
 void jobs_resume(struct state *st, struct shard *s);
 void jobs_drop(struct state *st, struct shard *s);
 
-/* reduce-cell.c: a job at its cell. */
+/* reduce-cell.c: tasks of a cell. */
 void cell_start(struct state *st, struct unit *u);
 void cell_dispatch(struct state *st, bstr from, const pm_dispatch *m);
 void cell_cancel(struct state *st, bstr from, const pm_cancel *m);
@@ -806,7 +834,7 @@
 void task_report_handle(struct state *st, struct cell *c, struct worker *w,
 			const task_report *r);
 
-/* reduce-queue.c: which task is next, and where. */
+/* reduce-queue.c: scheduling: which task starts next, and on which worker. */
 void queue_add(struct state *st, struct cell *c, struct task *t);
 void queue_remove(struct cell *c, struct task *t);
 void cell_schedule(struct state *st, struct cell *c);
@@ -823,12 +851,13 @@
 bool worker_usable(const struct state *st, const struct worker *w);
 void worker_free(struct cell *c, struct worker *w);
 void worker_confirm_ended(struct worker *w, bstr task);
-bool worker_is_empty(struct state *st, bstr vm); /* and ours to decide */
+/* Returns false also if this VM does not own the worker's cell. */
+bool worker_is_empty(struct state *st, bstr vm);
 void worker_health_recorded(struct state *st, bstr vm, bool failed);
 void worker_add_unconfirmed(struct worker *w, bstr task,
 			    struct cell_team *team);
 
-/* reduce-boot.c: whether workers remember. */
+/* reduce-boot.c: record of worker restarts, which lose task state. */
 void boots_tick(struct state *st, struct cell *c);
 bool boots_durable(struct state *st, struct cell *c);
 bool boot_recorded(const struct worker *w);
@@ -836,7 +865,7 @@
 void boots_committed(struct state *st, struct request *rq,
 		     const ev_platform *ev);
 
-/* reduce-limit.c: allowances of the teams' upper limits. */
+/* reduce-limit.c: cells' allowances of the teams' upper limits. */
 void limits_tick(struct state *st, struct cell *c);
 uint32_t limit_spendable(struct state *st, struct cell *c, struct cell_team *t);
 uint32_t team_used(const struct cell_team *t);
@@ -847,10 +876,10 @@
 void limit_wanted(struct state *st, const pm_want *m);
 void cell_team_free(struct cell *c, struct cell_team *t);
 
-/* reduce-vm.c: the VMs' rows and the platform's list. */
+/* reduce-vm.c: rows of endpoint VMs and the platform's list of VMs. */
 #define VM_PREFIX "vm/"
 #define VMS_HEAD_KEY "vms/head"
-#define HEAD_RECENT_MAX 64 /* changes that the head names */
+#define HEAD_RECENT_MAX 64 /* changed VMs that the head row names */
 void vm_row_apply(struct state *st, const table_row *r);
 void vms_apply_committed(struct state *st, const struct request *rq,
 			 const ev_platform *ev);
@@ -860,11 +889,12 @@
 void vms_listed(struct state *st, const ev_platform *ev);
 void vms_tick(struct state *st);
 bool vm_leaving(struct state *st, bstr name);
-bool vm_absent(struct state *st, bstr name); /* for long enough to be dead */
+/* Returns true if a VM is absent for long enough to count as dead. */
+bool vm_absent(struct state *st, bstr name);
 struct vm *vm_find(struct state *st, bstr name);
 void vms_free(struct state *st);
 
-/* reduce-pool.c: changes of VMs' rows, drains, budgets. */
+/* reduce-pool.c: changes to VMs' rows, drains, budgets. */
 void edit_add(struct state *st, uint64_t call, const op_request *rq);
 void edit_vm(struct state *st, enum edit_kind kind, bstr vm, bstr boot);
 void edit_wave(struct state *st, enum edit_kind kind, bstr vm, bstr wave,
@@ -906,14 +936,14 @@
 void json_set_str(json_t *o, const char *name, bstr value);
 void json_set_int(json_t *o, const char *name, uint64_t value);
 
-/* reduce-why.c: what holds a job or a team. */
+/* reduce-why.c: explains why a job or a team waits. */
 void op_why_job(struct state *st, uint64_t call, const op_request *rq);
 void op_why_team(struct state *st, uint64_t call, const op_request *rq);
 void op_why_job_answer(struct state *st, const struct job *j);
 void questions_tick(struct state *st);
 void questions_free(struct state *st);
 
-/* reduce-ask.c: questions to the other entry VMs. */
+/* reduce-ask.c: operators' requests that other entry VMs answer. */
 void ask_all(struct state *st, uint64_t call, const op_request *rq);
 bool ask_home(struct state *st, uint64_t call, const op_request *rq);
 void ask_answered(struct state *st, bstr from, const pm_op_reply *m);
