--- a/reduce-call.c
+++ b/reduce-call.c
@@ -265,7 +265,7 @@
 	m->request = f->request;
 	m->request.key_id = m->request.key_digest = BSTR_NONE;
 	f->sent = true;
-	f->sends++;
+	f->copies_sent++;
 	f->resend_at = 0;
 	peer_send(st, f->to, &msg);
 }
@@ -469,7 +469,7 @@
 	}
 	if (f->gather)
 		gather_add(st, f->gather, &m->answer);
-	else if (f->sends > 1 && m->answer.http >= 500 &&
+	else if (f->copies_sent > 1 && m->answer.http >= 500 &&
 		 !m->answer.jobs.jobs_len)
 		answer_refuse(st, BSTR_NONE, f->call, 504,
 			      COUNT_REFUSED_DEADLINE,
@@ -496,7 +496,8 @@
 		p->leaving = true;
 	if (!f)
 		return;
-	f->sent = f->sends && --f->sends; /* that VM did nothing with it */
+	f->sent = f->copies_sent &&
+		  --f->copies_sent; /* that VM did nothing with it */
 	f->skipped++;
 	f->resend_at = st->now;
 	effect_wake(st, st->now);
--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -97,7 +97,7 @@
 }
 
 /* Take a task off its worker's and its team's account. */
-void task_leave(struct cell *c, struct task *t)
+void task_release_resources(struct cell *c, struct task *t)
 {
 	struct worker *w = t->worker;
 
@@ -119,7 +119,7 @@
 	if (t->phase == TASK_QUEUED)
 		queue_remove(c, t);
 	else
-		task_leave(c, t);
+		task_release_resources(c, t);
 	if (t->phase == TASK_ENDED)
 		TAILQ_REMOVE(&c->ended, t, entry);
 	if (t->worker)
@@ -190,7 +190,7 @@
 	if (t->phase == TASK_QUEUED)
 		queue_remove(c, t);
 	else
-		task_leave(c, t);
+		task_release_resources(c, t);
 	t->phase = TASK_ENDED;
 	t->view.state = state;
 	t->view.attempts = t->start;
@@ -204,7 +204,7 @@
 /* Put a task that is on no worker any more back into its queue. */
 void task_requeue(struct state *st, struct cell *c, struct task *t)
 {
-	task_leave(c, t);
+	task_release_resources(c, t);
 	if (t->worker)
 		TAILQ_REMOVE(&t->worker->tasks, t, worker_entry);
 	t->worker = NULL;
--- a/reduce-limit.c
+++ b/reduce-limit.c
@@ -104,7 +104,8 @@
  * to leave room for what may run on workers that have not answered to it
  * yet: those tasks count against the same hold.
  */
-uint32_t limit_spendable(struct state *st, struct cell *c, struct cell_team *t)
+uint32_t allowance_available(struct state *st, struct cell *c,
+			     struct cell_team *t)
 {
 	uint64_t used = team_used(t), ceiling = allow_ceiling(st, t);
 
@@ -308,7 +309,7 @@
 }
 
 /* Another cell of the team needs some of what we hold. */
-void limit_wanted(struct state *st, const pm_want *m)
+void allowance_requested(struct state *st, const pm_want *m)
 {
 	struct unit *u = unit_of_cell(st, &m->cell);
 	struct cell_team *t;
@@ -395,7 +396,7 @@
 				allow_load(st, c, t);
 			continue;
 		}
-		if (t->queued && !limit_spendable(st, c, t))
+		if (t->queued && !allowance_available(st, c, t))
 			allow_grow(st, c, t);
 		if (!t->request)
 			allow_shrink(st, c, t);
--- a/reduce-op.c
+++ b/reduce-op.c
@@ -36,7 +36,7 @@
 	       const char *reason, const char *detail, uint32_t retry_after_ms,
 	       json_t *body)
 {
-	op_answer_to(st, st->asker, call, status, reason, detail,
+	op_answer_to(st, st->forwarded_by, call, status, reason, detail,
 		     retry_after_ms, body);
 }
 
@@ -505,7 +505,7 @@
 	TAILQ_FOREACH(a, &st->asks, entry)
 		op_cut(st, a->call);
 	TAILQ_FOREACH(q, &st->questions, entry)
-		if (!q->asker.bstr_len)
+		if (!q->forwarded_by.bstr_len)
 			op_cut(st, q->call);
 }
 
@@ -529,10 +529,10 @@
 	for (i = 0; i < NELEMS(ops); i++) {
 		if (ops[i].kind != rq->kind)
 			continue;
-		if (ops[i].scope == SCOPE_ALL && !st->asker.bstr_len)
+		if (ops[i].scope == SCOPE_ALL && !st->forwarded_by.bstr_len)
 			ask_all(st, call, rq);
-		else if (ops[i].scope != SCOPE_HOME || st->asker.bstr_len ||
-			 !ask_home(st, call, rq))
+		else if (ops[i].scope != SCOPE_HOME ||
+			 st->forwarded_by.bstr_len || !ask_home(st, call, rq))
 			ops[i].exec(st, call, rq);
 		return;
 	}
@@ -546,16 +546,16 @@
 }
 
 /* Another entry VM asks for its operator; it may only ask, not change. */
-void op_asked(struct state *st, bstr from, const pm_operate *m)
+void op_forwarded(struct state *st, bstr from, const pm_operate *m)
 {
 	size_t i;
 
 	for (i = 0; i < NELEMS(ops); i++) {
 		if (ops[i].kind != m->request.kind || ops[i].scope == SCOPE_ANY)
 			continue;
-		st->asker = from;
+		st->forwarded_by = from;
 		op_event(st, m->call, &m->request);
-		st->asker = BSTR_NONE;
+		st->forwarded_by = BSTR_NONE;
 		return;
 	}
 	effect_count(st, COUNT_DROPPED_STRANGE, 1);
--- a/reduce-own.c
+++ b/reduce-own.c
@@ -97,7 +97,7 @@
 	u->row_unread = true;
 	u->unverified = false;
 	u->verifying = false;
-	u->unwanted_at = 0;
+	u->handover_wanted_at = 0;
 	u->retry_at = st->now + UNIT_RETRY_MS +
 		      (int64_t)state_random(st, UNIT_RETRY_MS);
 }
@@ -298,12 +298,12 @@
 	best = unit_choose(st, u);
 	if (!best.bstr_len || bstr_eq(best, st->vm) ||
 	    unit_is_fallback_owner(st, u)) {
-		u->unwanted_at = 0;
+		u->handover_wanted_at = 0;
 		return false;
 	}
-	if (!u->unwanted_at)
-		u->unwanted_at = st->now;
-	return st->now - u->unwanted_at >= UNIT_UNWANTED_MS;
+	if (!u->handover_wanted_at)
+		u->handover_wanted_at = st->now;
+	return st->now - u->handover_wanted_at >= UNIT_UNWANTED_MS;
 }
 
 /* Move one unit on. */
--- a/reduce-queue.c
+++ b/reduce-queue.c
@@ -378,7 +378,7 @@
 {
 	unsigned kept = (c->slots + QUICK_PART - 1) / QUICK_PART;
 	unsigned most = c->slots / FREEING_PART + 1, n = 0;
-	uint32_t may = limit_spendable(st, c, team);
+	uint32_t may = allowance_available(st, c, team);
 	enum task_class k;
 	struct task *t, *v;
 
@@ -419,7 +419,7 @@
 	if (st->now < c->rebalance_at)
 		return;
 	HASH_ITER(hh, c->teams, t, next) {
-		if (t->queued && limit_spendable(st, c, t) &&
+		if (t->queued && allowance_available(st, c, t) &&
 		    (!low || team_level(st, t) < team_level(st, low)))
 			low = t;
 	}
@@ -480,8 +480,9 @@
 		team->blocked = false;
 	while ((team = team_choose(st, c))) {
 		t = team_next(st, c, team);
-		w = t && limit_spendable(st, c, team) ? worker_choose(st, c, t)
-						      : NULL;
+		w = t && allowance_available(st, c, team)
+			    ? worker_choose(st, c, t)
+			    : NULL;
 		if (w)
 			task_start_on(st, c, t, w);
 		else
@@ -542,7 +543,7 @@
 			used, team ? team->limit : 0);
 		return "upper-limit";
 	}
-	if (!limit_spendable(st, c, t->team)) {
+	if (!allowance_available(st, c, t->team)) {
 		*detail = bstr_printf(
 			"the team runs %u of the %u that this cell holds of "
 			"its upper limit %u; other cells hold the rest, or "
--- a/reduce-vm.c
+++ b/reduce-vm.c
@@ -72,7 +72,7 @@
 	}
 	/* The state is no pointer: it outlasts the free. */
 	if (!v->revision || v->row.state != row.state)
-		v->state_at = st->now;
+		v->state_since = st->now;
 	v->row = row;
 	v->revision = r->revision;
 	v->marked = true;
--- a/reduce-wave.c
+++ b/reduce-wave.c
@@ -565,7 +565,7 @@
 					   : WAVE_REBOOT_MS;
 
 	return vm && (at == STEP_DRAINING || at == STEP_REBOOTING) &&
-	       st->now - vm->state_at > most;
+	       st->now - vm->state_since > most;
 }
 
 /* A wave in figures: how far it is, what blocks it, when it may end. */
--- a/reduce-why.c
+++ b/reduce-why.c
@@ -41,7 +41,7 @@
 	struct question *q = xcalloc(1, sizeof(*q));
 
 	q->call = call;
-	q->asker = bstr_copy(st->asker);
+	q->forwarded_by = bstr_copy(st->forwarded_by);
 	q->job = bstr_copy(j->id);
 	q->deadline = st->now + QUESTION_MS;
 	TAILQ_INSERT_TAIL(&st->questions, q, entry);
@@ -52,7 +52,7 @@
 static void question_free(struct state *st, struct question *q)
 {
 	TAILQ_REMOVE(&st->questions, q, entry);
-	bstr_free(&q->asker);
+	bstr_free(&q->forwarded_by);
 	bstr_free(&q->job);
 	free(q);
 }
@@ -75,7 +75,7 @@
 		next = TAILQ_NEXT(q, entry);
 		if (!bstr_eq(q->job, j->id))
 			continue;
-		why_answer(st, q->asker, q->call, j);
+		why_answer(st, q->forwarded_by, q->call, j);
 		question_free(st, q);
 	}
 }
@@ -92,9 +92,9 @@
 			continue;
 		j = job_find(st, q->job);
 		if (j)
-			why_answer(st, q->asker, q->call, j);
+			why_answer(st, q->forwarded_by, q->call, j);
 		else
-			op_answer_to(st, q->asker, q->call, OP_NOT_FOUND,
+			op_answer_to(st, q->forwarded_by, q->call, OP_NOT_FOUND,
 				     "job-unknown",
 				     "its home has moved: ask again", 0, NULL);
 		question_free(st, q);
@@ -114,7 +114,7 @@
 	else if (j->phase == PHASE_DISPATCHED)
 		question_add(st, call, j);
 	else
-		why_answer(st, st->asker, call, j);
+		why_answer(st, st->forwarded_by, call, j);
 }
 
 /* The gate of a team's first queued task in a cell. */
--- a/reduce.c
+++ b/reduce.c
@@ -216,7 +216,7 @@
 		cell_ack(st, &m->peer_message_u.cancel);
 		break;
 	case PM_WANT:
-		limit_wanted(st, &m->peer_message_u.want);
+		allowance_requested(st, &m->peer_message_u.want);
 		break;
 	case PM_UNOWNED:
 		if (m->peer_message_u.unowned.kind == PM_FORWARD)
@@ -228,7 +228,7 @@
 		member_leaving(st, from);
 		break;
 	case PM_OPERATE:
-		op_asked(st, from, &m->peer_message_u.operate);
+		op_forwarded(st, from, &m->peer_message_u.operate);
 		break;
 	case PM_OP_REPLY:
 		ask_answered(st, from, &m->peer_message_u.op_reply);
--- a/reduce.h
+++ b/reduce.h
@@ -123,8 +123,8 @@
 struct vm {
 	vm_row row;
 	uint64_t revision;
-	int64_t state_at; /* when this VM first saw its current state */
-	bool marked;	  /* seen in the current scan */
+	int64_t state_since; /* when this VM first saw its current state */
+	bool marked;	     /* seen in the current scan */
 	UT_hash_handle hh;
 };
 
@@ -164,10 +164,10 @@
 	uint64_t revision;
 	uint64_t epoch;
 	int64_t retry_at;
-	int64_t unwanted_at; /* since when another VM should own it; 0: not */
-	bool row_unread;     /* not owned, but its row may still name this VM */
-	bool unverified;     /* may have been taken over: read the row first */
-	bool verifying;	     /* that read is outstanding */
+	int64_t handover_wanted_at; /* 0: no other VM should own it */
+	bool row_unread;    /* not owned, but its row may still name this VM */
+	bool unverified;    /* may have been taken over: read the row first */
+	bool verifying;	    /* that read is outstanding */
 	bstr unknown_owner; /* owner in the row that was no member, seen once */
 	unsigned sent_jobs; /* jobs with their home here, sent to the cell */
 	bool configured;    /* the configuration names it */
@@ -442,8 +442,8 @@
 	int64_t deadline;
 	int64_t resend_at; /* 0: sent, waiting for the answer */
 	bool sent;
-	unsigned sends;	  /* copies that may have been handled */
-	unsigned skipped; /* VMs of this round that do not own the shard */
+	unsigned copies_sent; /* copies that may have been handled */
+	unsigned skipped;     /* VMs of this round that do not own the shard */
 };
 TAILQ_HEAD(forward_list, forward);
 
@@ -525,7 +525,7 @@
 struct question {
 	TAILQ_ENTRY(question) entry;
 	uint64_t call;
-	bstr asker; /* entry VM that forwarded it; empty: this one */
+	bstr forwarded_by; /* entry VM that forwarded it; empty: this one */
 	bstr job;
 	int64_t deadline;
 };
@@ -648,7 +648,7 @@
 	struct forward_list forwards;
 	struct question_list questions;
 	struct ask_list asks;
-	bstr asker; /* forwarded the current operator request; not owned */
+	bstr forwarded_by; /* of the current operator request; not owned */
 	struct run_time *run_times;
 
 	bool stopping;
@@ -829,7 +829,7 @@
 void task_notify(struct state *st, struct cell *c, struct task *t);
 void task_lost(struct state *st, struct cell *c, struct task *t);
 void task_place(struct cell *c, struct task *t, struct worker *w);
-void task_leave(struct cell *c, struct task *t);
+void task_release_resources(struct cell *c, struct task *t);
 void task_free(struct cell *c, struct task *t);
 void task_report_handle(struct state *st, struct cell *c, struct worker *w,
 			const task_report *r);
@@ -867,13 +867,14 @@
 
 /* reduce-limit.c: cells' allowances of the teams' upper limits. */
 void limits_tick(struct state *st, struct cell *c);
-uint32_t limit_spendable(struct state *st, struct cell *c, struct cell_team *t);
+uint32_t allowance_available(struct state *st, struct cell *c,
+			     struct cell_team *t);
 uint32_t team_used(const struct cell_team *t);
 void allowance_read(struct state *st, struct request *rq,
 		    const ev_platform *ev);
 void allowance_committed(struct state *st, struct request *rq,
 			 const ev_platform *ev);
-void limit_wanted(struct state *st, const pm_want *m);
+void allowance_requested(struct state *st, const pm_want *m);
 void cell_team_free(struct cell *c, struct cell_team *t);
 
 /* reduce-vm.c: rows of endpoint VMs and the platform's list of VMs. */
@@ -923,7 +924,7 @@
 bool ops_pending(struct state *st);
 void ops_stop(struct state *st);
 void op_event(struct state *st, uint64_t call, const op_request *rq);
-void op_asked(struct state *st, bstr from, const pm_operate *m);
+void op_forwarded(struct state *st, bstr from, const pm_operate *m);
 void op_answer(struct state *st, uint64_t call, op_status status,
 	       const char *reason, const char *detail, uint32_t retry_after_ms,
 	       json_t *body);
