--- a/reduce-call.c
+++ b/reduce-call.c
@@ -218,7 +218,7 @@
 	struct forward *f;
 
 	while ((f = TAILQ_FIRST(&st->forwards))) {
-		if (f->gather && !--f->gather->open) {
+		if (f->gather && !--f->gather->pending) {
 			xdr_free(XDR_PROC(xdr_caller_answer),
 				 (char *)&f->gather->answer);
 			free(f->gather);
@@ -265,7 +265,7 @@
 	m->request = f->request;
 	m->request.key_id = m->request.key_digest = BSTR_NONE;
 	f->sent = true;
-	f->sends++;
+	f->copies_sent++;
 	f->resend_at = 0;
 	peer_send(st, f->to, &msg);
 }
@@ -287,7 +287,7 @@
 			 &a->jobs.jobs_val[i], sizeof(job_view));
 	}
 	g->missing += !a;
-	if (--g->open)
+	if (--g->pending)
 		return;
 	if (g->missing) {
 		detail = xasprintf("%u VMs did not answer: jobs there may be "
@@ -323,7 +323,7 @@
 		v = &a.jobs.jobs_val[a.jobs.jobs_len++];
 		xdr_copy(XDR_PROC(xdr_job_view), v, &j->view, sizeof(job_view));
 		/* "Not run" is not said before it is durable. */
-		if (v->state == JOB_NOT_RUN && !job_settled(j))
+		if (v->state == JOB_NOT_RUN && !job_final_ready(j))
 			v->state = JOB_QUEUED;
 	}
 	answer_send(st, vm, call, &a);
@@ -343,13 +343,13 @@
 	g->answer.http = 200;
 	f = forward_new(st, call, rq, team, 0, st->vm, deadline);
 	f->gather = g;
-	g->open = 1;
+	g->pending = 1;
 	HASH_ITER(hh, st->members, m, next) {
 		if (!member_alive(m))
 			continue;
 		f = forward_new(st, call, rq, team, 0, m->vm, deadline);
 		f->gather = g;
-		g->open++;
+		g->pending++;
 	}
 	for (f = TAILQ_FIRST(&st->forwards); f; f = TAILQ_NEXT(f, entry))
 		if (f->gather == g)
@@ -394,7 +394,7 @@
 	if (soft && bstr_eq(vm, st->vm))
 		call_at_home(st, BSTR_NONE, call, &full, t->name, NULL,
 			     call_deadline(st, rq));
-	else if (!soft && unit_acts(st, u) && u->shard)
+	else if (!soft && unit_is_active(st, u) && u->shard)
 		call_at_home(st, BSTR_NONE, call, &full, t->name, u->shard,
 			     call_deadline(st, rq));
 	else
@@ -436,7 +436,7 @@
 	if (soft)
 		bstr_free(&vm);
 	u = soft ? NULL : unit_of_shard(st, m->shard);
-	if (soft || (unit_acts(st, u) && u->shard))
+	if (soft || (unit_is_active(st, u) && u->shard))
 		call_at_home(st, from, m->call, &m->request, m->team,
 			     u ? u->shard : NULL, st->now + m->budget_ms);
 	else
@@ -469,7 +469,7 @@
 	}
 	if (f->gather)
 		gather_add(st, f->gather, &m->answer);
-	else if (f->sends > 1 && m->answer.http >= 500 &&
+	else if (f->copies_sent > 1 && m->answer.http >= 500 &&
 		 !m->answer.jobs.jobs_len)
 		answer_refuse(st, BSTR_NONE, f->call, 504,
 			      COUNT_REFUSED_DEADLINE,
@@ -496,7 +496,8 @@
 		p->leaving = true;
 	if (!f)
 		return;
-	f->sent = f->sends && --f->sends; /* that VM did nothing with it */
+	f->sent = f->copies_sent &&
+		  --f->copies_sent; /* that VM did nothing with it */
 	f->skipped++;
 	f->resend_at = st->now;
 	effect_wake(st, st->now);
@@ -583,7 +584,7 @@
  * A job's home moves away under a waiter.  One of another VM is told to look
  * for the new owner; one of this VM becomes a forwarded request itself.
  */
-void call_follow(struct state *st, struct job *j, struct waiter *w)
+void call_redirect(struct state *st, struct job *j, struct waiter *w)
 {
 	caller_request rq = {.body.kind = CALL_GET};
 	int64_t left = w->deadline - st->now;
--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -69,11 +69,11 @@
  * settled which of them have forgotten what they ran?  Only then can "no
  * trace" be proof that nothing was started.
  */
-bool cell_adopted(struct state *st, struct cell *c)
+bool cell_state_known(struct state *st, struct cell *c)
 {
 	struct worker *w, *next;
 
-	if (!c->rows_known || !boots_settled(st, c))
+	if (!c->rows_known || !boots_durable(st, c))
 		return false;
 	HASH_ITER(hh, c->workers, w, next) {
 		if (!w->fenced && !w->dead)
@@ -86,8 +86,8 @@
 void task_place(struct cell *c, struct task *t, struct worker *w)
 {
 	t->worker = w;
-	TAILQ_INSERT_TAIL(&w->tasks, t, on);
-	w->used++;
+	TAILQ_INSERT_TAIL(&w->tasks, t, worker_entry);
+	w->task_count++;
 	w->cpu_used += t->spec.cpu_milli;
 	w->memory_used += t->spec.memory_mb;
 	w->accelerators_used += t->spec.accelerators;
@@ -97,13 +97,13 @@
 }
 
 /* Take a task off its worker's and its team's account. */
-void task_leave(struct cell *c, struct task *t)
+void task_release_resources(struct cell *c, struct task *t)
 {
 	struct worker *w = t->worker;
 
 	if (!w || t->phase == TASK_ENDED)
 		return;
-	w->used--;
+	w->task_count--;
 	w->cpu_used -= t->spec.cpu_milli;
 	w->memory_used -= t->spec.memory_mb;
 	w->accelerators_used -= t->spec.accelerators;
@@ -119,16 +119,16 @@
 	if (t->phase == TASK_QUEUED)
 		queue_remove(c, t);
 	else
-		task_leave(c, t);
+		task_release_resources(c, t);
 	if (t->phase == TASK_ENDED)
 		TAILQ_REMOVE(&c->ended, t, entry);
 	if (t->worker)
-		TAILQ_REMOVE(&t->worker->tasks, t, on);
+		TAILQ_REMOVE(&t->worker->tasks, t, worker_entry);
 	HASH_DEL(c->tasks, t);
 	bstr_free(&t->job);
 	bstr_free(&t->id);
 	bstr_free(&t->checkpoint);
-	bstr_free(&t->avoid);
+	bstr_free(&t->avoid_vm);
 	xdr_free(XDR_PROC(xdr_job_spec), (char *)&t->spec);
 	xdr_free(XDR_PROC(xdr_job_view), (char *)&t->view);
 	free(t);
@@ -160,10 +160,10 @@
 	m->query_id = serial;
 	m->known = TRUE;
 	m->final = t->phase == TASK_ENDED;
-	m->started = t->started;
+	m->started = t->may_have_started;
 	m->view = t->view;
 	if (t->phase == TASK_QUEUED) {
-		m->view.reason = bstr_lit(task_gate(st, c, t, &detail));
+		m->view.reason = bstr_lit(task_hold_reason(st, c, t, &detail));
 		m->view.detail = detail;
 		m->view.queued_ms = (uint32_t)(st->now - t->queued_at);
 	}
@@ -179,7 +179,8 @@
 	if (home.bstr_len)
 		task_tell(st, c, t, home, 0);
 	bstr_free(&home);
-	t->notify_at = t->phase == TASK_ENDED ? st->now + NOTIFY_MS : INT64_MAX;
+	t->notify_at = t->phase == TASK_ENDED ? st->now + NOTIFY_RETRY_MS
+					      : INT64_MAX;
 }
 
 /* A task has come to its end here. */
@@ -189,7 +190,7 @@
 	if (t->phase == TASK_QUEUED)
 		queue_remove(c, t);
 	else
-		task_leave(c, t);
+		task_release_resources(c, t);
 	t->phase = TASK_ENDED;
 	t->view.state = state;
 	t->view.attempts = t->start;
@@ -203,19 +204,20 @@
 /* Put a task that is on no worker any more back into its queue. */
 void task_requeue(struct state *st, struct cell *c, struct task *t)
 {
-	task_leave(c, t);
+	task_release_resources(c, t);
 	if (t->worker)
-		TAILQ_REMOVE(&t->worker->tasks, t, on);
+		TAILQ_REMOVE(&t->worker->tasks, t, worker_entry);
 	t->worker = NULL;
 	t->unsent = false;
-	t->moving = false;
+	t->checkpoint_requested = false;
 	t->phase = TASK_QUEUED;
 	t->view.state = JOB_QUEUED;
 	queue_add(st, c, t);
 	if (t->stopping)
-		task_end(st, c, t, t->started ? JOB_FAILED : JOB_NOT_RUN,
+		task_end(st, c, t,
+			 t->may_have_started ? JOB_FAILED : JOB_NOT_RUN,
 			 "cancelled", "cancelled while it was not running");
-	else if (st->now >= t->deadline && !t->started)
+	else if (st->now >= t->deadline && !t->may_have_started)
 		task_end(st, c, t, JOB_NOT_RUN, "deadline",
 			 "its deadline passed before it was started");
 }
@@ -292,7 +294,7 @@
 	t->attempt = attempt;
 	t->start = start;
 	t->adopted = true;
-	t->started = true;
+	t->may_have_started = true;
 	t->phase = TASK_ON_WORKER;
 	t->queued_at = t->started_at = st->now;
 	t->deadline = INT64_MAX;
@@ -347,7 +349,7 @@
 	t->worker->failures++;
 	if (t->worker->failures >= WORKER_SUSPECT_FAILURES && !t->adopted &&
 	    t->spec.may_repeat && ++t->tries < st->attempts) {
-		bstr_set(&t->avoid, t->worker->vm);
+		bstr_set(&t->avoid_vm, t->worker->vm);
 		task_requeue(st, c, t);
 		return;
 	}
@@ -370,14 +372,14 @@
 		t->view.state = JOB_RUNNING;
 		t->unsent = false;
 		if (first) {
-			t->known_at = st->now;
+			t->running_seen_at = st->now;
 			task_notify(st, c, t);
 		}
 		return;
 	case TASK_DONE:
 		t->worker->failures = 0;
 		bstr_set(&t->view.result, r->result);
-		run_time_learn(st, t, r->ran_ms);
+		run_time_observe(st, t, r->ran_ms);
 		task_end(st, c, t, JOB_DONE, "", "");
 		return;
 	case TASK_FAILED:
@@ -391,7 +393,7 @@
 			return;
 		}
 		effect_count(st, COUNT_RETRY_TASK_REFUSED, 1);
-		t->started = t->was_started;
+		t->may_have_started = t->may_have_started_before;
 		task_requeue(st, c, t);
 		return;
 	case TASK_STOPPED:
@@ -406,8 +408,8 @@
  * A worker's word on one task.  A start that we have replaced meanwhile is
  * stopped if it runs, and forgotten once it has ended.
  */
-void task_report_take(struct state *st, struct cell *c, struct worker *w,
-		      const task_report *r)
+void task_report_handle(struct state *st, struct cell *c, struct worker *w,
+			const task_report *r)
 {
 	bstr job = r->task;
 	struct task *t;
@@ -420,7 +422,7 @@
 	if (!t)
 		t = task_adopt(st, c, w, r);
 	if (r->state != TASK_RUNNING)
-		worker_lay(w, r->task);
+		worker_confirm_ended(w, r->task);
 	if (t && t->worker == w && bstr_eq(t->id, r->task)) {
 		if (t->phase != TASK_ENDED)
 			task_take(st, c, t, r);
@@ -429,7 +431,7 @@
 	if (r->state != TASK_RUNNING) {
 		worker_order(st, w, r->task, TASK_FORGET);
 	} else if (t) {
-		worker_haunt_id(w, r->task, t->team);
+		worker_add_unconfirmed(w, r->task, t->team);
 		worker_order(st, w, r->task, TASK_STOP);
 	}
 }
@@ -495,7 +497,7 @@
 	struct cell_team *team;
 	struct task *t;
 
-	if (!unit_acts(st, u) || st->stopping) {
+	if (!unit_is_active(st, u) || st->stopping) {
 		cell_disown(st, from, PM_DISPATCH, &m->cell, m->job,
 			    m->attempt);
 		return;
@@ -542,7 +544,7 @@
 	u->query_id = m->query_id;
 	u->view.state = JOB_UNKNOWN;
 	u->known = TRUE;
-	if (!cell_adopted(st, c)) {
+	if (!cell_state_known(st, c)) {
 		u->view.reason = bstr_lit("owner-taking-over");
 		u->view.detail = bstr_lit("the cell's new owner has not yet "
 					  "heard every worker");
@@ -564,7 +566,7 @@
 	struct unit *u = unit_of_cell(st, &m->cell);
 	struct task *t;
 
-	if (!unit_acts(st, u)) {
+	if (!unit_is_active(st, u)) {
 		cell_disown(st, from, PM_QUERY, &m->cell, m->job, m->attempt);
 		return;
 	}
@@ -581,7 +583,7 @@
 	struct unit *u = unit_of_cell(st, &m->cell);
 	struct task *t;
 
-	if (!unit_acts(st, u)) {
+	if (!unit_is_active(st, u)) {
 		cell_disown(st, from, PM_CANCEL, &m->cell, m->job, m->attempt);
 		return;
 	}
@@ -593,7 +595,8 @@
 	if (t->attempt != m->attempt)
 		return;
 	if (t->phase == TASK_QUEUED) {
-		task_end(st, u->cell, t, t->started ? JOB_FAILED : JOB_NOT_RUN,
+		task_end(st, u->cell, t,
+			 t->may_have_started ? JOB_FAILED : JOB_NOT_RUN,
 			 "cancelled", "cancelled while it was queued");
 		return;
 	}
@@ -663,7 +666,8 @@
 		for (i = 0; i < CLASS_MAX; i++) {
 			for (t = TAILQ_FIRST(&team->queue[i]); t; t = next) {
 				next = TAILQ_NEXT(t, entry);
-				if (st->now < t->deadline || t->started)
+				if (st->now < t->deadline ||
+				    t->may_have_started)
 					continue;
 				task_end(st, c, t, JOB_NOT_RUN, "deadline",
 					 "its deadline passed in the queue");
@@ -682,9 +686,9 @@
 		if (!u->cell || u->state != UNIT_OWNED)
 			continue;
 		workers_tick(st, u->cell);
-		if (unit_acts(st, u))
+		if (unit_is_active(st, u))
 			boots_tick(st, u->cell);
-		if (unit_acts(st, u)) {
+		if (unit_is_active(st, u)) {
 			cell_expire(st, u->cell);
 			limits_tick(st, u->cell);
 			u->cell->dirty = true;
@@ -693,12 +697,12 @@
 		queued += u->cell->queued;
 		running += u->cell->running;
 	}
-	if (queued != st->told_queued)
+	if (queued != st->reported_queued)
 		effect_count(st, COUNT_QUEUED, queued);
-	if (running != st->told_running)
+	if (running != st->reported_running)
 		effect_count(st, COUNT_RUNNING, running);
-	st->told_queued = queued;
-	st->told_running = running;
+	st->reported_queued = queued;
+	st->reported_running = running;
 }
 
 /* Schedule the cells in which something has changed. */
@@ -707,7 +711,7 @@
 	struct unit *u, *next;
 
 	HASH_ITER(hh, st->units, u, next) {
-		if (!u->cell || !u->cell->dirty || !unit_acts(st, u))
+		if (!u->cell || !u->cell->dirty || !unit_is_active(st, u))
 			continue;
 		u->cell->dirty = false;
 		if (st->stopping)
--- a/reduce-config.c
+++ b/reduce-config.c
@@ -52,7 +52,7 @@
 		error_init(&e);
 		if (!st->config)
 			st->config = config_parse(bstr_lit("{}"), 0, &e);
-		st->head_at = rq->sent_at;
+		st->head_confirmed_at = rq->sent_at;
 		proof_platform(st, rq->sent_at);
 		return;
 	}
@@ -60,7 +60,7 @@
 		effect_log(st, LOG_CONFIG_BAD, "the head can't be read");
 	} else if (st->config && revision <= st->config->revision) {
 		st->config_known = true;
-		st->head_at = rq->sent_at;
+		st->head_confirmed_at = rq->sent_at;
 		proof_platform(st, rq->sent_at);
 	} else if (!st->get_request) {
 		st->get_request = object_get(st, REQ_CONFIG_GET, object,
@@ -111,7 +111,7 @@
 			free(text);
 		}
 	}
-	st->heads_at = st->now;
+	st->heads_poll_at = st->now;
 	error_free(&e);
 	bstr_free(&object);
 }
@@ -174,13 +174,13 @@
 	bstr text;
 
 	json_object_set_new(head, "revision",
-			    json_integer((json_int_t)c->base + 1));
-	json_object_set_new(head, "object", bstr_to_json(c->object));
-	json_object_set_new(
-		head, "history",
-		history_add(st, c->base + 1, c->object, c->request.kind));
-	text = config_canonical_text(head);
-	commit_check(&commit, bstr_lit(HEAD_KEY), c->head);
+			    json_integer((json_int_t)c->base_revision + 1));
+	json_object_set_new(head, "object", bstr_json(c->object));
+	json_object_set_new(head, "history",
+			    history_add(st, c->base_revision + 1, c->object,
+					c->request.kind));
+	text = config_text(head);
+	commit_check(&commit, bstr_lit(HEAD_KEY), c->head_revision);
 	commit_put_bytes(&commit, bstr_lit(HEAD_KEY), text);
 	table_commit(st, REQ_CHANGE_COMMIT, c->object, &commit, c->deadline);
 	bstr_free(&text);
@@ -198,8 +198,8 @@
 
 	json_decref(c->doc);
 	c->doc = NULL;
-	c->base = st->config->revision;
-	c->head = st->head_revision;
+	c->base_revision = st->config->revision;
+	c->head_revision = st->head_revision;
 	if (c->request.kind == OP_CONFIG_APPLY &&
 	    oc->revision != st->config->revision) {
 		s = xasprintf("expected revision %llu, in force is %llu",
@@ -221,14 +221,14 @@
 	}
 	bstr_free(&c->object);
 	c->object = bstr_printf("config-%llu-%.*s-%016llx-%llu",
-				(unsigned long long)c->base + 1,
+				(unsigned long long)c->base_revision + 1,
 				BSTR_ARG(st->vm),
 				(unsigned long long)st->incarnation,
 				(unsigned long long)++st->next_serial);
 	text = config_canonical_text(c->doc);
 	object_put(st, REQ_CHANGE_PUT, c->object, c->object, text);
 	bstr_free(&text);
-	c->flying = true;
+	c->in_flight = true;
 }
 
 /* The change that is being committed, if any. */
@@ -237,7 +237,7 @@
 	struct change *c;
 
 	TAILQ_FOREACH(c, &st->changes, entry)
-		if (c->flying)
+		if (c->in_flight)
 			return c;
 	return NULL;
 }
@@ -267,7 +267,7 @@
 
 	for (c = TAILQ_FIRST(&st->changes); c; c = next) {
 		next = TAILQ_NEXT(c, entry);
-		if (c->flying)
+		if (c->in_flight)
 			return;
 		if (c->accepted)
 			continue;
@@ -276,13 +276,13 @@
 		 * VM whose configuration lags would say "no such key" of one
 		 * that another VM has just made, and it would stay in force.
 		 */
-		if (st->head_at < c->made_at) {
-			st->heads_at = st->now;
+		if (st->head_confirmed_at < c->made_at) {
+			st->heads_poll_at = st->now;
 			return;
 		}
 		/* After a lost race, wait until the winner is in force. */
 		if (!config_is_head(st) ||
-		    (c->tries && st->config->revision <= c->base))
+		    (c->tries && st->config->revision <= c->base_revision))
 			return;
 		change_start(st, c);
 		/*
@@ -327,9 +327,9 @@
 		change_commit(st, c);
 		return;
 	}
-	c->flying = false;
+	c->in_flight = false;
 	if (++c->tries < CHANGE_TRIES) {
-		c->base = 0; /* try again at the next tick */
+		c->base_revision = 0; /* try again at the next tick */
 		return;
 	}
 	change_answer(st, c, OP_UNAVAILABLE, "platform-unavailable",
@@ -397,17 +397,17 @@
 
 	if (!c)
 		return;
-	c->flying = false;
+	c->in_flight = false;
 	switch (ev->outcome) {
 	case PLATFORM_OK:
-		c->accepted = c->base + 1;
+		c->accepted = c->base_revision + 1;
 		c->deadline = st->now + st->fresh_ms;
 		st->head_revision = row_version(ev, bstr_lit(HEAD_KEY));
 		bstr_set(&st->head_value,
 			 rq->commit.writes.writes_val[0].value);
 		error_init(&e);
 		config_adopt(st, config_new(c->doc, c->accepted, &e));
-		st->heads_at = st->now;
+		st->heads_poll_at = st->now;
 		effect_log(
 			st, LOG_OPERATOR_DID, "operation %d made revision %llu",
 			(int)c->request.kind, (unsigned long long)c->accepted);
@@ -415,7 +415,7 @@
 		change_report(st, c);
 		break;
 	case PLATFORM_CONFLICT:
-		st->heads_at = st->now;
+		st->heads_poll_at = st->now;
 		if (++c->tries < CHANGE_TRIES)
 			break;
 		change_answer(st, c, OP_CONFLICT, "too-many-races",
@@ -445,7 +445,7 @@
 		next = TAILQ_NEXT(c, entry);
 		if (c->accepted)
 			change_report(st, c);
-		else if (!c->flying && st->now >= c->deadline)
+		else if (!c->in_flight && st->now >= c->deadline)
 			change_answer(st, c, OP_UNAVAILABLE,
 				      "platform-unavailable",
 				      "nothing was changed", RETRY_AFTER_MS * 2,
@@ -457,14 +457,14 @@
 /* Poll the heads, the backstop of the peers' announcements. */
 void config_tick(struct state *st)
 {
-	bstr keys[] = {bstr_lit(HEAD_KEY), bstr_lit(VMS_KEY)};
+	bstr keys[] = {bstr_lit(HEAD_KEY), bstr_lit(VMS_HEAD_KEY)};
 	bool ready;
 	effect *fx;
 
-	if (!st->heads_request && st->now >= st->heads_at) {
+	if (!st->heads_request && st->now >= st->heads_poll_at) {
 		st->heads_request = table_read(st, REQ_HEADS_READ, st->vm, keys,
 					       2);
-		st->heads_at = st->now + st->config_poll_ms;
+		st->heads_poll_at = st->now + st->config_poll_ms;
 	}
 	changes_tick(st);
 	ready = st->config_known && st->vms_known && !st->stopping;
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -74,9 +74,9 @@
 /* The cell no longer counts the job as sent to it. */
 static void job_uncount(struct job *j)
 {
-	if (j->counted)
-		j->counted->sent--;
-	j->counted = NULL;
+	if (j->counted_by)
+		j->counted_by->sent_jobs--;
+	j->counted_by = NULL;
 }
 
 /* Forget a job. */
@@ -103,7 +103,7 @@
 }
 
 /* Is the answer the last one? */
-bool job_over(const struct job *j)
+bool job_is_final(const struct job *j)
 {
 	return j->phase == PHASE_ENDING || j->phase == PHASE_FINAL;
 }
@@ -114,7 +114,7 @@
  * all the same, its successor would find no trace of the job in a cell that
  * has changed hands too, and run it.
  */
-bool job_settled(const struct job *j)
+bool job_final_ready(const struct job *j)
 {
 	return j->phase == PHASE_FINAL ||
 	       (j->phase == PHASE_ENDING &&
@@ -168,7 +168,7 @@
 	TAILQ_INSERT_TAIL(&st->finished, j, entry);
 	st->finished_count++;
 	job_answer_due(st, j);
-	op_job_known(st, j);
+	op_why_job_answer(st, j);
 	if (j->sent_to.bstr_len)
 		job_ack(st, j->sent_to, &m);
 }
@@ -183,7 +183,7 @@
 	record rec = {.kind = JOURNAL_FINAL};
 
 	/* The last attempt was not run, but the job has been. */
-	if (j->ran && j->view.state == JOB_NOT_RUN) {
+	if (j->may_have_run && j->view.state == JOB_NOT_RUN) {
 		j->view.state = JOB_UNKNOWN;
 		bstr_set(&j->view.detail,
 			 bstr_lit("an earlier attempt was started and did not "
@@ -247,7 +247,7 @@
 
 	if (!u)
 		return BSTR_NONE;
-	if (unit_acts(st, u) && !st->stopping)
+	if (unit_is_active(st, u) && !st->stopping)
 		return st->vm;
 	owner = unit_choose(st, u);
 	if (!owner.bstr_len || bstr_eq(owner, st->vm))
@@ -267,14 +267,14 @@
 	unsigned slots;
 
 	HASH_ITER(hh, st->units, u, next) {
-		if (u->kind != UNIT_CELL || !u->wanted ||
+		if (u->kind != UNIT_CELL || !u->configured ||
 		    !bstr_eq(u->id.pool, spec->pool) ||
 		    !cell_owner(st, &u->id).bstr_len)
 			continue;
 		slots = cell_slots(st, &u->id);
 		if (!slots)
 			continue;
-		load = (u->sent + 1.0) / slots;
+		load = (u->sent_jobs + 1.0) / slots;
 		if (bstr_eq(u->id.dc, st->dc))
 			load *= 0.9;
 		if (!best || load < least) {
@@ -294,15 +294,15 @@
 	bstr owner = cell_owner(st, &j->cell);
 
 	if (!u || !owner.bstr_len) {
-		j->phase = PHASE_PARKED;
+		j->phase = PHASE_UNDISPATCHED;
 		j->check_at = st->now + PARKED_MS;
 		return;
 	}
-	if (!j->counted) {
-		j->counted = u;
-		u->sent++;
+	if (!j->counted_by) {
+		j->counted_by = u;
+		u->sent_jobs++;
 	}
-	j->phase = PHASE_SENT;
+	j->phase = PHASE_DISPATCHED;
 	j->sent_at = st->now;
 	j->check_at = st->now + CHECK_MS;
 	bstr_set(&j->sent_to, owner);
@@ -325,7 +325,7 @@
 	record rec = {.kind = JOURNAL_MOVE};
 
 	if (!u) {
-		j->phase = PHASE_PARKED;
+		j->phase = PHASE_UNDISPATCHED;
 		j->check_at = st->now + PARKED_MS;
 		return;
 	}
@@ -374,7 +374,8 @@
 		job_wait(st, j, vm, call, deadline, spec->wait, true);
 		return;
 	}
-	if (shard && !st->platform_up && st->now - st->platform_at > CLAIM_MS) {
+	if (shard && !st->platform_up &&
+	    st->now - st->platform_answered_at > CLAIM_MS) {
 		answer_refuse(st, vm, call, 503, COUNT_REFUSED_PLATFORM,
 			      "the platform does not answer, so the work "
 			      "can't be claimed; it was not run",
@@ -409,7 +410,7 @@
 	}
 	/* No cell was in reach then, so there is none to be asked after it. */
 	if (!j->cell.pool.bstr_len) {
-		j->phase = PHASE_PARKED;
+		j->phase = PHASE_UNDISPATCHED;
 		j->check_at = st->now;
 		job_answer_due(st, j);
 		return;
@@ -418,8 +419,8 @@
 	 * A claim whose answer came only after our lease ended may have been
 	 * read by a new owner, who dispatches it: it must not be sent twice.
 	 */
-	if (!unit_acts(st, j->shard->unit) || !lease_valid(st)) {
-		j->phase = PHASE_SENT;
+	if (!unit_is_active(st, j->shard->unit) || !lease_valid(st)) {
+		j->phase = PHASE_DISPATCHED;
 		j->sent_at = st->now;
 		j->check_at = st->now + CHECK_AGAIN_MS;
 		job_answer_due(st, j);
@@ -456,10 +457,10 @@
 static void job_ask(struct state *st, struct job *j, bstr owner,
 		    peer_message *msg)
 {
-	j->query = ++st->next_serial;
+	j->query_serial = ++st->next_serial;
 	j->query_at = st->now;
-	msg->peer_message_u.attempt = (pm_attempt){j->cell, j->id, j->attempt,
-						   j->query};
+	msg->peer_message_u.cancel = (pm_cancel){j->cell, j->id, j->attempt,
+						 j->query_serial};
 	peer_send(st, owner, msg);
 }
 
@@ -468,14 +469,14 @@
 {
 	peer_message msg = {.kind = PM_CANCEL};
 
-	if (job_over(j))
+	if (job_is_final(j))
 		return;
 	j->cancelled = true;
-	if (j->phase == PHASE_PARKED) {
+	if (j->phase == PHASE_UNDISPATCHED) {
 		job_end_cancelled(st, j);
 		return;
 	}
-	if (j->phase != PHASE_SENT)
+	if (j->phase != PHASE_DISPATCHED)
 		return;
 	job_ask(st, j, j->sent_to, &msg);
 	j->check_at = st->now + CHECK_AGAIN_MS;
@@ -497,16 +498,16 @@
 /*
  * The cell, with every worker of it fenced, has no trace of the job, so it
  * was not started and can't be any more, but for a dispatch that is still
- * on its way.  That is dead after MESSAGE_DEAD_MS, so only the answer to a
+ * on its way.  That is dead after MESSAGE_EXPIRED_MS, so only the answer to a
  * question asked after that counts: an earlier one may have overtaken the
  * dispatch, and the job would run twice.
  */
 static void job_untraced(struct state *st, struct job *j, uint64_t serial)
 {
-	if (serial != j->query)
+	if (serial != j->query_serial)
 		return;
-	if (j->query_at - j->sent_at <= MESSAGE_DEAD_MS) {
-		j->check_at = j->sent_at + MESSAGE_DEAD_MS + 1;
+	if (j->query_at - j->sent_at <= MESSAGE_EXPIRED_MS) {
+		j->check_at = j->sent_at + MESSAGE_EXPIRED_MS + 1;
 		return;
 	}
 	job_uncount(j);
@@ -543,7 +544,7 @@
 	job_ack(st, from, m);
 	job_uncount(j);
 	effect_count(st, COUNT_RETRY_WORKER_LOST, 1);
-	j->ran = true;
+	j->may_have_run = true;
 	j->attempt++;
 	j->view.state = JOB_QUEUED;
 	job_place(st, j);
@@ -565,7 +566,7 @@
 		bstr_free(&vm);
 		return true;
 	}
-	if (!lease_valid(st) || !unit_acts(st, u) || !u->shard)
+	if (!lease_valid(st) || !unit_is_active(st, u) || !u->shard)
 		return false;
 	return !j || j->phase == PHASE_FINAL ||
 	       (m->attempt < j->attempt && j->phase != PHASE_CLAIMING);
@@ -583,7 +584,7 @@
 			effect_count(st, COUNT_DROPPED_LATE, 1);
 		return;
 	}
-	if (j->phase != PHASE_SENT)
+	if (j->phase != PHASE_DISPATCHED)
 		return;
 	bstr_set(&j->sent_to, from);
 	if (!m->known) {
@@ -604,7 +605,7 @@
 					 ? CHECK_AGAIN_MS
 					 : CHECK_MS);
 	if (!m->final)
-		op_job_known(st, j);
+		op_why_job_answer(st, j);
 	else if (job_repeats(st, j))
 		job_repeat(st, j, from, m);
 	else
@@ -616,7 +617,7 @@
 {
 	struct job *j = job_find(st, m->job);
 
-	if (!j || j->phase != PHASE_SENT || j->attempt != m->attempt)
+	if (!j || j->phase != PHASE_DISPATCHED || j->attempt != m->attempt)
 		return;
 	effect_count(st, COUNT_RETRY_OWNER_CHANGED, 1);
 	/*
@@ -624,7 +625,7 @@
 	 * a query was refused, that owner has to be asked first.
 	 */
 	if (m->kind == PM_DISPATCH)
-		j->phase = PHASE_PARKED;
+		j->phase = PHASE_UNDISPATCHED;
 	j->check_at = st->now + PARKED_MS;
 }
 
@@ -634,7 +635,7 @@
 	struct job *j;
 
 	TAILQ_FOREACH(j, &st->active, entry)
-		if (j->phase == PHASE_SENT && bstr_eq(j->sent_to, vm) &&
+		if (j->phase == PHASE_DISPATCHED && bstr_eq(j->sent_to, vm) &&
 		    j->check_at > st->now + CHECK_AGAIN_MS)
 			j->check_at = st->now + CHECK_AGAIN_MS;
 }
@@ -658,14 +659,15 @@
  */
 static bool job_acts(const struct state *st, const struct job *j)
 {
-	return !j->shard || (unit_acts(st, j->shard->unit) && lease_valid(st));
+	return !j->shard ||
+	       (unit_is_active(st, j->shard->unit) && lease_valid(st));
 }
 
 /* What is due for one open job. */
 static void job_tick(struct state *st, struct job *j)
 {
 	job_answer_due(st, j);
-	if (j->phase == PHASE_SENT && j->sent_to.bstr_len &&
+	if (j->phase == PHASE_DISPATCHED && j->sent_to.bstr_len &&
 	    !bstr_eq(j->sent_to, st->vm) &&
 	    j->check_at > st->now + CHECK_AGAIN_MS &&
 	    !bstr_eq(j->sent_to, cell_owner(st, &j->cell)))
@@ -677,7 +679,7 @@
 		if (j->shard && j->attempt == 1)
 			job_claim_late(st, j);
 		break;
-	case PHASE_PARKED:
+	case PHASE_UNDISPATCHED:
 		if (st->now >= j->deadline)
 			job_end(st, j, JOB_NOT_RUN, "deadline",
 				"no cell of the pool could take it in time", 0);
@@ -689,7 +691,7 @@
 		else
 			job_place(st, j);
 		break;
-	case PHASE_SENT:
+	case PHASE_DISPATCHED:
 		job_query(st, j);
 		break;
 	case PHASE_ENDING:
--- a/reduce-member.c
+++ b/reduce-member.c
@@ -19,7 +19,7 @@
 /* Does its lease hold, as far as the rows tell? */
 bool member_alive(const struct member *m)
 {
-	return m->listed && !m->gone && !m->leaving;
+	return m->listed && !m->lease_expired && !m->leaving;
 }
 
 /* Has it answered a ping lately? */
@@ -37,7 +37,7 @@
 {
 	return member_alive(m) &&
 	       (m->ponged_at >= 0 ||
-		st->now - m->known_at < 4 * (int64_t)st->ping_ms);
+		st->now - m->incarnation_seen_at < 4 * (int64_t)st->ping_ms);
 }
 
 /*
@@ -69,7 +69,7 @@
 	fx = effect_add(st, FX_PEER);
 	fx->effect_u.peer.to = bstr_copy(to);
 	fx->effect_u.peer.address = bstr_copy(p->address);
-	fx->effect_u.peer.deadline = st->now + MESSAGE_LIFE_MS;
+	fx->effect_u.peer.deadline = st->now + MESSAGE_TTL_MS;
 	xdr_copy(XDR_PROC(xdr_peer_message), &fx->effect_u.peer.message, m,
 		 sizeof(*m));
 }
@@ -138,7 +138,7 @@
  * lease, while the others know better and hand its units over to the one that
  * joined.  They would have no owner meanwhile.
  */
-bool unit_is_heir(struct state *st, const struct unit *u)
+bool unit_is_fallback_owner(struct state *st, const struct unit *u)
 {
 	uint64_t bound = UINT64_MAX;
 
@@ -190,7 +190,7 @@
 		effect_add(st, FX_EXIT);
 		return;
 	}
-	units_suspect(st);
+	units_mark_unverified(st);
 	st->member_revision = r ? r->revision : 0;
 	st->renew_at = st->now;
 }
@@ -217,7 +217,7 @@
 						: st->member_revision + 1;
 	/* A lapse, however short, may have let others take over. */
 	if (!lease_valid(st))
-		units_suspect(st);
+		units_mark_unverified(st);
 	if (until > st->lease_until)
 		st->lease_until = until;
 }
@@ -259,7 +259,7 @@
 		m = xcalloc(1, sizeof(*m));
 		m->vm = bstr_copy(row.vm);
 		m->ponged_at = m->proof_at = INT64_MIN / 2;
-		m->known_at = st->now;
+		m->incarnation_seen_at = st->now;
 		m->seen_at = st->now;
 		HASH_ADD_BSTR(st->members, vm, m);
 		effect_log(st, LOG_MEMBER_SEEN, "%.*s at %.*s",
@@ -267,17 +267,18 @@
 	}
 	if (m->incarnation != row.incarnation) {
 		m->ponged_at = m->proof_at = INT64_MIN / 2;
-		m->known_at = st->now;
+		m->incarnation_seen_at = st->now;
 		m->config_revision = 0;
 	}
 	if (m->incarnation != row.incarnation || m->seq != row.seq) {
 		m->seen_at = st->now;
-		m->gone = false;
+		m->lease_expired = false;
 		m->leaving = row.leaving;
-	} else if (!m->gone && sent_at >= m->seen_at + st->member_lease_ms +
-						  LEASE_MARGIN_MS) {
-		m->gone = true;
-		m->gone_at = st->now;
+	} else if (!m->lease_expired && sent_at >= m->seen_at +
+							   st->member_lease_ms +
+							   LEASE_MARGIN_MS) {
+		m->lease_expired = true;
+		m->lease_expired_at = st->now;
 		effect_log(st, LOG_MEMBER_GONE, "%.*s has not renewed",
 			   BSTR_ARG(m->vm));
 	}
@@ -320,7 +321,8 @@
 	fx_commit c = {0};
 	bstr key;
 
-	if (!m->gone || st->now - m->gone_at < PEER_PROOF_MS ||
+	if (!m->lease_expired ||
+	    st->now - m->lease_expired_at < PEER_PROOF_MS ||
 	    state_random(st, 32))
 		return;
 	key = bstr_printf(MEMBER_PREFIX "%.*s", BSTR_ARG(m->vm));
@@ -397,7 +399,7 @@
 	m->heard_at = st->now;
 	m->config_revision = p->config_revision;
 	if (st->config && p->config_revision > st->config->revision)
-		st->heads_at = st->now;
+		st->heads_poll_at = st->now;
 	if (!pong) {
 		msg.peer_message_u.ping = member_words(st, p->seq);
 		peer_send(st, from, &msg);
--- a/reduce-op.c
+++ b/reduce-op.c
@@ -36,7 +36,7 @@
 	       const char *reason, const char *detail, uint32_t retry_after_ms,
 	       json_t *body)
 {
-	op_answer_to(st, st->asker, call, status, reason, detail,
+	op_answer_to(st, st->forwarded_by, call, status, reason, detail,
 		     retry_after_ms, body);
 }
 
@@ -189,7 +189,7 @@
 			continue;
 		running += team_used(t);
 		queued += t->queued;
-		held += t->held;
+		held += t->allowance;
 	}
 	json_set_int(o, "running", running);
 	json_set_int(o, "queued", queued);
@@ -373,7 +373,8 @@
 		json_set_str(o, "unit", u->name);
 		json_set_str(o, "owner", st->vm);
 		json_set_int(o, "epoch", u->epoch);
-		json_object_set_new(o, "acts", json_boolean(unit_acts(st, u)));
+		json_object_set_new(o, "acts",
+				    json_boolean(unit_is_active(st, u)));
 		if (u->cell) {
 			json_set_int(o, "running", u->cell->running);
 			json_set_int(o, "queued", u->cell->queued);
@@ -397,8 +398,8 @@
 	HASH_ITER(hh, st->members, m, next)
 		json_array_append_new(members,
 				      member_json(m->vm, m->dc,
-						  m->leaving ? "leaving"
-						  : m->gone  ? "gone"
+						  m->leaving	     ? "leaving"
+						  : m->lease_expired ? "gone"
 						  : member_reachable(st, m)
 							  ? "alive"
 							  : "unheard",
@@ -465,7 +466,7 @@
 };
 
 /* Does an operator of ours still wait for an answer? */
-bool ops_open(struct state *st)
+bool ops_pending(struct state *st)
 {
 	struct edit *e;
 
@@ -504,7 +505,7 @@
 	TAILQ_FOREACH(a, &st->asks, entry)
 		op_cut(st, a->call);
 	TAILQ_FOREACH(q, &st->questions, entry)
-		if (!q->asker.bstr_len)
+		if (!q->forwarded_by.bstr_len)
 			op_cut(st, q->call);
 }
 
@@ -528,10 +529,10 @@
 	for (i = 0; i < NELEMS(ops); i++) {
 		if (ops[i].kind != rq->kind)
 			continue;
-		if (ops[i].scope == SCOPE_ALL && !st->asker.bstr_len)
+		if (ops[i].scope == SCOPE_ALL && !st->forwarded_by.bstr_len)
 			ask_all(st, call, rq);
-		else if (ops[i].scope != SCOPE_HOME || st->asker.bstr_len ||
-			 !ask_home(st, call, rq))
+		else if (ops[i].scope != SCOPE_HOME ||
+			 st->forwarded_by.bstr_len || !ask_home(st, call, rq))
 			ops[i].exec(st, call, rq);
 		return;
 	}
@@ -545,16 +546,16 @@
 }
 
 /* Another entry VM asks for its operator; it may only ask, not change. */
-void op_asked(struct state *st, bstr from, const pm_operate *m)
+void op_forwarded(struct state *st, bstr from, const pm_operate *m)
 {
 	size_t i;
 
 	for (i = 0; i < NELEMS(ops); i++) {
 		if (ops[i].kind != m->request.kind || ops[i].scope == SCOPE_ANY)
 			continue;
-		st->asker = from;
+		st->forwarded_by = from;
 		op_event(st, m->call, &m->request);
-		st->asker = BSTR_NONE;
+		st->forwarded_by = BSTR_NONE;
 		return;
 	}
 	effect_count(st, COUNT_DROPPED_STRANGE, 1);
--- a/reduce-queue.c
+++ b/reduce-queue.c
@@ -40,7 +40,7 @@
  * Learn how long work under a label runs.  Declared run times are far off;
  * a moving mean of what was seen is closer after a few tasks.
  */
-void run_time_learn(struct state *st, const struct task *t, uint32_t ran_ms)
+void run_time_observe(struct state *st, const struct task *t, uint32_t ran_ms)
 {
 	struct run_time *r;
 	bstr name;
@@ -69,7 +69,7 @@
 
 	if (t->spec.urgent)
 		return CLASS_URGENT;
-	if (t->yields) /* only long work is asked to */
+	if (t->preemptions) /* only long work is asked to */
 		return CLASS_LONG;
 	name = run_time_name(t);
 	HASH_FIND_BSTR(st->run_times, name, r);
@@ -86,9 +86,9 @@
 
 	t->class = task_classify(st, t);
 	if (t->class != CLASS_LONG)
-		c->quick_at = st->now;
+		c->last_quick_at = st->now;
 	q = &t->team->queue[t->class];
-	if (t->started)
+	if (t->may_have_started)
 		TAILQ_INSERT_HEAD(q, t, entry);
 	else
 		TAILQ_INSERT_TAIL(q, t, entry);
@@ -119,7 +119,7 @@
 {
 	unsigned kept = (c->slots + QUICK_PART - 1) / QUICK_PART;
 
-	return st->now - c->quick_at > LEND_MS ||
+	return st->now - c->last_quick_at > LEND_MS ||
 	       c->long_running + kept < c->slots;
 }
 
@@ -158,7 +158,7 @@
 	if (l && !long_may_start(st, c))
 		l = NULL;
 	if (l && (!s || (st->now - l->queued_at >= AGE_MS &&
-			 st->now - team->long_at >= AGE_MS)))
+			 st->now - team->last_long_at >= AGE_MS)))
 		return l;
 	return s;
 }
@@ -174,7 +174,7 @@
 	double share = t && t->share ? t->share : 0.01;
 
 	if (st->queue_policy == QUEUE_ROUND_ROBIN)
-		return ((double)team->started + 1) / share;
+		return ((double)team->started_count + 1) / share;
 	return (team->running + 1) / share;
 }
 
@@ -192,7 +192,7 @@
 	if (!boot_recorded(w))
 		return false;
 	r = &v->row;
-	if (w->used + w->ghost_count >= r->slots + !!left)
+	if (w->task_count + w->unconfirmed_count >= r->slots + !!left)
 		return false;
 	if (r->cpu_milli &&
 	    w->cpu_used + t->spec.cpu_milli > r->cpu_milli + free_of->cpu_milli)
@@ -225,13 +225,13 @@
 				    const struct task *t)
 {
 	struct worker *w, *next, *best = NULL;
-	bool other = worker_beside(st, c, t->avoid);
+	bool other = worker_beside(st, c, t->avoid_vm);
 
 	HASH_ITER(hh, c->workers, w, next) {
-		if (other && bstr_eq(w->vm, t->avoid))
+		if (other && bstr_eq(w->vm, t->avoid_vm))
 			continue;
 		if (worker_usable(st, w) && worker_fits(st, w, t, NULL) &&
-		    (!best || w->used < best->used))
+		    (!best || w->task_count < best->task_count))
 			best = w;
 	}
 	return best;
@@ -242,16 +242,16 @@
 			  struct worker *w)
 {
 	queue_remove(c, t);
-	t->team->started++;
+	t->team->started_count++;
 	if (t->class == CLASS_LONG)
-		t->team->long_at = st->now;
+		t->team->last_long_at = st->now;
 	t->phase = TASK_STARTING;
 	t->start++;
 	bstr_free(&t->id);
 	t->id = bstr_printf("%.*s/%u/%u/%.*s", BSTR_ARG(t->job), t->attempt,
 			    t->start, BSTR_ARG(t->team->team));
 	t->unsent = true;
-	t->was_started = t->started;
+	t->may_have_started_before = t->may_have_started;
 	t->started_at = st->now;
 	t->view.queued_ms = (uint32_t)(st->now - t->queued_at);
 	bstr_set(&t->view.worker, w->vm);
@@ -299,7 +299,7 @@
 		return;
 	t->class = CLASS_LONG;
 	c->long_running++;
-	run_time_learn(st, t, (uint32_t)ran);
+	run_time_observe(st, t, (uint32_t)ran);
 }
 
 /*
@@ -317,10 +317,12 @@
 	HASH_ITER(hh, c->workers, w, next) {
 		if (!worker_usable(st, w))
 			continue;
-		TAILQ_FOREACH(t, &w->tasks, on) {
-			if (t->phase != TASK_ON_WORKER || t->moving ||
-			    t->stopping || t->adopted || !t->spec.may_repeat ||
-			    t->yields >= YIELDS_MAX || t->class != CLASS_LONG ||
+		TAILQ_FOREACH(t, &w->tasks, worker_entry) {
+			if (t->phase != TASK_ON_WORKER ||
+			    t->checkpoint_requested || t->stopping ||
+			    t->adopted || !t->spec.may_repeat ||
+			    t->preemptions >= YIELDS_MAX ||
+			    t->class != CLASS_LONG ||
 			    !worker_fits(st, w, wait, t))
 				continue;
 			level = team_level(st, t->team);
@@ -338,8 +340,8 @@
 /* Ask a task for a checkpoint, and its slot. */
 static void task_yield(struct state *st, struct task *t)
 {
-	t->moving = true;
-	t->yields++;
+	t->checkpoint_requested = true;
+	t->preemptions++;
 	worker_order(st, t->worker, t->id, TASK_CHECKPOINT);
 	effect_count(st, COUNT_RETRY_TASK_YIELDED, 1);
 }
@@ -353,12 +355,13 @@
 
 	*held = 0;
 	HASH_ITER(hh, c->workers, w, next) {
-		TAILQ_FOREACH(t, &w->tasks, on) {
+		TAILQ_FOREACH(t, &w->tasks, worker_entry) {
 			if (t->phase != TASK_ON_WORKER)
 				continue;
 			task_find_long(st, c, t);
-			n += t->moving;
-			*held += !t->moving && t->class == CLASS_LONG;
+			n += t->checkpoint_requested;
+			*held += !t->checkpoint_requested &&
+				 t->class == CLASS_LONG;
 		}
 	}
 	return n;
@@ -375,7 +378,7 @@
 {
 	unsigned kept = (c->slots + QUICK_PART - 1) / QUICK_PART;
 	unsigned most = c->slots / FREEING_PART + 1, n = 0;
-	uint32_t may = limit_spendable(st, c, team);
+	uint32_t may = allowance_available(st, c, team);
 	enum task_class k;
 	struct task *t, *v;
 
@@ -413,10 +416,10 @@
 	struct cell_team *t, *next, *low = NULL;
 	struct task *wait, *v;
 
-	if (st->now < c->level_at)
+	if (st->now < c->rebalance_at)
 		return;
 	HASH_ITER(hh, c->teams, t, next) {
-		if (t->queued && limit_spendable(st, c, t) &&
+		if (t->queued && allowance_available(st, c, t) &&
 		    (!low || team_level(st, t) < team_level(st, low)))
 			low = t;
 	}
@@ -426,7 +429,7 @@
 	v = victim_choose(st, c, wait);
 	if (!v || team_level(st, v->team) < LEVEL_FAR * team_level(st, low))
 		return;
-	c->level_at = st->now + LEVEL_MS;
+	c->rebalance_at = st->now + LEVEL_MS;
 	task_yield(st, v);
 }
 
@@ -477,8 +480,9 @@
 		team->blocked = false;
 	while ((team = team_choose(st, c))) {
 		t = team_next(st, c, team);
-		w = t && limit_spendable(st, c, team) ? worker_choose(st, c, t)
-						      : NULL;
+		w = t && allowance_available(st, c, team)
+			    ? worker_choose(st, c, t)
+			    : NULL;
 		if (w)
 			task_start_on(st, c, t, w);
 		else
@@ -502,8 +506,9 @@
 		if (!v || !worker_usable(st, w))
 			continue;
 		++*usable;
-		if (w->used + w->ghost_count < v->row.slots)
-			room += v->row.slots - w->used - w->ghost_count;
+		if (w->task_count + w->unconfirmed_count < v->row.slots)
+			room += v->row.slots - w->task_count -
+				w->unconfirmed_count;
 	}
 	return room;
 }
@@ -512,8 +517,8 @@
  * Why is a queued task not started?  Names the gate that holds it, with the
  * figures behind it and what would free it.
  */
-const char *task_gate(struct state *st, struct cell *c, struct task *t,
-		      bstr *detail)
+const char *task_hold_reason(struct state *st, struct cell *c, struct task *t,
+			     bstr *detail)
 {
 	const struct team *team = config_find_team(st->config, t->team->team);
 	unsigned usable, room = cell_room(st, c, &usable);
@@ -538,12 +543,12 @@
 			used, team ? team->limit : 0);
 		return "upper-limit";
 	}
-	if (!limit_spendable(st, c, t->team)) {
+	if (!allowance_available(st, c, t->team)) {
 		*detail = bstr_printf(
 			"the team runs %u of the %u that this cell holds of "
 			"its upper limit %u; other cells hold the rest, or "
 			"the platform has not answered",
-			used, t->team->held, team->limit);
+			used, t->team->allowance, team->limit);
 		return "allowance";
 	}
 	if (!room) {
--- a/reduce-why.c
+++ b/reduce-why.c
@@ -41,7 +41,7 @@
 	struct question *q = xcalloc(1, sizeof(*q));
 
 	q->call = call;
-	q->asker = bstr_copy(st->asker);
+	q->forwarded_by = bstr_copy(st->forwarded_by);
 	q->job = bstr_copy(j->id);
 	q->deadline = st->now + QUESTION_MS;
 	TAILQ_INSERT_TAIL(&st->questions, q, entry);
@@ -52,7 +52,7 @@
 static void question_free(struct state *st, struct question *q)
 {
 	TAILQ_REMOVE(&st->questions, q, entry);
-	bstr_free(&q->asker);
+	bstr_free(&q->forwarded_by);
 	bstr_free(&q->job);
 	free(q);
 }
@@ -67,7 +67,7 @@
 }
 
 /* A job's home has heard from its cell: answer who asked. */
-void op_job_known(struct state *st, const struct job *j)
+void op_why_job_answer(struct state *st, const struct job *j)
 {
 	struct question *q, *next;
 
@@ -75,7 +75,7 @@
 		next = TAILQ_NEXT(q, entry);
 		if (!bstr_eq(q->job, j->id))
 			continue;
-		why_answer(st, q->asker, q->call, j);
+		why_answer(st, q->forwarded_by, q->call, j);
 		question_free(st, q);
 	}
 }
@@ -92,9 +92,9 @@
 			continue;
 		j = job_find(st, q->job);
 		if (j)
-			why_answer(st, q->asker, q->call, j);
+			why_answer(st, q->forwarded_by, q->call, j);
 		else
-			op_answer_to(st, q->asker, q->call, OP_NOT_FOUND,
+			op_answer_to(st, q->forwarded_by, q->call, OP_NOT_FOUND,
 				     "job-unknown",
 				     "its home has moved: ask again", 0, NULL);
 		question_free(st, q);
@@ -111,10 +111,10 @@
 			  "no such job is known: it was never accepted, or "
 			  "its answer is no longer kept",
 			  0, NULL);
-	else if (j->phase == PHASE_SENT)
+	else if (j->phase == PHASE_DISPATCHED)
 		question_add(st, call, j);
 	else
-		why_answer(st, st->asker, call, j);
+		why_answer(st, st->forwarded_by, call, j);
 }
 
 /* The gate of a team's first queued task in a cell. */
@@ -129,11 +129,11 @@
 	for (i = 0; i < CLASS_MAX && !first; i++)
 		first = TAILQ_FIRST(&t->queue[i]);
 	if (first)
-		gate = task_gate(st, c, first, &detail);
+		gate = task_hold_reason(st, c, first, &detail);
 	json_set_str(o, "pool", c->unit->id.pool);
 	json_set_str(o, "dc", c->unit->id.dc);
 	json_set_int(o, "running", team_used(t));
-	json_set_int(o, "held", t->held);
+	json_set_int(o, "held", t->allowance);
 	json_set_int(o, "queued", t->queued);
 	json_object_set_new(o, "gate", json_string(gate));
 	json_set_str(o, "detail", detail);
--- a/reduce-worker.c
+++ b/reduce-worker.c
@@ -25,17 +25,17 @@
 	w->renewed_at = st->now;
 	TAILQ_INIT(&w->orders);
 	TAILQ_INIT(&w->tasks);
-	TAILQ_INIT(&w->ghosts);
+	TAILQ_INIT(&w->unconfirmed);
 	HASH_ADD_BSTR(c->workers, vm, w);
 	return w;
 }
 
 /* A start on a worker is no longer in question. */
-static void ghost_free(struct worker *w, struct ghost *g)
+static void ghost_free(struct worker *w, struct unconfirmed_start *g)
 {
-	TAILQ_REMOVE(&w->ghosts, g, entry);
-	w->ghost_count--;
-	g->team->ghosts--;
+	TAILQ_REMOVE(&w->unconfirmed, g, entry);
+	w->unconfirmed_count--;
+	g->team->unconfirmed--;
 	bstr_free(&g->task);
 	free(g);
 }
@@ -43,10 +43,10 @@
 /* Forget a worker; its tasks must be gone. */
 void worker_free(struct cell *c, struct worker *w)
 {
-	struct ghost *g;
+	struct unconfirmed_start *g;
 	struct order *o;
 
-	while ((g = TAILQ_FIRST(&w->ghosts)))
+	while ((g = TAILQ_FIRST(&w->unconfirmed)))
 		ghost_free(w, g);
 	while ((o = TAILQ_FIRST(&w->orders))) {
 		TAILQ_REMOVE(&w->orders, o, entry);
@@ -56,16 +56,16 @@
 	HASH_DEL(c->workers, w);
 	bstr_free(&w->vm);
 	bstr_free(&w->address);
-	bstr_free(&w->boot);
+	bstr_free(&w->boot_id);
 	free(w);
 }
 
 /* A worker's word has settled a start. */
-void worker_lay(struct worker *w, bstr task)
+void worker_confirm_ended(struct worker *w, bstr task)
 {
-	struct ghost *g;
+	struct unconfirmed_start *g;
 
-	TAILQ_FOREACH(g, &w->ghosts, entry) {
+	TAILQ_FOREACH(g, &w->unconfirmed, entry) {
 		if (!bstr_eq(g->task, task))
 			continue;
 		ghost_free(w, g);
@@ -74,19 +74,19 @@
 }
 
 /* A start may still run on a worker: count it until the worker answers. */
-void worker_haunt_id(struct worker *w, bstr task, struct cell_team *team)
+void worker_add_unconfirmed(struct worker *w, bstr task, struct cell_team *team)
 {
-	struct ghost *g;
+	struct unconfirmed_start *g;
 
-	TAILQ_FOREACH(g, &w->ghosts, entry)
+	TAILQ_FOREACH(g, &w->unconfirmed, entry)
 		if (bstr_eq(g->task, task))
 			return;
 	g = xcalloc(1, sizeof(*g));
 	g->task = bstr_copy(task);
 	g->team = team;
-	team->ghosts++;
-	w->ghost_count++;
-	TAILQ_INSERT_TAIL(&w->ghosts, g, entry);
+	team->unconfirmed++;
+	w->unconfirmed_count++;
+	TAILQ_INSERT_TAIL(&w->unconfirmed, g, entry);
 }
 
 /* Give an order about a task with the next command. */
@@ -159,9 +159,9 @@
 	if (!w->silent)
 		w->renewed_at = st->now;
 	if (watch)
-		w->watch = rq->id;
+		w->watch_request = rq->id;
 	else
-		w->command = rq->id;
+		w->command_request = rq->id;
 	return x;
 }
 
@@ -169,7 +169,7 @@
 static bool worker_wanted(const struct worker *w)
 {
 	return w->listed || !TAILQ_EMPTY(&w->tasks) ||
-	       !TAILQ_EMPTY(&w->ghosts) || !TAILQ_EMPTY(&w->orders);
+	       !TAILQ_EMPTY(&w->unconfirmed) || !TAILQ_EMPTY(&w->orders);
 }
 
 /* Ask a worker to tell what changes; of a silent one, all it has. */
@@ -177,10 +177,10 @@
 {
 	fx_worker *x = worker_exchange(st, w, true);
 
-	w->full = !w->seq;
+	w->watch_full = !w->seq;
 	w->watch_sent_at = st->now;
 	x->since = w->seq;
-	x->wait_ms = w->full || w->silent ? 0 : st->watch_ms;
+	x->wait_ms = w->watch_full || w->silent ? 0 : st->watch_ms;
 }
 
 /* Is a task's start to go to its worker now? */
@@ -196,17 +196,17 @@
 	struct task *t;
 	u_int n = 0;
 
-	TAILQ_FOREACH(t, &w->tasks, on)
+	TAILQ_FOREACH(t, &w->tasks, worker_entry)
 		n += start_due(w, t);
 	if (!n)
 		return;
 	x->starts.starts_val = xcalloc(n, sizeof(*s));
-	TAILQ_FOREACH(t, &w->tasks, on) {
+	TAILQ_FOREACH(t, &w->tasks, worker_entry) {
 		if (!start_due(w, t))
 			continue;
 		t->unsent = false;
-		t->started = true;
-		t->command = x->req;
+		t->may_have_started = true;
+		t->start_request = x->req;
 		s = &x->starts.starts_val[x->starts.starts_len++];
 		s->task = bstr_copy(t->id);
 		s->payload = bstr_copy(t->spec.payload);
@@ -231,7 +231,7 @@
 		return;
 	x->orders.orders_val = xcalloc(n, sizeof(task_order));
 	TAILQ_FOREACH(o, &w->orders, entry) {
-		o->command = x->req;
+		o->request = x->req;
 		xdr_copy(XDR_PROC(xdr_task_order),
 			 &x->orders.orders_val[x->orders.orders_len++],
 			 &o->body, sizeof(task_order));
@@ -244,7 +244,7 @@
 	const struct order *o;
 	const struct task *t;
 
-	TAILQ_FOREACH(t, &w->tasks, on)
+	TAILQ_FOREACH(t, &w->tasks, worker_entry)
 		if (start_due(w, t))
 			return true;
 	TAILQ_FOREACH(o, &w->orders, entry)
@@ -258,7 +258,8 @@
 {
 	fx_worker *x;
 
-	if (w->command || w->silent || !w->fenced || !worker_has_work(st, w))
+	if (w->command_request || w->silent || !w->fenced ||
+	    !worker_has_work(st, w))
 		return;
 	x = worker_exchange(st, w, false);
 	command_starts(st, w, x);
@@ -272,10 +273,11 @@
 	struct task *t, *next;
 
 	for (t = TAILQ_FIRST(&w->tasks); t; t = next) {
-		next = TAILQ_NEXT(t, on);
-		if (t->phase != TASK_STARTING || t->command != req || t->unsent)
+		next = TAILQ_NEXT(t, worker_entry);
+		if (t->phase != TASK_STARTING || t->start_request != req ||
+		    t->unsent)
 			continue;
-		t->started = t->was_started;
+		t->may_have_started = t->may_have_started_before;
 		task_requeue(st, w->cell, t);
 	}
 }
@@ -287,7 +289,7 @@
 
 	for (o = TAILQ_FIRST(&w->orders); o; o = next) {
 		next = TAILQ_NEXT(o, entry);
-		if (o->command != req)
+		if (o->request != req)
 			continue;
 		TAILQ_REMOVE(&w->orders, o, entry);
 		xdr_free(XDR_PROC(xdr_task_order), (char *)&o->body);
@@ -315,7 +317,7 @@
 	struct task *t, *next;
 
 	for (t = TAILQ_FIRST(&w->tasks); t; t = next) {
-		next = TAILQ_NEXT(t, on);
+		next = TAILQ_NEXT(t, worker_entry);
 		if (t->phase != TASK_STARTING && t->phase != TASK_ON_WORKER)
 			continue;
 		if (t->unsent) {
@@ -324,7 +326,7 @@
 		}
 		/* A start on its way may yet arrive, or be in the new boot. */
 		if (haunted || t->phase == TASK_STARTING)
-			worker_haunt_id(w, t->id, t->team);
+			worker_add_unconfirmed(w, t->id, t->team);
 		task_lost(st, w->cell, t);
 	}
 }
@@ -354,39 +356,39 @@
 {
 	struct task *t, *next;
 	bool settled = true;
-	struct ghost *g;
+	struct unconfirmed_start *g;
 	u_int i;
 
-	TAILQ_FOREACH(t, &w->tasks, on)
-		t->listed = false;
+	TAILQ_FOREACH(t, &w->tasks, worker_entry)
+		t->in_full_list = false;
 	for (i = 0; i < ev->tasks.tasks_len; i++) {
-		TAILQ_FOREACH(t, &w->tasks, on)
+		TAILQ_FOREACH(t, &w->tasks, worker_entry)
 			if (bstr_eq(t->id, ev->tasks.tasks_val[i].task))
-				t->listed = true;
+				t->in_full_list = true;
 	}
 	/*
 	 * A frozen worker may hold an unread start.  A tombstone settles it:
-	 * its report, whatever it says, lays the ghost.
+	 * its report, whatever it says, lays the unconfirmed_start.
 	 */
-	TAILQ_FOREACH(g, &w->ghosts, entry)
+	TAILQ_FOREACH(g, &w->unconfirmed, entry)
 		worker_order(st, w, g->task, TASK_STOP);
 	for (t = TAILQ_FIRST(&w->tasks); t; t = next) {
-		next = TAILQ_NEXT(t, on);
-		if (t->listed || t->unsent || t->phase == TASK_ENDED)
+		next = TAILQ_NEXT(t, worker_entry);
+		if (t->in_full_list || t->unsent || t->phase == TASK_ENDED)
 			continue;
 		/*
 		 * A start whose command got no answer: the worker has not
 		 * taken it, but the command may still arrive.  The same start
 		 * again settles it; starts are idempotent by their id.
 		 */
-		if (t->phase == TASK_STARTING && !w->command &&
+		if (t->phase == TASK_STARTING && !w->command_request &&
 		    w->command_ended_at < w->watch_sent_at)
 			t->unsent = true;
 		else if (t->phase == TASK_STARTING)
 			settled = false;
 		/* The list may be older than the answer to its start. */
 		if (t->phase == TASK_ON_WORKER &&
-		    t->known_at < w->watch_sent_at)
+		    t->running_seen_at < w->watch_sent_at)
 			task_lost(st, w->cell, t);
 	}
 	w->cell->dirty = true;
@@ -400,7 +402,8 @@
 static bool worker_answered(struct state *st, struct worker *w,
 			    const ev_worker *ev)
 {
-	bool restarted = w->boot.bstr_len && !bstr_eq(w->boot, ev->boot);
+	bool restarted = w->boot_id.bstr_len &&
+			 !bstr_eq(w->boot_id, ev->boot_id);
 
 	if (!w->fenced || w->silent)
 		effect_log(st, LOG_WORKER_SEEN, "%.*s", BSTR_ARG(w->vm));
@@ -410,7 +413,7 @@
 	w->silent = w->lost = w->dead = false;
 	w->leaving = ev->leaving;
 	w->answered_at = st->now;
-	bstr_set(&w->boot, ev->boot);
+	bstr_set(&w->boot_id, ev->boot_id);
 	if (!restarted)
 		return false;
 	effect_log(st, LOG_WORKER_RESTARTED, "%.*s", BSTR_ARG(w->vm));
@@ -427,13 +430,13 @@
 	u_int i;
 
 	for (i = 0; i < ev->tasks.tasks_len; i++)
-		task_report_take(st, w->cell, w, &ev->tasks.tasks_val[i]);
+		task_report_handle(st, w->cell, w, &ev->tasks.tasks_val[i]);
 	if (!watch || restarted)
 		return;
 	/* 0 asks for a full list: once wanted, only a full list ends that. */
-	if (w->full ? worker_take_full(st, w, ev) : w->seq != 0)
+	if (w->watch_full ? worker_take_full(st, w, ev) : w->seq != 0)
 		w->seq = ev->seq ? ev->seq : 1;
-	else if (w->full)
+	else if (w->watch_full)
 		w->watch_at = st->now + FULL_AGAIN_MS;
 }
 
@@ -445,7 +448,7 @@
 		   BSTR_ARG(w->vm), (unsigned long long)ev->epoch,
 		   (unsigned long long)w->cell->unit->epoch);
 	effect_count(st, COUNT_DROPPED_STALE_EPOCH, 1);
-	w->cell->unit->suspect = true;
+	w->cell->unit->unverified = true;
 	w->watch_at = st->now + WATCH_BACKOFF_MS;
 }
 
@@ -453,7 +456,7 @@
 static void command_event(struct state *st, struct worker *w, uint64_t req,
 			  const ev_worker *ev)
 {
-	w->command = 0;
+	w->command_request = 0;
 	w->command_ended_at = st->now;
 	switch (ev->outcome) {
 	case WORKER_OK:
@@ -486,7 +489,7 @@
 /* A watch has its outcome. */
 static void watch_event(struct state *st, struct worker *w, const ev_worker *ev)
 {
-	w->watch = 0;
+	w->watch_request = 0;
 	switch (ev->outcome) {
 	case WORKER_OK:
 		w->watch_at = st->now;
@@ -526,7 +529,8 @@
 		if (!u->cell)
 			continue;
 		HASH_FIND_BSTR(u->cell->workers, ev->vm, w);
-		if (!w || (watch ? w->watch : w->command) != ev->req)
+		if (!w ||
+		    (watch ? w->watch_request : w->command_request) != ev->req)
 			continue;
 		if (watch)
 			watch_event(st, w, ev);
@@ -544,7 +548,7 @@
 	struct worker *w, *wn;
 	struct vm *v, *vn;
 
-	if (st->vms_at > c->started_at)
+	if (st->vms_current_at > c->started_at)
 		c->rows_known = true;
 	HASH_ITER(hh, c->workers, w, wn)
 		w->listed = false;
@@ -560,7 +564,8 @@
 			bstr_set(&w->address, v->row.address);
 	}
 	HASH_ITER(hh, c->workers, w, wn) {
-		if (!worker_wanted(w) && !w->watch && !w->command)
+		if (!worker_wanted(w) && !w->watch_request &&
+		    !w->command_request)
 			worker_free(c, w);
 	}
 }
@@ -574,15 +579,16 @@
 static void worker_note_state(struct state *st, struct worker *w)
 {
 	struct vm *v = vm_find(st, w->vm);
-	enum worker_note is = NOTED_NOTHING;
+	enum worker_health is = HEALTH_UNKNOWN;
 
 	if (w->lost && v && v->row.state != VM_OUT)
-		is = NOTED_FAILED;
+		is = HEALTH_FAILED;
 	else if (w->fenced && !w->silent)
-		is = NOTED_WELL;
-	if (!v || !w->listed || is == NOTED_NOTHING || is == w->noted)
+		is = HEALTH_OK;
+	if (!v || !w->listed || is == HEALTH_UNKNOWN ||
+	    is == w->recorded_health)
 		return;
-	edit_vm(st, is == NOTED_FAILED ? EDIT_FAILED : EDIT_RECOVERED, w->vm,
+	edit_vm(st, is == HEALTH_FAILED ? EDIT_FAILED : EDIT_RECOVERED, w->vm,
 		BSTR_NONE);
 }
 
@@ -598,19 +604,19 @@
 		return NULL;
 	id = (cell_id){v->row.pool, v->row.dc};
 	u = unit_of_cell(st, &id);
-	if (!u || !u->cell || !unit_acts(st, u))
+	if (!u || !u->cell || !unit_is_active(st, u))
 		return NULL;
 	HASH_FIND_BSTR(u->cell->workers, vm, w);
 	return w;
 }
 
 /* The pool's row says now whether a worker is lost. */
-void worker_noted(struct state *st, bstr vm, bool failed)
+void worker_health_recorded(struct state *st, bstr vm, bool failed)
 {
 	struct worker *w = worker_of_vm(st, vm);
 
 	if (w)
-		w->noted = failed ? NOTED_FAILED : NOTED_WELL;
+		w->recorded_health = failed ? HEALTH_FAILED : HEALTH_OK;
 }
 
 /* Has a task's home ended, with the caller that waited there? */
@@ -636,9 +642,10 @@
 {
 	const struct task *t;
 
-	if (!w->fenced || w->silent || w->used || !TAILQ_EMPTY(&w->ghosts))
+	if (!w->fenced || w->silent || w->task_count ||
+	    !TAILQ_EMPTY(&w->unconfirmed))
 		return false;
-	TAILQ_FOREACH(t, &w->tasks, on)
+	TAILQ_FOREACH(t, &w->tasks, worker_entry)
 		if (!task_orphaned(st, t))
 			return false;
 	return true;
@@ -669,15 +676,15 @@
 	if (!w->drain_by)
 		w->drain_by = st->now + v->row.deadline_ms;
 	if (worker_empty(st, w)) {
-		edit_vm(st, EDIT_DRAINED, w->vm, w->boot);
+		edit_vm(st, EDIT_DRAINED, w->vm, w->boot_id);
 		return;
 	}
 	if (st->now < w->drain_by)
 		return;
-	TAILQ_FOREACH(t, &w->tasks, on) {
-		if (t->phase != TASK_ON_WORKER || t->moving)
+	TAILQ_FOREACH(t, &w->tasks, worker_entry) {
+		if (t->phase != TASK_ON_WORKER || t->checkpoint_requested)
 			continue;
-		t->moving = true;
+		t->checkpoint_requested = true;
 		worker_order(st, w, t->id, TASK_CHECKPOINT);
 	}
 }
@@ -694,9 +701,9 @@
 
 	if (!v || v->row.state != VM_OUT || !v->row.wave.bstr_len)
 		return;
-	if (w->fenced && !bstr_eq(w->boot, v->row.boot)) {
+	if (w->fenced && !bstr_eq(w->boot_id, v->row.boot)) {
 		if (!w->silent)
-			edit_vm(st, EDIT_REBOOTED, w->vm, w->boot);
+			edit_vm(st, EDIT_REBOOTED, w->vm, w->boot_id);
 		return;
 	}
 	/* The row's boot id, so that an owner who never heard it can ask. */
@@ -707,7 +714,7 @@
 	fx = effect_add(st, FX_REBOOT);
 	fx->effect_u.reboot.req = rq->id;
 	fx->effect_u.reboot.vm = bstr_copy(w->vm);
-	fx->effect_u.reboot.boot = bstr_copy(v->row.boot);
+	fx->effect_u.reboot.boot_id = bstr_copy(v->row.boot);
 }
 
 /*
@@ -742,13 +749,14 @@
 		worker_check_lost(st, w);
 		if (w->lost && !w->dead && vm_absent(st, w->vm)) {
 			w->dead = true;
-			while (TAILQ_FIRST(&w->ghosts))
-				ghost_free(w, TAILQ_FIRST(&w->ghosts));
+			while (TAILQ_FIRST(&w->unconfirmed))
+				ghost_free(w, TAILQ_FIRST(&w->unconfirmed));
 		}
-		if (!w->watch && st->now >= w->watch_at && worker_wanted(w))
+		if (!w->watch_request && st->now >= w->watch_at &&
+		    worker_wanted(w))
 			worker_watch(st, w);
 		worker_set_aside(st, w);
-		if (unit_acts(st, c->unit)) {
+		if (unit_is_active(st, c->unit)) {
 			worker_note_state(st, w);
 			worker_drain(st, w);
 			worker_reboot(st, w);
--- a/reduce.c
+++ b/reduce.c
@@ -141,9 +141,9 @@
 	TAILQ_INIT(&st->questions);
 	TAILQ_INIT(&st->asks);
 	/* Distances to the past must hold from the first event on. */
-	st->tick_at = -1;
+	st->last_event_at = -1;
 	st->proof_at = INT64_MIN / 2;
-	st->platform_at = INT64_MIN / 2;
+	st->platform_answered_at = INT64_MIN / 2;
 	st->lease_until = INT64_MIN / 2;
 	return st;
 }
@@ -216,8 +216,8 @@
 	case PM_ACK:
 		cell_ack(st, &m->peer_message_u.attempt);
 		break;
-	case PM_LIMIT_REQUEST:
-		limit_wanted(st, &m->peer_message_u.limit_request);
+	case PM_WANT:
+		allowance_requested(st, &m->peer_message_u.want);
 		break;
 	case PM_UNOWNED:
 		if (m->peer_message_u.unowned.kind == PM_FORWARD)
@@ -229,7 +229,7 @@
 		member_leaving(st, from);
 		break;
 	case PM_OPERATE:
-		op_asked(st, from, &m->peer_message_u.operate);
+		op_forwarded(st, from, &m->peer_message_u.operate);
 		break;
 	case PM_OP_REPLY:
 		ask_answered(st, from, &m->peer_message_u.op_reply);
@@ -267,18 +267,18 @@
  */
 static void reduce_pause(struct state *st)
 {
-	int64_t gap = st->now - st->tick_at;
+	int64_t gap = st->now - st->last_event_at;
 
-	if (st->tick_at >= 0 && gap > PAUSE_MS + st->tick_ms) {
-		st->woke_at = st->now;
+	if (st->last_event_at >= 0 && gap > PAUSE_DETECT_MS + st->tick_ms) {
+		st->resumed_at = st->now;
 		effect_log(st, LOG_PAUSED, "no event for %lld ms",
 			   (long long)gap);
 		effect_count(st, COUNT_PAUSES, 1);
-		units_suspect(st);
+		units_mark_unverified(st);
 		members_paused(st);
 		jobs_paused(st);
 	}
-	st->tick_at = st->now;
+	st->last_event_at = st->now;
 }
 
 /* Begin a planned stop: the balancer is told first. */
@@ -310,7 +310,7 @@
 static void reduce_stop_check(struct state *st)
 {
 	struct unit *u, *un;
-	bool idle = TAILQ_EMPTY(&st->forwards) && !ops_open(st);
+	bool idle = TAILQ_EMPTY(&st->forwards) && !ops_pending(st);
 	struct job *j;
 
 	if (!st->stopping || st->stopped)
