--- a/edge-platform.c
+++ b/edge-platform.c
@@ -120,7 +120,7 @@
 	case FX_REBOOT:
 		r->body = json_write(
 			json_pack("{s:o}", "boot",
-				  bstr_json(fx->effect_u.reboot.boot_id)));
+				  bstr_to_json(fx->effect_u.reboot.boot_id)));
 		break;
 	default:
 		break;
--- a/reduce-boot.c
+++ b/reduce-boot.c
@@ -76,7 +76,7 @@
 	if (b && bstr_eq(b->boot, w->boot_id))
 		return false;
 	if (b) {
-		row->forgotten = TRUE;
+		row->history_lost = TRUE;
 		bstr_set(&b->boot, w->boot_id);
 		return true;
 	}
--- a/reduce-config.c
+++ b/reduce-config.c
@@ -175,11 +175,11 @@
 
 	json_object_set_new(head, "revision",
 			    json_integer((json_int_t)c->base_revision + 1));
-	json_object_set_new(head, "object", bstr_json(c->object));
+	json_object_set_new(head, "object", bstr_to_json(c->object));
 	json_object_set_new(head, "history",
 			    history_add(st, c->base_revision + 1, c->object,
 					c->request.kind));
-	text = config_text(head);
+	text = config_canonical_text(head);
 	commit_check(&commit, bstr_lit(HEAD_KEY), c->head_revision);
 	commit_put_bytes(&commit, bstr_lit(HEAD_KEY), text);
 	table_commit(st, REQ_CHANGE_COMMIT, c->object, &commit, c->deadline);
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -459,8 +459,8 @@
 {
 	j->query_serial = ++st->next_serial;
 	j->query_at = st->now;
-	msg->peer_message_u.cancel = (pm_cancel){j->cell, j->id, j->attempt,
-						 j->query_serial};
+	msg->peer_message_u.attempt = (pm_attempt){j->cell, j->id, j->attempt,
+						   j->query_serial};
 	peer_send(st, owner, msg);
 }
 
--- a/reduce-limit.c
+++ b/reduce-limit.c
@@ -310,7 +310,7 @@
 }
 
 /* Another cell of the team needs some of what we hold. */
-void allowance_requested(struct state *st, const pm_want *m)
+void allowance_requested(struct state *st, const pm_limit_request *m)
 {
 	struct unit *u = unit_of_cell(st, &m->cell);
 	struct cell_team *t;
--- a/reduce-pool.c
+++ b/reduce-pool.c
@@ -521,7 +521,7 @@
 		return edit_refuse(r, OP_CONFLICT, "not-draining", NULL);
 	r->vm_write = true;
 	bstr_set(&r->vm.boot, e->boot_id);
-	if (!r->vm.target.bstr_len) {
+	if (!r->vm.target_pool.bstr_len) {
 		r->vm.state = VM_OUT;
 		r->reason = "drained";
 		return OP_OK;
--- a/reduce.c
+++ b/reduce.c
@@ -216,8 +216,8 @@
 	case PM_ACK:
 		cell_ack(st, &m->peer_message_u.attempt);
 		break;
-	case PM_WANT:
-		allowance_requested(st, &m->peer_message_u.want);
+	case PM_LIMIT_REQUEST:
+		allowance_requested(st, &m->peer_message_u.limit_request);
 		break;
 	case PM_UNOWNED:
 		if (m->peer_message_u.unowned.kind == PM_FORWARD)
--- a/reduce.h
+++ b/reduce.h
@@ -326,7 +326,7 @@
 	bool blocked;	      /* for the rest of the current scheduling pass */
 	int64_t last_long_at; /* when a long task of it was last started */
 	uint64_t started_count; /* tasks started, for QUEUE_ROUND_ROBIN */
-	allow_row row;
+	allowance_row row;
 	uint64_t revision;
 	uint64_t request;	   /* outstanding read or commit */
 	uint32_t commit_allowance; /* allowance that this commit writes */
@@ -874,7 +874,7 @@
 		    const ev_platform *ev);
 void allowance_committed(struct state *st, struct request *rq,
 			 const ev_platform *ev);
-void allowance_requested(struct state *st, const pm_want *m);
+void allowance_requested(struct state *st, const pm_limit_request *m);
 void cell_team_free(struct cell *c, struct cell_team *t);
 
 /* reduce-vm.c: rows of endpoint VMs and the platform's list of VMs. */
