--- a/reduce-job.c
+++ b/reduce-job.c
@@ -2,14 +2,24 @@
 
 #include <stdlib.h>
 
-/* A claim that is not durable by then is given up, if it can be. */
-#define CLAIM_MS 1500
-#define CHECK_MS 15000
-#define CHECK_AGAIN_MS 500
-#define PARKED_MS 200
-#define CLAIMS_MAX 20000
-
-/* Which shard is a job's home? */
+/*
+ * A job at its home: submission, dispatch to a cell, queries to that cell,
+ * retries and the final answer.  A job that must survive its home is recorded
+ * in the shard's journal before it is dispatched.
+ */
+
+/* A claim that is not durable after this is withdrawn, if that is safe. */
+#define CLAIM_TIMEOUT_MS 1500
+/* Interval between queries to a cell about a dispatched job. */
+#define CHECK_INTERVAL_MS 15000
+/* The same while the job is cancelled, in doubt or its cell changes owner. */
+#define CHECK_RETRY_MS 500
+/* Interval between attempts to find a cell for a job. */
+#define DISPATCH_RETRY_MS 200
+/* Submissions are refused while this many jobs are not final. */
+#define ACTIVE_JOBS_MAX 20000
+
+/* Returns the shard that a job id hashes to. */
 uint32_t job_shard(bstr id)
 {
 	bstr base = bstr_ref(id.bstr_val, id.bstr_len < JOB_ID_LEN
@@ -19,7 +29,10 @@
 	return (uint32_t)(hash64(base, BSTR_NONE) % SHARD_COUNT);
 }
 
-/* Is it a soft job's id?  Then copy the VM it names. */
+/*
+ * Returns true if the id is that of a soft job, and sets *vm to a copy of the
+ * VM that it names, which the caller frees.
+ */
 bool job_id_soft(bstr id, bstr *vm)
 {
 	*vm = BSTR_NONE;
@@ -30,7 +43,7 @@
 	return true;
 }
 
-/* Find a job that has its home here. */
+/* Returns the job if its home is this VM, else NULL. */
 struct job *job_find(struct state *st, bstr id)
 {
 	struct job *j;
@@ -39,7 +52,7 @@
 	return j;
 }
 
-/* Make a job known here. */
+/* Adds an active job whose home is this VM.  shard is NULL for a soft job. */
 struct job *job_new(struct state *st, bstr id, const job_spec *spec,
 		    struct shard *shard)
 {
@@ -64,14 +77,13 @@
 	return j;
 }
 
-/* Note the cell that the job is for. */
 void job_set_cell(struct job *j, const cell_id *cell)
 {
 	xdr_free(XDR_PROC(xdr_cell_id), (char *)&j->cell);
 	xdr_copy(XDR_PROC(xdr_cell_id), &j->cell, cell, sizeof(*cell));
 }
 
-/* The cell no longer counts the job as sent to it. */
+/* Stops counting the job in the sent_jobs of its cell. */
 static void job_uncount(struct job *j)
 {
 	if (j->counted_by)
@@ -79,7 +91,7 @@
 	j->counted_by = NULL;
 }
 
-/* Forget a job. */
+/* Removes a job, with its waiters, and frees it. */
 void job_free(struct state *st, struct job *j)
 {
 	job_uncount(j);
@@ -102,17 +114,17 @@
 	free(j);
 }
 
-/* Is the answer the last one? */
+/* Returns true if the job's result is decided, durable or not. */
 bool job_is_final(const struct job *j)
 {
 	return j->phase == PHASE_ENDING || j->phase == PHASE_FINAL;
 }
 
 /*
- * May the last answer be given?  "Not run" only once it is durable.  A home
- * that has been replaced without knowing it can't make it so; if it said it
- * all the same, its successor would find no trace of the job in a cell that
- * has changed hands too, and run it.
+ * Returns true if the final answer may be given to callers.  "Not run" must be
+ * durable first.  A home that has been replaced without noticing it can't
+ * write that record; if it answered "not run" anyway, its successor would find
+ * no record of the job in a cell whose owner has changed too, and would run it.
  */
 bool job_final_ready(const struct job *j)
 {
@@ -121,8 +133,8 @@
 		(!j->shard || j->view.state != JOB_NOT_RUN));
 }
 
-/* Count a final answer by its state. */
-static void job_count(struct state *st, const struct job *j)
+/* Counts a final job by its state. */
+static void job_count_final(struct state *st, const struct job *j)
 {
 	switch (j->view.state) {
 	case JOB_DONE:
@@ -145,7 +157,7 @@
 	}
 }
 
-/* Tell the cell that its final update has been kept. */
+/* Acknowledges a cell's final update, so that the cell stops repeating it. */
 static void job_ack(struct state *st, bstr to, const pm_update *m)
 {
 	peer_message msg = {.kind = PM_ACK};
@@ -155,7 +167,10 @@
 	peer_send(st, to, &msg);
 }
 
-/* The final answer is kept: it may be forgotten after the retention. */
+/*
+ * Called when a job's final record is durable (at once for a soft job).  The
+ * job is removed after the retention time.
+ */
 void job_final_durable(struct state *st, struct job *j)
 {
 	pm_update m = {.cell = j->cell, .job = j->id, .attempt = j->attempt};
@@ -174,24 +189,25 @@
 }
 
 /*
- * A job has its final answer.  Callers get it at once, unless it is "not
- * run"; the cell is told only when it is durable here, so that until then a new
- * owner of the shard can ask the cell for it again.
+ * Ends a job with the result in its view.  Callers get the answer at once,
+ * unless it is "not run".  The cell gets its acknowledgement only when the
+ * final record is durable: until then, a new owner of the shard can still get
+ * the result from the cell.
  */
 static void job_finish(struct state *st, struct job *j)
 {
 	record rec = {.kind = JOURNAL_FINAL};
 
-	/* The last attempt was not run, but the job has been. */
+	/* The last attempt did not run, but an earlier one may have. */
 	if (j->may_have_run && j->view.state == JOB_NOT_RUN) {
 		j->view.state = JOB_UNKNOWN;
 		bstr_set(&j->view.detail,
 			 bstr_lit("an earlier attempt was started and did not "
-				  "finish; no other was"));
+				  "finish; no later one was started"));
 	}
 	job_uncount(j);
 	j->phase = PHASE_ENDING;
-	job_count(st, j);
+	job_count_final(st, j);
 	job_answer_due(st, j);
 	if (!j->shard) {
 		job_final_durable(st, j);
@@ -201,7 +217,7 @@
 	shard_append(st, j->shard, &rec);
 }
 
-/* End a job here, without a cell's word. */
+/* Ends a job by decision of its home, without an update from a cell. */
 static void job_end(struct state *st, struct job *j, job_state state,
 		    const char *reason, const char *detail, uint32_t retry)
 {
@@ -212,14 +228,14 @@
 	job_finish(st, j);
 }
 
-/* End a job that was cancelled and never started. */
+/* Ends a job that was cancelled and never started. */
 static void job_end_cancelled(struct state *st, struct job *j)
 {
 	job_end(st, j, JOB_NOT_RUN, "cancelled",
 		"cancelled before it was started", 0);
 }
 
-/* Slots of the active VMs of a cell. */
+/* Returns the number of slots of a cell's active VMs. */
 static unsigned cell_slots(struct state *st, const cell_id *id)
 {
 	struct vm *v, *next;
@@ -235,9 +251,10 @@
 }
 
 /*
- * The owner of a cell, if it can be reached; else empty.  What we own is
- * ours until another has its row: while the platform is down no lease holds,
- * so the choice by leases would name anybody but us.
+ * Returns the owner of a cell, or empty if it can't be reached.  A cell that
+ * this VM owns stays its own until another VM has claimed its row: while the
+ * platform is down all leases have expired, so a choice among the holders of
+ * valid leases would never name this VM.
  */
 static bstr cell_owner(struct state *st, const cell_id *id)
 {
@@ -257,8 +274,9 @@
 }
 
 /*
- * Choose the cell with the most room by what this home has sent to each, a
- * little in favour of its own data centre.  NULL if none can be reached.
+ * Returns the cell with the fewest jobs per slot, counting the jobs sent from
+ * this VM, with a slight preference for its own data centre.  Returns NULL if
+ * no cell of the pool can be reached.
  */
 static struct unit *job_choose_cell(struct state *st, const job_spec *spec)
 {
@@ -285,7 +303,7 @@
 	return best;
 }
 
-/* Give the job to its cell's owner. */
+/* Sends the job to its cell's owner. */
 static void job_dispatch(struct state *st, struct job *j)
 {
 	peer_message msg = {.kind = PM_DISPATCH};
@@ -295,7 +313,7 @@
 
 	if (!u || !owner.bstr_len) {
 		j->phase = PHASE_UNDISPATCHED;
-		j->check_at = st->now + PARKED_MS;
+		j->check_at = st->now + DISPATCH_RETRY_MS;
 		return;
 	}
 	if (!j->counted_by) {
@@ -304,7 +322,7 @@
 	}
 	j->phase = PHASE_DISPATCHED;
 	j->sent_at = st->now;
-	j->check_at = st->now + CHECK_MS;
+	j->check_at = st->now + CHECK_INTERVAL_MS;
 	bstr_set(&j->sent_to, owner);
 	d->cell = j->cell;
 	d->job = j->id;
@@ -316,8 +334,9 @@
 }
 
 /*
- * Choose a cell and make the choice durable before it is sent: the next
- * owner of the shard must know where the work may have started.
+ * Chooses a cell for the job.  The choice must be durable before the job is
+ * dispatched, so that the next owner of the shard knows which cell may have
+ * started it.
  */
 static void job_place(struct state *st, struct job *j)
 {
@@ -326,7 +345,7 @@
 
 	if (!u) {
 		j->phase = PHASE_UNDISPATCHED;
-		j->check_at = st->now + PARKED_MS;
+		j->check_at = st->now + DISPATCH_RETRY_MS;
 		return;
 	}
 	job_set_cell(j, &u->id);
@@ -340,7 +359,7 @@
 	shard_append(st, j->shard, &rec);
 }
 
-/* Write the claim of a new job, with the cell it goes to if there is one. */
+/* Records a new job, with the chosen cell if one can be reached. */
 static void job_claim(struct state *st, struct job *j)
 {
 	struct unit *u = job_choose_cell(st, &j->spec);
@@ -350,13 +369,16 @@
 		xdr_copy(XDR_PROC(xdr_cell_id), &j->cell, &u->id,
 			 sizeof(u->id));
 	j->phase = PHASE_CLAIMING;
-	j->check_at = st->now + CLAIM_MS;
+	j->check_at = st->now + CLAIM_TIMEOUT_MS;
 	rec.record_u.claim = (journal_claim){j->id, j->spec, j->digest, j->cell,
 					     j->attempt};
 	shard_append(st, j->shard, &rec);
 }
 
-/* A submission at its home. */
+/*
+ * Handles a submission at the job's home.  A repeated submission waits for the
+ * job that exists already.
+ */
 void job_submit(struct state *st, struct shard *shard, bstr id,
 		const job_spec *spec, bstr digest, bstr vm, uint64_t call)
 {
@@ -375,17 +397,17 @@
 		return;
 	}
 	if (shard && !st->platform_up &&
-	    st->now - st->platform_answered_at > CLAIM_MS) {
+	    st->now - st->platform_answered_at > CLAIM_TIMEOUT_MS) {
 		answer_refuse(st, vm, call, 503, COUNT_REFUSED_PLATFORM,
-			      "the platform does not answer, so the work "
-			      "can't be claimed; it was not run",
+			      "the platform does not answer, so the job "
+			      "can't be recorded; it was not run",
 			      RETRY_AFTER_MS * 3);
 		return;
 	}
-	if (HASH_COUNT(st->jobs) - st->finished_count >= CLAIMS_MAX) {
+	if (HASH_COUNT(st->jobs) - st->finished_count >= ACTIVE_JOBS_MAX) {
 		answer_refuse(st, vm, call, 503, COUNT_REFUSED_OVERLOAD,
-			      "too much work is open at this VM; this was "
-			      "not run",
+			      "too many active jobs on this VM; the job "
+			      "was not run",
 			      RETRY_AFTER_MS);
 		return;
 	}
@@ -399,7 +421,7 @@
 		job_place(st, j);
 }
 
-/* The claim, or the choice of another cell, is durable. */
+/* Called when the record of a job's claim, or of its new cell, is durable. */
 void job_claimed(struct state *st, struct job *j)
 {
 	if (j->phase != PHASE_CLAIMING)
@@ -408,7 +430,7 @@
 		job_end_cancelled(st, j);
 		return;
 	}
-	/* No cell was in reach then, so there is none to be asked after it. */
+	/* No cell was chosen at the claim, so none can have started it. */
 	if (!j->cell.pool.bstr_len) {
 		j->phase = PHASE_UNDISPATCHED;
 		j->check_at = st->now;
@@ -416,13 +438,14 @@
 		return;
 	}
 	/*
-	 * A claim whose answer came only after our lease ended may have been
-	 * read by a new owner, who dispatches it: it must not be sent twice.
+	 * If the commit was confirmed only after this VM's lease expired, a
+	 * new owner may have read the record and dispatched the job.  It must
+	 * not be dispatched twice, so the cell is queried first.
 	 */
 	if (!unit_is_active(st, j->shard->unit) || !lease_valid(st)) {
 		j->phase = PHASE_DISPATCHED;
 		j->sent_at = st->now;
-		j->check_at = st->now + CHECK_AGAIN_MS;
+		j->check_at = st->now + CHECK_RETRY_MS;
 		job_answer_due(st, j);
 		return;
 	}
@@ -431,31 +454,32 @@
 }
 
 /*
- * The claim could not be made durable in time.  If it was certainly not
- * written the job is over: it did not and will not run.  If it may have
- * been, callers are told so, and a retry under the same key finds it.
+ * Handles a claim that did not become durable in time.  If it was certainly
+ * not written, the job is removed: it did not run and never will.  If it may
+ * have been written, callers are told so; a retry with the same idempotency
+ * key finds the job.
  */
-static void job_claim_late(struct state *st, struct job *j)
+static void job_claim_timeout(struct state *st, struct job *j)
 {
 	struct waiter *w;
 
 	if (shard_withdraw(st, j->shard, j->id)) {
 		while ((w = TAILQ_FIRST(&j->waiters)))
 			waiter_refuse(st, j, w,
-				      "the claim could not be written; the "
-				      "work was not run",
+				      "the job could not be recorded; it "
+				      "was not run",
 				      RETRY_AFTER_MS * 3);
 		job_free(st, j);
 		return;
 	}
-	j->check_at = st->now + CHECK_AGAIN_MS;
+	j->check_at = st->now + CHECK_RETRY_MS;
 	while ((w = TAILQ_FIRST(&j->waiters)))
 		waiter_refuse_claim(st, j, w);
 }
 
-/* Send a query or a cancellation, numbered so that its answer is known. */
-static void job_ask(struct state *st, struct job *j, bstr owner,
-		    peer_message *msg)
+/* Sends a query or cancellation, with a serial that its answer repeats. */
+static void job_send_query(struct state *st, struct job *j, bstr owner,
+			   peer_message *msg)
 {
 	j->query_serial = ++st->next_serial;
 	j->query_at = st->now;
@@ -464,7 +488,7 @@
 	peer_send(st, owner, msg);
 }
 
-/* Cancel: at once if nothing can have started, else through the cell. */
+/* Cancels a job: at once if it can't have started, else through its cell. */
 void job_cancel(struct state *st, struct job *j)
 {
 	peer_message msg = {.kind = PM_CANCEL};
@@ -478,31 +502,33 @@
 	}
 	if (j->phase != PHASE_DISPATCHED)
 		return;
-	job_ask(st, j, j->sent_to, &msg);
-	j->check_at = st->now + CHECK_AGAIN_MS;
+	job_send_query(st, j, j->sent_to, &msg);
+	j->check_at = st->now + CHECK_RETRY_MS;
 }
 
-/* Ask the cell's owner what has become of the job. */
+/* Queries the cell's owner for the state of the job. */
 static void job_query(struct state *st, struct job *j)
 {
 	peer_message msg = {.kind = j->cancelled ? PM_CANCEL : PM_QUERY};
 	bstr owner = cell_owner(st, &j->cell);
 
-	j->check_at = st->now + CHECK_AGAIN_MS;
+	j->check_at = st->now + CHECK_RETRY_MS;
 	if (!owner.bstr_len)
 		return;
 	bstr_set(&j->sent_to, owner);
-	job_ask(st, j, owner, &msg);
+	job_send_query(st, j, owner, &msg);
 }
 
 /*
- * The cell, with every worker of it fenced, has no trace of the job, so it
- * was not started and can't be any more, but for a dispatch that is still
- * on its way.  That is dead after MESSAGE_EXPIRED_MS, so only the answer to a
- * question asked after that counts: an earlier one may have overtaken the
- * dispatch, and the job would run twice.
+ * Handles an update that says that the cell has no record of the job although
+ * all of its workers are fenced.  The job was not started, and only a dispatch
+ * that is still in transit could start it.  A dispatch is rejected once it is
+ * older than MESSAGE_EXPIRED_MS, so only the answer to a query sent after that
+ * time counts.  An earlier query may have overtaken the dispatch, and the job
+ * would run twice.
  */
-static void job_untraced(struct state *st, struct job *j, uint64_t serial)
+static void job_unknown_to_cell(struct state *st, struct job *j,
+				uint64_t serial)
 {
 	if (serial != j->query_serial)
 		return;
@@ -526,10 +552,11 @@
 }
 
 /*
- * May the job be run again after this end?  A cell that adopted the task
- * from an earlier owner does not know whether it may be repeated.
+ * Returns true if the job may be run again after it ended in its cell.  The
+ * home decides this, because a cell that adopted the task from an earlier
+ * owner has no job spec and does not know whether it may be repeated.
  */
-static bool job_repeats(struct state *st, const struct job *j)
+static bool job_is_retryable(struct state *st, const struct job *j)
 {
 	return j->spec.may_repeat && !j->cancelled &&
 	       j->attempt < st->attempts && st->now < j->deadline &&
@@ -537,9 +564,9 @@
 		bstr_eq_str(j->view.reason, "lease-lapsed"));
 }
 
-/* Run it again as a new attempt. */
-static void job_repeat(struct state *st, struct job *j, bstr from,
-		       const pm_update *m)
+/* Starts a new attempt of a job whose latest attempt was lost. */
+static void job_retry(struct state *st, struct job *j, bstr from,
+		      const pm_update *m)
 {
 	job_ack(st, from, m);
 	job_uncount(j);
@@ -551,13 +578,14 @@
 }
 
 /*
- * Is an end certainly of no use to anybody, so that the cell may forget it?
- * A home that has been replaced without knowing it must not say so: its
- * successor, finding no trace of the job, would run it again.  So a lease is
- * needed, and no attempt later than our own, which a successor made.
+ * Returns true if no home needs a cell's final update any more, so that the
+ * cell may drop it.  A home that has been replaced without noticing it must
+ * not acknowledge the update: its successor would find no record of the job in
+ * the cell and run it again.  So the home needs a valid lease, and the update
+ * must not be of a later attempt than its own, which a successor has made.
  */
-static bool job_disowned(struct state *st, const struct job *j,
-			 const pm_update *m)
+static bool job_update_is_obsolete(struct state *st, const struct job *j,
+				   const pm_update *m)
 {
 	struct unit *u = unit_of_shard(st, job_shard(m->job));
 	bstr vm;
@@ -572,13 +600,13 @@
 	       (m->attempt < j->attempt && j->phase != PHASE_CLAIMING);
 }
 
-/* Word from a cell. */
+/* Handles a cell's update about an attempt of a job. */
 void job_update(struct state *st, bstr from, const pm_update *m)
 {
 	struct job *j = job_find(st, m->job);
 
 	if (!j || m->attempt != j->attempt || j->phase == PHASE_FINAL) {
-		if (m->final && job_disowned(st, j, m))
+		if (m->final && job_update_is_obsolete(st, j, m))
 			job_ack(st, from, m);
 		if (j)
 			effect_count(st, COUNT_DROPPED_LATE, 1);
@@ -588,7 +616,7 @@
 		return;
 	bstr_set(&j->sent_to, from);
 	if (!m->known) {
-		job_untraced(st, j, m->query_id);
+		job_unknown_to_cell(st, j, m->query_id);
 		return;
 	}
 	bstr_set(&j->view.reason, m->view.reason);
@@ -600,19 +628,19 @@
 	j->view.queued_ms = m->view.queued_ms;
 	j->view.ran_ms = m->view.ran_ms;
 	j->view.retry_after_ms = m->view.retry_after_ms;
-	/* A cell that is being taken over will know more soon. */
+	/* The state is unknown while a cell's owner changes: ask again soon. */
 	j->check_at = st->now + (j->cancelled || j->view.state == JOB_UNKNOWN
-					 ? CHECK_AGAIN_MS
-					 : CHECK_MS);
+					 ? CHECK_RETRY_MS
+					 : CHECK_INTERVAL_MS);
 	if (!m->final)
 		op_why_job_answer(st, j);
-	else if (job_repeats(st, j))
-		job_repeat(st, j, from, m);
+	else if (job_is_retryable(st, j))
+		job_retry(st, j, from, m);
 	else
 		job_finish(st, j);
 }
 
-/* The VM we sent it to does not own the cell; it did nothing with it. */
+/* The VM that a message was sent to does not own the cell and ignored it. */
 void job_unowned(struct state *st, const pm_unowned *m)
 {
 	struct job *j = job_find(st, m->job);
@@ -621,29 +649,30 @@
 		return;
 	effect_count(st, COUNT_RETRY_OWNER_CHANGED, 1);
 	/*
-	 * A dispatch that was refused may go to the cell's next owner; after
-	 * a query was refused, that owner has to be asked first.
+	 * After a refused dispatch, the job can be dispatched to the cell's
+	 * new owner.  After a refused query, the new owner has to be queried
+	 * first, because the job may have been started.
 	 */
 	if (m->kind == PM_DISPATCH)
 		j->phase = PHASE_UNDISPATCHED;
-	j->check_at = st->now + PARKED_MS;
+	j->check_at = st->now + DISPATCH_RETRY_MS;
 }
 
-/* Messages to a VM may be lost: ask after what it has. */
+/* Messages to a VM may be lost: queries it soon for the jobs that it has. */
 void jobs_peer_lost(struct state *st, bstr vm)
 {
 	struct job *j;
 
 	TAILQ_FOREACH(j, &st->active, entry)
 		if (j->phase == PHASE_DISPATCHED && bstr_eq(j->sent_to, vm) &&
-		    j->check_at > st->now + CHECK_AGAIN_MS)
-			j->check_at = st->now + CHECK_AGAIN_MS;
+		    j->check_at > st->now + CHECK_RETRY_MS)
+			j->check_at = st->now + CHECK_RETRY_MS;
 }
 
 /*
- * This process was paused, or its clock has jumped: when a dispatch is dead
- * must be measured anew, or one still on its way would be taken for dead and
- * the job sent a second time.
+ * Called when the process was paused or its clock has jumped.  The age of all
+ * dispatches is measured from now on; otherwise a dispatch that is still in
+ * transit would seem expired and the job would be dispatched a second time.
  */
 void jobs_paused(struct state *st)
 {
@@ -654,39 +683,41 @@
 }
 
 /*
- * May this home send the job off without writing anything first?  Not once
- * its lease has ended: a new home may have sent it elsewhere.
+ * Returns true if the home may dispatch the job without a journal write.  It
+ * may not once its lease has expired, because a new home may have dispatched
+ * the job to another cell.
  */
-static bool job_acts(const struct state *st, const struct job *j)
+static bool job_may_dispatch(const struct state *st, const struct job *j)
 {
 	return !j->shard ||
 	       (unit_is_active(st, j->shard->unit) && lease_valid(st));
 }
 
-/* What is due for one open job. */
+/* Does what is due for one active job. */
 static void job_tick(struct state *st, struct job *j)
 {
 	job_answer_due(st, j);
 	if (j->phase == PHASE_DISPATCHED && j->sent_to.bstr_len &&
 	    !bstr_eq(j->sent_to, st->vm) &&
-	    j->check_at > st->now + CHECK_AGAIN_MS &&
+	    j->check_at > st->now + CHECK_RETRY_MS &&
 	    !bstr_eq(j->sent_to, cell_owner(st, &j->cell)))
-		j->check_at = st->now + CHECK_AGAIN_MS;
+		j->check_at = st->now + CHECK_RETRY_MS;
 	if (st->now < j->check_at)
 		return;
 	switch (j->phase) {
 	case PHASE_CLAIMING:
 		if (j->shard && j->attempt == 1)
-			job_claim_late(st, j);
+			job_claim_timeout(st, j);
 		break;
 	case PHASE_UNDISPATCHED:
 		if (st->now >= j->deadline)
 			job_end(st, j, JOB_NOT_RUN, "deadline",
-				"no cell of the pool could take it in time", 0);
-		else if (j->cell.pool.bstr_len && job_acts(st, j) &&
+				"no cell of the pool could accept it in time",
+				0);
+		else if (j->cell.pool.bstr_len && job_may_dispatch(st, j) &&
 			 cell_owner(st, &j->cell).bstr_len)
 			job_dispatch(st, j);
-		else if (j->cell.pool.bstr_len && !job_acts(st, j))
+		else if (j->cell.pool.bstr_len && !job_may_dispatch(st, j))
 			break;
 		else
 			job_place(st, j);
@@ -700,7 +731,7 @@
 	}
 }
 
-/* Look after open jobs; forget final ones after their retention. */
+/* Does what is due for active jobs; removes final ones after retention. */
 void jobs_tick(struct state *st)
 {
 	struct job *j, *next;
