--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -3,10 +3,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An ended task whose home is gone for good is forgotten after this. */
-#define ORPHAN_MS 60000
+/*
+ * Tasks of the cells that this VM owns: dispatches, queries and cancellations
+ * from the jobs' homes, reports from workers, and results to the homes.
+ */
+
+/* The result of a soft job is kept this long after its home has died. */
+#define ORPHAN_RETENTION_MS 60000
 
-/* Start deciding for a cell that has just been claimed. */
+/* Sets up the state of a cell that this VM has just claimed. */
 void cell_start(struct state *st, struct unit *u)
 {
 	struct cell *c = xcalloc(1, sizeof(*c));
@@ -18,7 +23,6 @@
 	u->cell = c;
 }
 
-/* Free a team's part in a cell. */
 void cell_team_free(struct cell *c, struct cell_team *t)
 {
 	HASH_DEL(c->teams, t);
@@ -27,7 +31,7 @@
 	free(t);
 }
 
-/* Free a cell: what runs goes on under its next owner. */
+/* Frees a cell.  Its running tasks go on; the next owner adopts them. */
 void cell_free(struct state *st, struct cell *c)
 {
 	struct cell_team *t, *tn;
@@ -45,7 +49,7 @@
 	free(c);
 }
 
-/* A team's part in a cell, made if there is none. */
+/* Returns a team's state in a cell, which is created if needed. */
 struct cell_team *cell_team_get(struct state *st, struct cell *c, bstr team)
 {
 	struct cell_team *t;
@@ -64,10 +68,10 @@
 }
 
 /*
- * Has every worker that may hold a task of this cell answered to our epoch?
- * An older owner's start is refused by every worker from here on.  And is it
- * settled which of them have forgotten what they ran?  Only then can "no
- * trace" be proof that nothing was started.
+ * Returns true if every worker that may have a task of this cell has answered
+ * to the current epoch, and all restarts of workers, which lose task state,
+ * are recorded.  From then on every worker refuses starts by an earlier owner.
+ * Only then can the absence of a task prove that its job was not started.
  */
 bool cell_state_known(struct state *st, struct cell *c)
 {
@@ -82,7 +86,7 @@
 	return true;
 }
 
-/* Put a task on a worker. */
+/* Assigns a task to a worker and counts its resources there. */
 void task_place(struct cell *c, struct task *t, struct worker *w)
 {
 	t->worker = w;
@@ -96,7 +100,7 @@
 	c->long_running += t->class == CLASS_LONG;
 }
 
-/* Take a task off its worker's and its team's account. */
+/* Stops counting a task against its worker, its team and its cell. */
 void task_release_resources(struct cell *c, struct task *t)
 {
 	struct worker *w = t->worker;
@@ -113,7 +117,7 @@
 	c->dirty = true;
 }
 
-/* Forget a task. */
+/* Removes a task in any phase and frees it. */
 void task_free(struct cell *c, struct task *t)
 {
 	if (t->phase == TASK_QUEUED)
@@ -134,7 +138,7 @@
 	free(t);
 }
 
-/* The VM that a job's home is on now. */
+/* Returns a copy of the name of the VM that is the job's home now. */
 static bstr task_home(struct state *st, const struct task *t)
 {
 	struct unit *u;
@@ -146,9 +150,9 @@
 	return u ? bstr_copy(unit_choose(st, u)) : BSTR_NONE;
 }
 
-/* Say what we know of a task, to a VM. */
-static void task_tell(struct state *st, struct cell *c, struct task *t, bstr to,
-		      uint64_t serial)
+/* Sends the state of a task to a VM.  serial: query answered, or 0. */
+static void task_send_update(struct state *st, struct cell *c, struct task *t,
+			     bstr to, uint64_t serial)
 {
 	peer_message msg = {.kind = PM_UPDATE};
 	pm_update *m = &msg.peer_message_u.update;
@@ -171,19 +175,19 @@
 	bstr_free(&detail);
 }
 
-/* Tell a task's home; a final word is repeated until it is acknowledged. */
+/* Sends a task's state to its home; repeats a result until acknowledged. */
 void task_notify(struct state *st, struct cell *c, struct task *t)
 {
 	bstr home = task_home(st, t);
 
 	if (home.bstr_len)
-		task_tell(st, c, t, home, 0);
+		task_send_update(st, c, t, home, 0);
 	bstr_free(&home);
 	t->notify_at = t->phase == TASK_ENDED ? st->now + NOTIFY_RETRY_MS
 					      : INT64_MAX;
 }
 
-/* A task has come to its end here. */
+/* Ends a task with this result and sends it to the home. */
 void task_end(struct state *st, struct cell *c, struct task *t, job_state state,
 	      const char *reason, const char *detail)
 {
@@ -201,7 +205,10 @@
 	task_notify(st, c, t);
 }
 
-/* Put a task that is on no worker any more back into its queue. */
+/*
+ * Puts a task that is on no worker any more back into its queue, or ends it if
+ * it was cancelled or its deadline has passed.
+ */
 void task_requeue(struct state *st, struct cell *c, struct task *t)
 {
 	task_release_resources(c, t);
@@ -223,9 +230,9 @@
 }
 
 /*
- * A start may have reached a worker that can no longer tell.  Work that may
- * be repeated goes back into the queue; other work must not be started
- * again, and the truth about it is that it may have run.
+ * Handles a task whose start may have reached a worker that can no longer be
+ * asked.  A task that may be repeated goes back into the queue.  Any other
+ * must not be started again; its result is unknown, as it may have run.
  */
 void task_lost(struct state *st, struct cell *c, struct task *t)
 {
@@ -237,8 +244,8 @@
 			 "its worker was lost while it may have been running");
 }
 
-/* A number out of a task's id, up to the next slash. */
-static bool id_number(const char **p, const char *end, uint32_t *n)
+/* Parses a number in a task's id, and skips the slash after it. */
+static bool task_id_parse_number(const char **p, const char *end, uint32_t *n)
 {
 	uint64_t v = 0;
 
@@ -253,9 +260,9 @@
 	return *p < end && *(*p)++ == '/';
 }
 
-/* Take a task's id apart: job/attempt/start/team. */
-static bool id_parse(bstr id, bstr *job, uint32_t *attempt, uint32_t *start,
-		     bstr *team)
+/* Parses a task's id: job/attempt/start/team. */
+static bool task_id_parse(bstr id, bstr *job, uint32_t *attempt,
+			  uint32_t *start, bstr *team)
 {
 	const char *p = id.bstr_val, *end = p + id.bstr_len, *slash;
 
@@ -264,15 +271,17 @@
 		return false;
 	*job = bstr_ref(p, (size_t)(slash - p));
 	p = slash + 1;
-	if (!id_number(&p, end, attempt) || !id_number(&p, end, start))
+	if (!task_id_parse_number(&p, end, attempt) ||
+	    !task_id_parse_number(&p, end, start))
 		return false;
 	*team = bstr_ref(p, (size_t)(end - p));
 	return bstr_is_name(*team, NAME_MAX_LEN);
 }
 
 /*
- * A worker has a task that we don't know: an earlier owner of the cell
- * started it.  It counts against its team's upper limit from now on.
+ * Adopts a task that a worker reports and this VM did not start: an earlier
+ * owner of the cell did.  It counts against its team's upper limit from now
+ * on.  Returns NULL if the id is invalid or the job has a task here.
  */
 static struct task *task_adopt(struct state *st, struct cell *c,
 			       struct worker *w, const task_report *r)
@@ -281,7 +290,7 @@
 	bstr job, team;
 	struct task *t;
 
-	if (!id_parse(r->task, &job, &attempt, &start, &team)) {
+	if (!task_id_parse(r->task, &job, &attempt, &start, &team)) {
 		effect_count(st, COUNT_DROPPED_WORKER_GARBAGE, 1);
 		return NULL;
 	}
@@ -308,7 +317,10 @@
 	return t;
 }
 
-/* A worker stopped a task: on a cancellation, or to move it. */
+/*
+ * Handles a task that its worker stopped: cancelled, checkpointed to be moved,
+ * or because its lease expired.
+ */
 static void task_stopped(struct state *st, struct cell *c, struct task *t,
 			 const task_report *r)
 {
@@ -330,7 +342,7 @@
 			return;
 		}
 		task_end(st, c, t, JOB_FAILED, "lease-lapsed",
-			 "its lease lapsed while it ran; it was stopped");
+			 "its lease expired while it ran; it was stopped");
 		return;
 	}
 	task_end(st, c, t, JOB_FAILED, "stopped",
@@ -338,8 +350,8 @@
 }
 
 /*
- * A task failed.  On a worker that fails all it starts, the worker is the
- * likelier cause, so work that may be repeated is tried on another one.
+ * Handles a failed task.  If a worker fails many tasks in a row, the worker is
+ * the likelier cause, so a task that may be repeated is started elsewhere.
  */
 static void task_failed(struct state *st, struct cell *c, struct task *t,
 			const task_report *r)
@@ -358,9 +370,9 @@
 	free(detail);
 }
 
-/* Take the state of a task that we know by this very id. */
-static void task_take(struct state *st, struct cell *c, struct task *t,
-		      const task_report *r)
+/* Applies a worker's report to a task whose current start it names. */
+static void task_apply_report(struct state *st, struct cell *c, struct task *t,
+			      const task_report *r)
 {
 	bool first = t->phase == TASK_STARTING;
 
@@ -405,8 +417,9 @@
 }
 
 /*
- * A worker's word on one task.  A start that we have replaced meanwhile is
- * stopped if it runs, and forgotten once it has ended.
+ * Handles a worker's report about one task.  If the report is about a start
+ * that has been replaced by a later one, the worker is told to stop the task,
+ * or to drop it if it has ended.
  */
 void task_report_handle(struct state *st, struct cell *c, struct worker *w,
 			const task_report *r)
@@ -425,7 +438,7 @@
 		worker_confirm_ended(w, r->task);
 	if (t && t->worker == w && bstr_eq(t->id, r->task)) {
 		if (t->phase != TASK_ENDED)
-			task_take(st, c, t, r);
+			task_apply_report(st, c, t, r);
 		return;
 	}
 	if (r->state != TASK_RUNNING) {
@@ -436,7 +449,7 @@
 	}
 }
 
-/* Refuse a dispatch finally, without keeping anything of it. */
+/* Answers a dispatch with "not run", without creating a task. */
 static void dispatch_refuse(struct state *st, bstr to, const pm_dispatch *m,
 			    enum counter_id counter, const char *detail,
 			    uint32_t retry)
@@ -458,9 +471,9 @@
 	peer_send(st, to, &msg);
 }
 
-/* Say that we don't own a cell; nothing was done with the message. */
-static void cell_disown(struct state *st, bstr to, peer_kind kind,
-			const cell_id *cell, bstr job, uint32_t attempt)
+/* Replies that this VM does not own the cell and ignored the message. */
+static void cell_reply_unowned(struct state *st, bstr to, peer_kind kind,
+			       const cell_id *cell, bstr job, uint32_t attempt)
 {
 	peer_message msg = {.kind = PM_UNOWNED};
 
@@ -469,8 +482,8 @@
 	peer_send(st, to, &msg);
 }
 
-/* Take a dispatched job into the queue. */
-static void task_new(struct state *st, struct cell *c, const pm_dispatch *m)
+/* Creates the task of a dispatched job and queues it. */
+static void task_enqueue(struct state *st, struct cell *c, const pm_dispatch *m)
 {
 	struct task *t = xcalloc(1, sizeof(*t));
 
@@ -490,7 +503,7 @@
 	queue_add(st, c, t);
 }
 
-/* A home gives us a job. */
+/* Handles a job that its home dispatches to a cell. */
 void cell_dispatch(struct state *st, bstr from, const pm_dispatch *m)
 {
 	struct unit *u = unit_of_cell(st, &m->cell);
@@ -498,19 +511,19 @@
 	struct task *t;
 
 	if (!unit_is_active(st, u) || st->stopping) {
-		cell_disown(st, from, PM_DISPATCH, &m->cell, m->job,
-			    m->attempt);
+		cell_reply_unowned(st, from, PM_DISPATCH, &m->cell, m->job,
+				   m->attempt);
 		return;
 	}
 	HASH_FIND_BSTR(u->cell->tasks, m->job, t);
 	if (t) {
-		/* The same again, or one that its home has given up. */
+		/* A duplicate, or the home gave up the attempt held here. */
 		effect_count(st, COUNT_DROPPED_DUPLICATE, 1);
 		if (t->attempt != m->attempt)
 			effect_log(st, LOG_PEER_CONFUSED,
-				   "attempt %u of %.*s, here is %u", m->attempt,
-				   BSTR_ARG(m->job), t->attempt);
-		task_tell(st, u->cell, t, from, 0);
+				   "attempt %u of %.*s, known attempt is %u",
+				   m->attempt, BSTR_ARG(m->job), t->attempt);
+		task_send_update(st, u->cell, t, from, 0);
 		return;
 	}
 	team = cell_team_get(st, u->cell, m->spec.team);
@@ -524,16 +537,17 @@
 		dispatch_refuse(st, from, m, COUNT_REFUSED_TEAM_QUEUE_FULL,
 				"the team's queue is full", RETRY_AFTER_MS * 2);
 	else
-		task_new(st, u->cell, m);
+		task_enqueue(st, u->cell, m);
 }
 
 /*
- * Answer for a job that this cell has no task of.  Until every worker has
- * answered to our epoch it may be on one of them; and if one has forgotten
- * what it ran, the job may have been among that, for good.
+ * Answers a query about a job that has no task in this cell.  Until every
+ * worker has answered to the current epoch, the job may be on one of them.  If
+ * a worker has lost its task state, the job may have run there, which can never
+ * be found out.  Otherwise the job was not started.
  */
-static void cell_untraced(struct state *st, struct cell *c, bstr from,
-			  const pm_attempt *m)
+static void cell_reply_no_task(struct state *st, struct cell *c, bstr from,
+			       const pm_attempt *m)
 {
 	peer_message msg = {.kind = PM_UPDATE};
 	pm_update *u = &msg.peer_message_u.update;
@@ -547,49 +561,51 @@
 	if (!cell_state_known(st, c)) {
 		u->view.reason = bstr_lit("owner-taking-over");
 		u->view.detail = bstr_lit("the cell's new owner has not yet "
-					  "heard every worker");
+					  "heard from every worker");
 	} else if (c->boots.history_lost) {
 		u->final = u->started = TRUE;
 		u->view.reason = bstr_lit("worker-lost");
 		u->view.detail = bstr_lit("a worker of its cell restarted and "
-					  "forgot what it ran: it may have "
-					  "run there");
+					  "lost its task state: the job may "
+					  "have run there");
 	} else {
 		u->known = FALSE;
 	}
 	peer_send(st, from, &msg);
 }
 
-/* A home asks what has become of a job. */
+/* Handles a home's query for the state of an attempt. */
 void cell_query(struct state *st, bstr from, const pm_attempt *m)
 {
 	struct unit *u = unit_of_cell(st, &m->cell);
 	struct task *t;
 
 	if (!unit_is_active(st, u)) {
-		cell_disown(st, from, PM_QUERY, &m->cell, m->job, m->attempt);
+		cell_reply_unowned(st, from, PM_QUERY, &m->cell, m->job,
+				   m->attempt);
 		return;
 	}
 	HASH_FIND_BSTR(u->cell->tasks, m->job, t);
 	if (t && t->attempt == m->attempt)
-		task_tell(st, u->cell, t, from, m->query_id);
+		task_send_update(st, u->cell, t, from, m->query_id);
 	else if (!t)
-		cell_untraced(st, u->cell, from, m);
+		cell_reply_no_task(st, u->cell, from, m);
 }
 
-/* A home cancels a job. */
+/* Handles a home's cancellation of an attempt. */
 void cell_cancel(struct state *st, bstr from, const pm_attempt *m)
 {
 	struct unit *u = unit_of_cell(st, &m->cell);
 	struct task *t;
 
 	if (!unit_is_active(st, u)) {
-		cell_disown(st, from, PM_CANCEL, &m->cell, m->job, m->attempt);
+		cell_reply_unowned(st, from, PM_CANCEL, &m->cell, m->job,
+				   m->attempt);
 		return;
 	}
 	HASH_FIND_BSTR(u->cell->tasks, m->job, t);
 	if (!t) {
-		cell_untraced(st, u->cell, from, m);
+		cell_reply_no_task(st, u->cell, from, m);
 		return;
 	}
 	if (t->attempt != m->attempt)
@@ -601,17 +617,17 @@
 		return;
 	}
 	if (t->phase == TASK_ENDED) {
-		task_tell(st, u->cell, t, from, m->query_id);
+		task_send_update(st, u->cell, t, from, m->query_id);
 		return;
 	}
 	t->stopping = true;
 	if (t->unsent)
-		task_requeue(st, u->cell, t); /* ends it: nothing was sent */
+		task_requeue(st, u->cell, t); /* ends it, as it was not sent */
 	else
 		worker_order(st, t->worker, t->id, TASK_STOP);
 }
 
-/* The home has kept the final word: worker and cell may forget the task. */
+/* The home has stored the result: drops the task here and at the worker. */
 void cell_ack(struct state *st, const pm_attempt *m)
 {
 	struct unit *u = unit_of_cell(st, &m->cell);
@@ -627,8 +643,11 @@
 	task_free(u->cell, t);
 }
 
-/* Repeat final words that were not acknowledged; forget orphans. */
-static void cell_notify(struct state *st, struct cell *c)
+/*
+ * Repeats results that were not acknowledged.  Drops those of soft jobs whose
+ * home has died, as nobody will acknowledge them.
+ */
+static void cell_repeat_results(struct state *st, struct cell *c)
 {
 	struct task *t, *next;
 	struct member *m;
@@ -643,7 +662,7 @@
 		m = orphan ? member_find(st, vm) : NULL;
 		orphan = orphan && !bstr_eq(vm, st->vm) &&
 			 (!m || !member_alive(m)) &&
-			 st->now - t->ended_at > ORPHAN_MS;
+			 st->now - t->ended_at > ORPHAN_RETENTION_MS;
 		bstr_free(&vm);
 		if (orphan) {
 			if (t->worker)
@@ -655,7 +674,7 @@
 	}
 }
 
-/* End what has waited beyond its deadline. */
+/* Ends queued tasks whose deadline has passed and that were never started. */
 static void cell_expire(struct state *st, struct cell *c)
 {
 	struct cell_team *team, *tn;
@@ -676,7 +695,7 @@
 	}
 }
 
-/* What is due in the cells that we own. */
+/* Does what is due in the cells that this VM owns. */
 void cells_tick(struct state *st)
 {
 	uint64_t queued = 0, running = 0;
@@ -693,7 +712,7 @@
 			limits_tick(st, u->cell);
 			u->cell->dirty = true;
 		}
-		cell_notify(st, u->cell);
+		cell_repeat_results(st, u->cell);
 		queued += u->cell->queued;
 		running += u->cell->running;
 	}
@@ -705,7 +724,7 @@
 	st->reported_running = running;
 }
 
-/* Schedule the cells in which something has changed. */
+/* Runs a scheduling pass in each cell that has changed. */
 void cells_schedule(struct state *st)
 {
 	struct unit *u, *next;
@@ -717,7 +736,7 @@
 		if (st->stopping)
 			continue;
 		cell_schedule(st, u->cell);
-		/* What an upper limit held back need not wait for a tick. */
+		/* Teams that are blocked need more allowance at once. */
 		limits_tick(st, u->cell);
 	}
 }
