--- a/reduce-call.c
+++ b/reduce-call.c
@@ -4,17 +4,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Beyond the caller's own patience: for the way there and back. */
+/*
+ * Callers' requests.  A request is handled at the home of its job; if that is
+ * another VM, the request is forwarded to it and the answer passed back.
+ */
+
+/* A forwarded request outlives the caller's deadline by this, for transit. */
 #define FORWARD_MARGIN_MS 1500
 #define FORWARD_RETRY_MS 100
-/* How long an owner is looked for before the caller is told to come back. */
+/* A request that no owner was found for is refused after this. */
 #define OWNER_SEARCH_MS 1000
-#define GATHER_MS 2000
+/* Time for all VMs to answer a cancellation by label. */
+#define GATHER_TIMEOUT_MS 2000
+/* Longest time that a caller may wait for an answer. */
 #define WAIT_MAX_MS 600000
 
 /*
- * Answer a caller of ours (vm is empty), or the VM that forwarded the
- * request, which may be this one: call is its number there.
+ * Answers a caller of this VM (vm is empty) or the VM that forwarded the
+ * request, which may be this one.  call is the number of the call at that VM.
  */
 void answer_send(struct state *st, bstr vm, uint64_t call,
 		 const caller_answer *a)
@@ -34,7 +41,7 @@
 		 sizeof(*a));
 }
 
-/* Refuse a request, finally, saying when to come back. */
+/* Refuses a request.  retry_after_ms is the retry hint, 0 if there is none. */
 void answer_refuse(struct state *st, bstr vm, uint64_t call, uint32_t http,
 		   enum counter_id counter, const char *detail,
 		   uint32_t retry_after_ms)
@@ -48,9 +55,9 @@
 }
 
 /*
- * A job's id follows from its team and idempotency key, so every VM comes
- * to the same one and the same shard for a repeated request.  A soft job's
- * id names the one VM that knows it.
+ * Returns the id of a job, a hash of its team and idempotency key, so that
+ * every VM computes the same id and shard for a repeated request.  The id of a
+ * soft job also names its home, the only VM that knows it.
  */
 static bstr call_job_id(const struct state *st, const job_spec *s, bool soft)
 {
@@ -70,7 +77,10 @@
 	return id;
 }
 
-/* A digest of what is asked for, to tell a reused key from a retry. */
+/*
+ * Returns a digest of a submission, to tell a retry from a reused idempotency
+ * key.  A retry may differ in how long the caller waits.
+ */
 static bstr call_digest(const job_spec *spec)
 {
 	job_spec plain = *spec;
@@ -86,8 +96,11 @@
 	return bstr_from_bytes(h, sizeof(h));
 }
 
-/* Could any VM of the pool ever hold this?  A pool without VMs may grow. */
-static bool call_fits(struct state *st, const job_spec *s)
+/*
+ * Returns true if some VM of the pool is large enough for the job, or if the
+ * pool has no VMs yet.
+ */
+static bool call_job_fits(struct state *st, const job_spec *s)
 {
 	struct vm *v, *next;
 	bool any = false;
@@ -104,12 +117,15 @@
 	return !any;
 }
 
-/* Look a submission over; true if it was refused. */
-static bool call_refused(struct state *st, uint64_t call, const job_spec *s)
+/* Checks a submission.  Returns true if it was refused. */
+static bool call_refuse_submit(struct state *st, uint64_t call,
+			       const job_spec *s)
 {
 	if (st->stopping) {
-		answer_refuse(st, BSTR_NONE, call, 503, COUNT_REFUSED_STOPPING,
-			      "this VM is stopping; nothing was run", 100);
+		answer_refuse(
+			st, BSTR_NONE, call, 503, COUNT_REFUSED_STOPPING,
+			"this VM is stopping; the request was not accepted",
+			100);
 		return true;
 	}
 	if (!config_find_pool(st->config, s->pool)) {
@@ -117,21 +133,21 @@
 			      "there is no such pool", 0);
 		return true;
 	}
-	if (!call_fits(st, s)) {
+	if (!call_job_fits(st, s)) {
 		answer_refuse(st, BSTR_NONE, call, 422,
 			      COUNT_REFUSED_NEVER_FITS,
-			      "no VM of the pool is large enough: the work "
-			      "can never run there",
+			      "no VM of the pool is large enough for the "
+			      "job",
 			      0);
 		return true;
 	}
 	return false;
 }
 
-/* Deal with a request at the home of its job. */
-static void call_at_home(struct state *st, bstr vm, uint64_t call,
-			 const caller_request *rq, bstr team,
-			 struct shard *shard, int64_t deadline)
+/* Handles a request at the home of its job. */
+static void call_handle_at_home(struct state *st, bstr vm, uint64_t call,
+				const caller_request *rq, bstr team,
+				struct shard *shard, int64_t deadline)
 {
 	const caller_body *b = &rq->body;
 	struct job *j;
@@ -147,7 +163,7 @@
 		return;
 	}
 	j = job_find(st, b->caller_body_u.job.job);
-	/* Without a lease another VM may have accepted it meanwhile. */
+	/* Without a lease, another VM may own the shard and know the job. */
 	if (!j && shard && !lease_valid(st)) {
 		answer_refuse(st, vm, call, 503, COUNT_REFUSED_NO_OWNER,
 			      "this VM may have been replaced and does not "
@@ -155,11 +171,11 @@
 			      RETRY_AFTER_MS);
 		return;
 	}
-	/* Another team's job is as good as none: its id tells nothing. */
+	/* Another team's job gets the same answer, to reveal nothing. */
 	if (!j || !bstr_eq(j->spec.team, team)) {
 		answer_refuse(st, vm, call, 404, COUNT_REFUSED_JOB,
-			      "no such job is known: it was never accepted, "
-			      "or its answer is no longer kept",
+			      "no such job: it was never accepted, or its "
+			      "result is no longer kept",
 			      0);
 		return;
 	}
@@ -169,11 +185,11 @@
 		 b->kind == CALL_CANCEL || b->caller_body_u.job.wait_ms, false);
 }
 
-/* How long the caller waits, at the most. */
+/* Returns the time until which the caller waits at most. */
 static int64_t call_deadline(const struct state *st, const caller_request *rq)
 {
 	const caller_body *b = &rq->body;
-	uint32_t ms = GATHER_MS;
+	uint32_t ms = GATHER_TIMEOUT_MS;
 
 	if (b->kind == CALL_SUBMIT)
 		ms = b->caller_body_u.spec.timeout_ms;
@@ -182,7 +198,10 @@
 	return st->now + (ms > WAIT_MAX_MS ? WAIT_MAX_MS : ms);
 }
 
-/* Keep a request until the VM that handles it has answered. */
+/*
+ * Creates a forwarded request, which is kept until it is answered.  vm is the
+ * only VM that can answer it; empty means the owner of the shard.
+ */
 static struct forward *forward_new(struct state *st, uint64_t call,
 				   const caller_request *rq, bstr team,
 				   uint32_t shard, bstr vm, int64_t deadline)
@@ -212,7 +231,7 @@
 	free(f);
 }
 
-/* Free all, answered or not. */
+/* Frees all forwarded requests without answering them. */
 void forwards_free(struct state *st)
 {
 	struct forward *f;
@@ -227,7 +246,7 @@
 	}
 }
 
-/* The VM that handles a forwarded request now; empty if none can. */
+/* Returns the VM to send a forwarded request to, empty if none is reachable. */
 static bstr forward_target(struct state *st, const struct forward *f)
 {
 	struct member *m;
@@ -242,7 +261,10 @@
 	return m && member_reachable(st, m) ? to : BSTR_NONE;
 }
 
-/* Send a forwarded request to whoever should handle it now. */
+/*
+ * Sends a forwarded request to the VM that should handle it, or retries later.
+ * The key is left out, as it has been checked here.
+ */
 static void forward_send(struct state *st, struct forward *f)
 {
 	peer_message msg = {.kind = PM_FORWARD};
@@ -270,9 +292,12 @@
 	peer_send(st, f->to, &msg);
 }
 
-/* One of several answers came, or will not come. */
-static void gather_add(struct state *st, struct gather *g,
-		       const caller_answer *a)
+/*
+ * Adds a VM's answer, or NULL if there will be none.  The last one completes
+ * the answer to the caller.
+ */
+static void gather_add_answer(struct state *st, struct gather *g,
+			      const caller_answer *a)
 {
 	caller_answer *all = &g->answer;
 	char *detail;
@@ -290,8 +315,8 @@
 	if (--g->pending)
 		return;
 	if (g->missing) {
-		detail = xasprintf("%u VMs did not answer: jobs there may be "
-				   "uncancelled; ask again",
+		detail = xasprintf("%u VMs did not answer: jobs there may not "
+				   "be cancelled; try again",
 				   g->missing);
 		all->http = 503;
 		all->reason = bstr_new("partial");
@@ -304,7 +329,7 @@
 	free(g);
 }
 
-/* Cancel the jobs of a team under a label that have their home here. */
+/* Cancels a team's jobs with a label whose home is this VM. */
 static void call_cancel_label(struct state *st, bstr vm, uint64_t call,
 			      bstr team, bstr label)
 {
@@ -322,7 +347,7 @@
 		job_cancel(st, j);
 		v = &a.jobs.jobs_val[a.jobs.jobs_len++];
 		xdr_copy(XDR_PROC(xdr_job_view), v, &j->view, sizeof(job_view));
-		/* "Not run" is not said before it is durable. */
+		/* "Not run" may be reported only once it is durable. */
 		if (v->state == JOB_NOT_RUN && !job_final_ready(j))
 			v->state = JOB_QUEUED;
 	}
@@ -330,12 +355,12 @@
 	xdr_free(XDR_PROC(xdr_caller_answer), (char *)&a);
 }
 
-/* Ask every VM to cancel by label, this one too. */
-static void call_gather(struct state *st, uint64_t call,
-			const caller_request *rq, bstr team)
+/* Sends a cancellation by label to every VM, this one included. */
+static void call_cancel_label_all(struct state *st, uint64_t call,
+				  const caller_request *rq, bstr team)
 {
 	struct gather *g = xcalloc(1, sizeof(*g));
-	int64_t deadline = st->now + GATHER_MS;
+	int64_t deadline = st->now + GATHER_TIMEOUT_MS;
 	struct member *m, *next;
 	struct forward *f;
 
@@ -356,7 +381,7 @@
 			forward_send(st, f);
 }
 
-/* A caller's request at this VM. */
+/* Handles a request that a caller sent to this VM. */
 void call_event(struct state *st, uint64_t call, const caller_request *rq)
 {
 	caller_answer refusal = {0};
@@ -374,13 +399,13 @@
 		return;
 	}
 	if (rq->body.kind == CALL_CANCEL_LABEL) {
-		call_gather(st, call, rq, t->name);
+		call_cancel_label_all(st, call, rq, t->name);
 		return;
 	}
 	if (rq->body.kind == CALL_SUBMIT) {
 		spec = &full.body.caller_body_u.spec;
 		full.body.caller_body_u.spec.team = t->name;
-		if (call_refused(st, call, spec))
+		if (call_refuse_submit(st, call, spec))
 			return;
 		soft = spec->may_repeat && spec->wait;
 		id = call_job_id(st, spec, soft);
@@ -392,11 +417,11 @@
 	shard = job_shard(id);
 	u = soft ? NULL : unit_of_shard(st, shard);
 	if (soft && bstr_eq(vm, st->vm))
-		call_at_home(st, BSTR_NONE, call, &full, t->name, NULL,
-			     call_deadline(st, rq));
+		call_handle_at_home(st, BSTR_NONE, call, &full, t->name, NULL,
+				    call_deadline(st, rq));
 	else if (!soft && unit_is_active(st, u) && u->shard)
-		call_at_home(st, BSTR_NONE, call, &full, t->name, u->shard,
-			     call_deadline(st, rq));
+		call_handle_at_home(st, BSTR_NONE, call, &full, t->name,
+				    u->shard, call_deadline(st, rq));
 	else
 		forward_send(st, forward_new(st, call, &full, t->name, shard,
 					     vm, call_deadline(st, rq)));
@@ -404,8 +429,8 @@
 	bstr_free(&id);
 }
 
-/* Tell a VM that we don't own what it asked for; nothing was done. */
-static void call_disown(struct state *st, bstr from, uint64_t call)
+/* Replies that this VM does not own the shard and ignored the request. */
+static void call_reply_unowned(struct state *st, bstr from, uint64_t call)
 {
 	peer_message msg = {.kind = PM_UNOWNED};
 
@@ -416,8 +441,8 @@
 }
 
 /*
- * A request forwarded by the VM that took it from the caller, which has
- * checked the key.  The secret's digest does not travel.
+ * Handles a request that another VM has forwarded.  That VM has checked the
+ * key, so the message does not contain the digest of its secret.
  */
 void call_forwarded(struct state *st, bstr from, const pm_forward *m)
 {
@@ -437,13 +462,13 @@
 		bstr_free(&vm);
 	u = soft ? NULL : unit_of_shard(st, m->shard);
 	if (soft || (unit_is_active(st, u) && u->shard))
-		call_at_home(st, from, m->call, &m->request, m->team,
-			     u ? u->shard : NULL, st->now + m->budget_ms);
+		call_handle_at_home(st, from, m->call, &m->request, m->team,
+				    u ? u->shard : NULL,
+				    st->now + m->budget_ms);
 	else
-		call_disown(st, from, m->call);
+		call_reply_unowned(st, from, m->call);
 }
 
-/* Find a forwarded request by its number. */
 static struct forward *forward_find(struct state *st, uint64_t id)
 {
 	struct forward *f;
@@ -455,9 +480,10 @@
 }
 
 /*
- * The home has answered a request of ours.  If it was sent more than once, a
- * refusal speaks of one copy only: another may have been accepted, by this
- * home or the next, so "not run" must not be passed on.
+ * Handles the answer to a request that this VM has forwarded.  If the request
+ * was sent more than once, a refusal is valid for one copy only: another copy
+ * may have been accepted by this home or the next.  So the caller must not be
+ * told that the job was not run.
  */
 void call_answered(struct state *st, const pm_answer *m)
 {
@@ -468,13 +494,13 @@
 		return;
 	}
 	if (f->gather)
-		gather_add(st, f->gather, &m->answer);
+		gather_add_answer(st, f->gather, &m->answer);
 	else if (f->copies_sent > 1 && m->answer.http >= 500 &&
 		 !m->answer.jobs.jobs_len)
 		answer_refuse(st, BSTR_NONE, f->call, 504,
 			      COUNT_REFUSED_DEADLINE,
-			      "asked more than once and refused once: the work "
-			      "may have been accepted; ask again with the same "
+			      "sent more than once and refused once: the job "
+			      "may have been accepted; retry with the same "
 			      "key",
 			      RETRY_AFTER_MS);
 	else
@@ -483,9 +509,11 @@
 }
 
 /*
- * Whom we asked does not own the shard: ask the one that does if it has only
- * just joined, and would be refused everything until that hands over.  When
- * all have been asked the shard is on its way: look again in a while.
+ * Handles the reply that a VM does not own the shard of a forwarded request.
+ * The request goes to the next candidate: a VM that has only just joined would
+ * refuse all requests until the present owner hands the shard over to it.  If
+ * all VMs have refused, the shard is changing hands and they are tried again
+ * after a delay.
  */
 void call_unowned(struct state *st, bstr from, const pm_unowned *m)
 {
@@ -496,8 +524,8 @@
 		p->leaving = true;
 	if (!f)
 		return;
-	f->sent = f->copies_sent &&
-		  --f->copies_sent; /* that VM did nothing with it */
+	/* This copy had no effect. */
+	f->sent = f->copies_sent && --f->copies_sent;
 	f->skipped++;
 	f->resend_at = st->now;
 	effect_wake(st, st->now);
@@ -505,8 +533,8 @@
 }
 
 /*
- * What was sent to a VM may be lost.  Asking again is safe: the home knows
- * a request by its job's id and runs it once.
+ * Requests sent to a VM may be lost: sends them again.  This is safe because
+ * the home recognises a request by its job's id and runs the job once.
  */
 void call_peer_lost(struct state *st, bstr vm)
 {
@@ -517,7 +545,7 @@
 			f->resend_at = st->now + FORWARD_RETRY_MS;
 }
 
-/* The caller has hung up: its job goes on, its answer is not needed. */
+/* The caller has disconnected: drops its waiters; its job goes on. */
 void call_gone(struct state *st, uint64_t call)
 {
 	struct waiter *w, *wn;
@@ -540,31 +568,31 @@
 }
 
 /*
- * Give a request up, at once and finally.  If it was never sent, nothing
- * was done here; whether an earlier attempt under the same key ran is not
- * known, so the answer does not say "not run".
+ * Gives up a forwarded request and answers its caller.  If it was never sent,
+ * it had no effect; but an earlier request with the same key may have run the
+ * job, so the answer does not say "not run".
  */
 static void forward_give_up(struct state *st, struct forward *f)
 {
 	if (f->gather)
-		gather_add(st, f->gather, NULL);
+		gather_add_answer(st, f->gather, NULL);
 	else if (f->sent)
 		answer_refuse(st, BSTR_NONE, f->call, 504,
 			      COUNT_REFUSED_DEADLINE,
-			      "the VM that decides did not answer: the work "
-			      "may have been accepted; ask again with the "
-			      "same key",
+			      "the owner of the job did not answer: the job "
+			      "may have been accepted; retry with the same "
+			      "key",
 			      RETRY_AFTER_MS);
 	else
 		answer_refuse(st, BSTR_NONE, f->call, 503,
 			      COUNT_REFUSED_NO_OWNER,
-			      "no VM can decide this now; this request was "
-			      "not accepted",
+			      "no VM can handle the request now; it was not "
+			      "accepted",
 			      RETRY_AFTER_MS * 2);
 	forward_free(st, f);
 }
 
-/* Send again or give up what is due. */
+/* Sends forwarded requests again, or gives them up, when due. */
 void calls_tick(struct state *st)
 {
 	struct forward *f, *next;
@@ -581,8 +609,9 @@
 }
 
 /*
- * A job's home moves away under a waiter.  One of another VM is told to look
- * for the new owner; one of this VM becomes a forwarded request itself.
+ * Redirects a waiter when its job's home changes to another VM.  If the waiter
+ * came from another VM, that VM is told to find the new owner.  One of this VM
+ * becomes a forwarded request.
  */
 void call_redirect(struct state *st, struct job *j, struct waiter *w)
 {
@@ -590,7 +619,7 @@
 	int64_t left = w->deadline - st->now;
 
 	if (w->vm.bstr_len) {
-		call_disown(st, w->vm, w->call);
+		call_reply_unowned(st, w->vm, w->call);
 		return;
 	}
 	rq.body.caller_body_u.job.job = j->id;
@@ -602,7 +631,7 @@
 		->sent = true;
 }
 
-/* The process ends: whoever still waits is told where the work stands. */
+/* The process stops: answers all callers that still wait. */
 void calls_stop(struct state *st)
 {
 	struct forward *f, *next;
@@ -617,8 +646,9 @@
 		while ((w = TAILQ_FIRST(&j->waiters))) {
 			answer_refuse(st, w->vm, w->call, 503,
 				      COUNT_REFUSED_STOPPING,
-				      "this VM stops; the work was accepted "
-				      "and may run: ask for it by its id",
+				      "this VM is stopping; the job was "
+				      "accepted and may run: query it by its "
+				      "id",
 				      RETRY_AFTER_MS);
 			waiter_free(j, w);
 		}
