--- a/reduce-limit.c
+++ b/reduce-limit.c
@@ -4,31 +4,37 @@
 #include <string.h>
 
 /*
- * Upper limits, without asking anybody per start.  A team's row gives each
- * cell a part of the limit; the parts never add up to more than it, and a
- * cell starts only within its part.  A cell that is cut off goes on with
- * what it holds; what it holds can't be given to another.
+ * Teams' upper limits, enforced without a table access per start.  A team's
+ * row divides its limit into an allowance for each cell.  The allowances never
+ * add up to more than the limit, and a cell starts tasks only within its own.
+ * A cell that is cut off from the platform goes on with the allowance that it
+ * holds; until it gives that up, no other cell can have it.
  */
-#define ALLOW_RETRY_MS 300
-#define ALLOW_GIVE_UP_MS 5000
-#define IDLE_MS 10000
-/* The least that is taken at a time while half of the limit is free. */
-#define BLOCK 4
 
-/* What a team uses of what the cell holds. */
+#define ALLOWANCE_RETRY_MS 300
+#define ALLOWANCE_GIVE_UP_MS 5000
+/* Period after which half of the allowance not needed in it is given back. */
+#define ALLOWANCE_IDLE_MS 10000
+/* Least amount requested at a time while half of the limit is unallocated. */
+#define ALLOWANCE_BLOCK 4
+
+/*
+ * Returns how much of the cell's allowance a team uses.  A start that may
+ * still run on a worker that went silent counts as used.
+ */
 uint32_t team_used(const struct cell_team *t)
 {
 	return t->running + t->unconfirmed;
 }
 
-/* The key of a team's row. */
-static bstr allow_key(bstr team)
+static bstr allowance_key(bstr team)
 {
 	return bstr_printf("allow/%.*s", BSTR_ARG(team));
 }
 
-/* The hold of a cell in a row, if it has one. */
-static allowance_hold *allow_find(const allowance_row *row, const cell_id *cell)
+/* Returns a cell's hold in a row, NULL if it has none. */
+static allowance_hold *allowance_find_hold(const allowance_row *row,
+					   const cell_id *cell)
 {
 	u_int i;
 
@@ -42,8 +48,7 @@
 	return NULL;
 }
 
-/* The sum of all holds. */
-static uint32_t allow_sum(const allowance_row *row)
+static uint32_t allowance_total(const allowance_row *row)
 {
 	uint32_t sum = 0;
 	u_int i;
@@ -53,7 +58,7 @@
 	return sum;
 }
 
-/* The upper limit in force here. */
+/* Returns a team's limit by the configuration in force at this VM. */
 static uint32_t team_limit(struct state *st, bstr team)
 {
 	const struct team *t = config_find_team(st->config, team);
@@ -62,12 +67,13 @@
 }
 
 /*
- * What the cell may use of its hold: less than all of it while the limit is
- * being lowered, or while other cells have asked for a part.
+ * Returns how much of its allowance a cell may use: less than all of it after
+ * the limit was lowered, or while other cells request a part of it.
  */
-static uint32_t allow_ceiling(struct state *st, const struct cell_team *t)
+static uint32_t allowance_usable(struct state *st, const struct cell_team *t)
 {
-	uint64_t sum = allow_sum(&t->row), limit = team_limit(st, t->team);
+	uint64_t sum = allowance_total(&t->row);
+	uint64_t limit = team_limit(st, t->team);
 	uint32_t fair, held = t->allowance;
 
 	if (sum > limit)
@@ -82,7 +88,10 @@
 		       : fair;
 }
 
-/* Slots of workers that may run what an earlier owner started. */
+/*
+ * Returns the number of slots of workers that are not fenced yet, which may run
+ * tasks that an earlier owner started.
+ */
 static uint32_t cell_unfenced(struct state *st, struct cell *c)
 {
 	struct worker *w, *next;
@@ -100,21 +109,22 @@
 }
 
 /*
- * How many more tasks of a team may be started here now.  A new owner has
- * to leave room for what may run on workers that have not answered to it
- * yet: those tasks count against the same hold.
+ * Returns how many more tasks of a team may be started in the cell now.  A new
+ * owner has to leave room for the tasks that may run on workers that have not
+ * answered to it yet, because they count against the same allowance.
  */
 uint32_t allowance_available(struct state *st, struct cell *c,
 			     struct cell_team *t)
 {
-	uint64_t used = team_used(t), ceiling = allow_ceiling(st, t);
+	uint64_t used = team_used(t), usable = allowance_usable(st, t);
 
 	used += cell_unfenced(st, c);
-	return t->loaded && used < ceiling ? (uint32_t)(ceiling - used) : 0;
+	return t->loaded && used < usable ? (uint32_t)(usable - used) : 0;
 }
 
-/* Take a row that was read. */
-static void allow_take(struct cell *c, struct cell_team *t, const table_row *r)
+/* Updates a team's allowance from its row. */
+static void allowance_apply_row(struct cell *c, struct cell_team *t,
+				const table_row *r)
 {
 	allowance_hold *h;
 
@@ -127,21 +137,25 @@
 				       &t->row, sizeof(t->row));
 	else
 		t->loaded = true;
-	h = allow_find(&t->row, &c->unit->id);
+	h = allowance_find_hold(&t->row, &c->unit->id);
 	t->allowance = h ? h->amount : 0;
 	/*
-	 * A write that gave some back went unanswered and may still land, as
-	 * long as the row is at the version that it checks.  Another cell
-	 * could then take that part: it must not be spent here meanwhile, or
-	 * the team would run more than its limit.
+	 * A write that returned a part of the allowance went unanswered.  It
+	 * may still take effect while the row is at the version that it
+	 * checks, and another cell could then take that part.  So the part
+	 * must not be used here, or the team would run more than its limit.
 	 */
 	t->capped = t->capped && t->cap_revision == t->revision;
 	if (t->capped && t->allowance > t->cap)
 		t->allowance = t->cap;
 }
 
-/* Find a cell's team by the name of a request: "pool dc team". */
-static struct cell_team *allow_who(struct state *st, bstr name, struct cell **c)
+/*
+ * Finds a team and its cell by the name of a request: "pool dc team".  Returns
+ * NULL if this VM does not own the cell or the cell has no such team.
+ */
+static struct cell_team *allowance_find_team(struct state *st, bstr name,
+					     struct cell **c)
 {
 	struct cell_team *t = NULL;
 	cell_id id = {0};
@@ -167,30 +181,30 @@
 	return t;
 }
 
-/* Read a team's row. */
-static void allow_load(struct state *st, struct cell *c, struct cell_team *t)
+static void allowance_load(struct state *st, struct cell *c,
+			   struct cell_team *t)
 {
 	bstr name = bstr_printf("%.*s %.*s %.*s", BSTR_ARG(c->unit->id.pool),
 				BSTR_ARG(c->unit->id.dc), BSTR_ARG(t->team));
-	bstr key = allow_key(t->team);
+	bstr key = allowance_key(t->team);
 
 	t->request = table_read(st, REQ_ALLOWANCE_READ, name, &key, 1);
 	bstr_free(&key);
 	bstr_free(&name);
 }
 
-/* Write the row with another hold for this cell. */
-static void allow_write(struct state *st, struct cell *c, struct cell_team *t,
-			uint32_t amount)
+/* Writes a team's row with a new amount for this cell. */
+static void allowance_write(struct state *st, struct cell *c,
+			    struct cell_team *t, uint32_t amount)
 {
 	uint32_t limit = team_limit(st, t->team), sum;
-	bstr key = allow_key(t->team), name;
+	bstr key = allowance_key(t->team), name;
 	allowance_hold *h;
 	allowance_row row;
 	fx_commit k = {0};
 
 	xdr_copy(XDR_PROC(xdr_allowance_row), &row, &t->row, sizeof(row));
-	h = allow_find(&row, &c->unit->id);
+	h = allowance_find_hold(&row, &c->unit->id);
 	if (!h) {
 		row.holds.holds_val = xrealloc(row.holds.holds_val,
 					       row.holds.holds_len + 1,
@@ -200,55 +214,56 @@
 			 sizeof(h->cell));
 	}
 	h->amount = amount;
-	sum = allow_sum(&row);
+	sum = allowance_total(&row);
 	row.limit = sum > limit ? sum : limit;
 	name = bstr_printf("%.*s %.*s %.*s", BSTR_ARG(c->unit->id.pool),
 			   BSTR_ARG(c->unit->id.dc), BSTR_ARG(t->team));
-	/* The cell's row too: an owner that was replaced changes nothing. */
+	/* Fails if this VM has been replaced as the owner of the cell. */
 	commit_check(&k, c->unit->name, c->unit->revision);
 	commit_check(&k, key, t->revision);
 	commit_put(&k, key, XDR_PROC(xdr_allowance_row), &row);
-	/* Less is in force at once, more only when it is committed. */
+	/* A decrease applies at once, an increase only when committed. */
 	if (amount < t->allowance)
 		t->allowance = amount;
 	t->commit_allowance = amount;
 	t->request = table_commit(st, REQ_ALLOWANCE_COMMIT, name, &k,
-				  st->now + ALLOW_GIVE_UP_MS);
+				  st->now + ALLOWANCE_GIVE_UP_MS);
 	xdr_free(XDR_PROC(xdr_allowance_row), (char *)&row);
 	bstr_free(&key);
 	bstr_free(&name);
 }
 
-/* A team's row was read. */
+/* Handles the outcome of reading a team's row. */
 void allowance_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct cell *c = NULL;
-	struct cell_team *t = allow_who(st, rq->name, &c);
+	struct cell_team *t = allowance_find_team(st, rq->name, &c);
 
 	if (!t || t->request != rq->id)
 		return;
 	t->request = 0;
 	t->retry_at = st->now;
 	if (ev->outcome == PLATFORM_OK && ev->rows.rows_len)
-		allow_take(c, t, &ev->rows.rows_val[0]);
+		allowance_apply_row(c, t, &ev->rows.rows_val[0]);
 	else
-		t->retry_at = st->now + ALLOW_RETRY_MS;
+		t->retry_at = st->now + ALLOWANCE_RETRY_MS;
 	c->dirty = true;
 }
 
 /*
- * A change of the hold has its outcome.  After a lost race or an unknown
- * outcome the row is read before it is written again; what is held until then
- * is the lesser of old and new, so a cell whose platform is down goes on with
- * that.  Nobody but this cell's owner changes its hold: who won the race has
- * changed another cell's, or is a successor, which counts what may run here
- * until the workers answer to it.
+ * Handles the outcome of writing a team's row.  After a conflict or an unknown
+ * outcome, the row is read before it is written again.  Until then the lesser
+ * of the old and the new amount is in force, so a cell goes on with that while
+ * the platform is down.  Only the owner of this cell changes the cell's hold:
+ * after a conflict, the other writer has changed the hold of another cell, or
+ * is the next owner of this one, which leaves room for the tasks that may run
+ * here until the workers answer to it.
  */
 void allowance_committed(struct state *st, struct request *rq,
 			 const ev_platform *ev)
 {
 	struct cell *c = NULL;
-	struct cell_team *t = allow_who(st, rq->name, &c);
+	struct cell_team *t = allowance_find_team(st, rq->name, &c);
 	allowance_hold *h;
 	u_int i;
 
@@ -274,16 +289,16 @@
 		t->revision = row_version(ev,
 					  rq->commit.writes.writes_val[i].key);
 	}
-	h = allow_find(&t->row, &c->unit->id);
+	h = allowance_find_hold(&t->row, &c->unit->id);
 	t->allowance = h ? h->amount : 0;
-	t->capped = false; /* the row's version has moved on */
-	t->retry_at = st->now + ALLOW_RETRY_MS / 3;
+	t->capped = false; /* that write can't take effect any more */
+	t->retry_at = st->now + ALLOWANCE_RETRY_MS / 3;
 	c->dirty = true;
 }
 
-/* Ask the cells that hold the limit to give some of it back. */
-static void allow_want(struct state *st, struct cell *c, struct cell_team *t,
-		       uint32_t amount)
+/* Requests the other cells of a team to return amount of their allowances. */
+static void allowance_request_more(struct state *st, struct cell *c,
+				   struct cell_team *t, uint32_t amount)
 {
 	peer_message msg = {.kind = PM_LIMIT_REQUEST};
 	struct unit *u;
@@ -292,7 +307,7 @@
 
 	if (st->now < t->request_more_at)
 		return;
-	t->request_more_at = st->now + ALLOW_RETRY_MS * 2;
+	t->request_more_at = st->now + ALLOWANCE_RETRY_MS * 2;
 	t->stale = true; /* they will change the row */
 	for (i = 0; i < t->row.holds.holds_len; i++) {
 		allowance_hold *h = &t->row.holds.holds_val[i];
@@ -309,7 +324,7 @@
 	}
 }
 
-/* Another cell of the team needs some of what we hold. */
+/* Handles another cell's request for a part of this cell's allowance. */
 void allowance_requested(struct state *st, const pm_limit_request *m)
 {
 	struct unit *u = unit_of_cell(st, &m->cell);
@@ -317,7 +332,7 @@
 
 	if (!unit_is_active(st, u) || !u->cell)
 		return;
-	/* A hold left by an earlier owner is known only from the row. */
+	/* The row may have a hold that an earlier owner left: read it first. */
 	t = cell_team_get(st, u->cell, m->team);
 	t->return_requested = m->amount;
 	t->loaded = t->loaded && t->allowance;
@@ -325,66 +340,72 @@
 	effect_wake(st, st->now);
 }
 
-/* How much the team needs here beyond what it uses. */
-static uint32_t allow_need(const struct cell *c, const struct cell_team *t)
+/*
+ * Returns how much allowance the team needs beyond what it uses: one for each
+ * queued task, bounded in proportion to the cell's running tasks.
+ */
+static uint32_t allowance_need(const struct cell *c, const struct cell_team *t)
 {
 	uint32_t most = 2 * (c->running + 16);
 
 	return t->queued < most ? t->queued : most;
 }
 
-/* Get more, if work waits for it. */
-static void allow_grow(struct state *st, struct cell *c, struct cell_team *t)
+/* Allocates more to this cell, or requests it from other cells. */
+static void allowance_grow(struct state *st, struct cell *c,
+			   struct cell_team *t)
 {
-	uint32_t need = allow_need(c, t), limit = team_limit(st, t->team);
-	uint32_t sum = allow_sum(&t->row), free_part;
+	uint32_t need = allowance_need(c, t), limit = team_limit(st, t->team);
+	uint32_t sum = allowance_total(&t->row), unallocated;
 
-	free_part = sum < limit ? limit - sum : 0;
-	/* A block, so that a steady stream does not write at each step. */
+	unallocated = sum < limit ? limit - sum : 0;
+	/* Allocate in blocks, so that a steady stream needs fewer writes. */
 	need += need / 2;
-	if (need < BLOCK && free_part >= limit / 2 + BLOCK)
-		need = BLOCK;
-	if (need > free_part) {
+	if (need < ALLOWANCE_BLOCK &&
+	    unallocated >= limit / 2 + ALLOWANCE_BLOCK)
+		need = ALLOWANCE_BLOCK;
+	if (need > unallocated) {
 		if (!t->return_requested)
-			allow_want(st, c, t, need - free_part);
-		need = free_part;
+			allowance_request_more(st, c, t, need - unallocated);
+		need = unallocated;
 	}
 	if (need)
-		allow_write(st, c, t, t->allowance + need);
+		allowance_write(st, c, t, t->allowance + need);
 }
 
-/* Give back what was asked for, or what has not been used for a while. */
-static void allow_shrink(struct state *st, struct cell *c, struct cell_team *t)
+/* Gives back allowance that other cells request or that has been idle. */
+static void allowance_shrink(struct state *st, struct cell *c,
+			     struct cell_team *t)
 {
-	uint32_t used = team_used(t), ceiling = allow_ceiling(st, t);
-	uint32_t keep = used + allow_need(c, t), idle;
+	uint32_t used = team_used(t), usable = allowance_usable(st, t);
+	uint32_t keep = used + allowance_need(c, t), idle;
 
-	if (ceiling < t->allowance) {
-		/* Lowered or asked for: down to the ceiling, not below use. */
-		if (keep > ceiling)
-			keep = ceiling;
+	if (usable < t->allowance) {
+		/* Reduce it to the usable amount, but not below use. */
+		if (keep > usable)
+			keep = usable;
 		if (keep < used)
 			keep = used;
 		if (keep < t->allowance)
-			allow_write(st, c, t, keep);
-		if (keep <= ceiling)
+			allowance_write(st, c, t, keep);
+		if (keep <= usable)
 			t->return_requested = 0;
 		return;
 	}
 	t->return_requested = 0;
 	if (t->peak_need < keep)
 		t->peak_need = keep;
-	/* Nobody can take it while the platform is down. */
-	if (st->now - t->idle_at < IDLE_MS || !st->platform_up)
+	/* While the platform is down, no other cell could take it. */
+	if (st->now - t->idle_at < ALLOWANCE_IDLE_MS || !st->platform_up)
 		return;
 	idle = t->allowance > t->peak_need ? t->allowance - t->peak_need : 0;
 	if (idle)
-		allow_write(st, c, t, t->allowance - (idle + 1) / 2);
+		allowance_write(st, c, t, t->allowance - (idle + 1) / 2);
 	t->peak_need = keep;
 	t->idle_at = st->now;
 }
 
-/* Look after the allowances of a cell. */
+/* Reads, grows and shrinks the allowances of a cell when due. */
 void limits_tick(struct state *st, struct cell *c)
 {
 	struct cell_team *t, *next;
@@ -394,12 +415,12 @@
 			continue;
 		if (!t->loaded || t->stale) {
 			if (t->queued || t->return_requested || team_used(t))
-				allow_load(st, c, t);
+				allowance_load(st, c, t);
 			continue;
 		}
 		if (t->queued && !allowance_available(st, c, t))
-			allow_grow(st, c, t);
+			allowance_grow(st, c, t);
 		if (!t->request)
-			allow_shrink(st, c, t);
+			allowance_shrink(st, c, t);
 	}
 }
