--- a/reduce-claim.c
+++ b/reduce-claim.c
@@ -4,24 +4,30 @@
 #include <string.h>
 
 /*
- * The journal of a shard: rows of records, the last one open.  Records are
- * gathered and committed together, so the number of writes depends on the
- * window and not on the number of jobs.  Each commit checks the unit's row:
- * an owner that has been replaced can append nothing any more, and the new
- * owner, which reads the journal after it replaced that row, misses nothing.
+ * The journal of a shard: a sequence of segments (rows of the table) with
+ * records; new records are appended to the last one.  Records are collected
+ * during the commit window and committed together, so the number of writes
+ * depends on the window and not on the number of jobs.  Each commit checks the
+ * version of the shard's row.  So an owner that has been replaced can append
+ * nothing any more, and the new owner, which reads the journal after it has
+ * replaced that row, misses no record.
  */
-#define SEGMENT_BYTES 16384
-#define SEGMENTS_BEFORE_REWRITE 24
-#define TRIM_MS 2000
-#define FLUSH_RECORDS 512
+
+/* A segment of this size is full; the next records go to a new one. */
+#define SEGMENT_FULL_BYTES 16384
+/* With more segments than this, records in the first are written again. */
+#define REWRITE_SEGMENTS 24
+#define TRIM_INTERVAL_MS 2000
+#define FLUSH_RECORDS_MAX 512
 /*
- * A final answer is given before it is durable, so its record can wait to go
- * with the next claim; not so "not run", whose callers wait for it.  Below
- * NOTIFY_RETRY_MS, or cells would repeat themselves.
+ * Callers get most results before the record is durable, so a final record may
+ * wait this long to be committed together with later claims.  That does not
+ * hold for "not run", which callers get only once it is durable.  Must be less
+ * than NOTIFY_RETRY_MS, or cells would send their results twice.
  */
-#define FINAL_WAIT_MS 400
+#define FINAL_FLUSH_DELAY_MS 400
 
-/* The key of a segment's row; keys sort in the order of writing. */
+/* Returns the key of a segment's row.  Keys sort in order of creation. */
 static bstr segment_key(const struct unit *u, uint64_t number)
 {
 	return bstr_printf("journal/%u/%016llx", u->index,
@@ -52,7 +58,7 @@
 	free(g);
 }
 
-/* Free a shard with the jobs that have their home in it. */
+/* Frees a shard and the jobs whose home it is. */
 void shard_free(struct state *st, struct shard *s)
 {
 	struct segment *g;
@@ -65,7 +71,6 @@
 	free(s);
 }
 
-/* The job that a record is about. */
 static bstr record_job(const record *rec)
 {
 	switch (rec->kind) {
@@ -79,7 +84,7 @@
 	return BSTR_NONE;
 }
 
-/* Read the whole journal of a shard that has just been claimed. */
+/* Reads the whole journal of a shard that this VM has just claimed. */
 void shard_load(struct state *st, struct unit *u)
 {
 	bstr prefix = bstr_printf("journal/%u/", u->index);
@@ -88,8 +93,8 @@
 	bstr_free(&prefix);
 }
 
-/* Take one row of the journal. */
-static bool segment_read(struct state *st, struct shard *s, const table_row *r)
+/* Adds a segment that was read and replays it.  Returns false if it is bad. */
+static bool segment_load(struct state *st, struct shard *s, const table_row *r)
 {
 	struct segment *g = xcalloc(1, sizeof(*g));
 	char *key = bstr_cstr(r->key), *slash = strrchr(key, '/');
@@ -112,9 +117,9 @@
 }
 
 /*
- * The journal has been read.  A row that can't be decoded leaves the shard
- * unowned with an error in the log: going on without it would forget
- * accepted work silently.
+ * Handles the journal that was read.  If a segment can't be decoded, the shard
+ * stays without an owner and an error is logged: going on without the segment
+ * would silently lose accepted jobs.
  */
 void shard_scanned(struct state *st, struct unit *u, const ev_platform *ev)
 {
@@ -136,7 +141,7 @@
 	TAILQ_INIT(&s->in_flight);
 	TAILQ_INIT(&s->segments);
 	for (i = 0; i < ev->rows.rows_len; i++) {
-		if (segment_read(st, s, &ev->rows.rows_val[i]))
+		if (segment_load(st, s, &ev->rows.rows_val[i]))
 			continue;
 		effect_log(st, LOG_JOURNAL_BAD, "%.*s",
 			   BSTR_ARG(ev->rows.rows_val[i].key));
@@ -148,7 +153,7 @@
 	jobs_resume(st, s);
 }
 
-/* Gather a record for the next commit. */
+/* Queues a record for the next commit. */
 void shard_append(struct state *st, struct shard *s, const record *rec)
 {
 	struct journal_entry *e = xcalloc(1, sizeof(*e));
@@ -158,20 +163,20 @@
 	e->job = bstr_copy(record_job(rec));
 	if (rec->kind == JOURNAL_FINAL &&
 	    rec->record_u.final.state != JOB_NOT_RUN &&
-	    due < st->now + FINAL_WAIT_MS)
-		due = st->now + FINAL_WAIT_MS;
+	    due < st->now + FINAL_FLUSH_DELAY_MS)
+		due = st->now + FINAL_FLUSH_DELAY_MS;
 	if (TAILQ_EMPTY(&s->pending) || due < s->flush_at)
 		s->flush_at = due;
 	TAILQ_INSERT_TAIL(&s->pending, e, entry);
 	effect_wake(st, s->flush_at);
 }
 
-/* The segment that takes the next records: the last, or a new one. */
-static struct segment *segment_open(struct shard *s)
+/* Returns the segment to append to: the last, or a new one if that is full. */
+static struct segment *segment_current(struct shard *s)
 {
 	struct segment *g = TAILQ_LAST(&s->segments, segment_list);
 
-	if (g && g->bytes < SEGMENT_BYTES)
+	if (g && g->bytes < SEGMENT_FULL_BYTES)
 		return g;
 	g = xcalloc(1, sizeof(*g));
 	g->number = s->next_segment++;
@@ -179,8 +184,8 @@
 	return g;
 }
 
-/* Append copies of the flying records to a row. */
-static void row_extend(journal_row *row, const struct journal_list *list)
+/* Appends copies of records to a row. */
+static void row_append(journal_row *row, const struct journal_list *list)
 {
 	const struct journal_entry *e;
 	u_int n = row->records.records_len;
@@ -195,7 +200,7 @@
 			 &e->rec, sizeof(record));
 }
 
-/* Commit what has been gathered. */
+/* Commits pending records, unless a commit is outstanding. */
 static void shard_flush(struct state *st, struct shard *s)
 {
 	struct journal_entry *e;
@@ -207,13 +212,13 @@
 
 	if (s->commit_request || TAILQ_EMPTY(&s->pending))
 		return;
-	g = segment_open(s);
-	while ((e = TAILQ_FIRST(&s->pending)) && n++ < FLUSH_RECORDS) {
+	g = segment_current(s);
+	while ((e = TAILQ_FIRST(&s->pending)) && n++ < FLUSH_RECORDS_MAX) {
 		TAILQ_REMOVE(&s->pending, e, entry);
 		TAILQ_INSERT_TAIL(&s->in_flight, e, entry);
 	}
 	xdr_copy(XDR_PROC(xdr_journal_row), &row, &g->row, sizeof(row));
-	row_extend(&row, &s->in_flight);
+	row_append(&row, &s->in_flight);
 	key = segment_key(s->unit, g->number);
 	commit_check(&c, s->unit->name, s->unit->revision);
 	commit_check(&c, key, g->revision);
@@ -226,7 +231,7 @@
 	bstr_free(&key);
 }
 
-/* The flying records are durable. */
+/* Handles a successful commit: the records in flight are durable. */
 static void shard_durable(struct state *st, struct shard *s,
 			  const ev_platform *ev)
 {
@@ -237,7 +242,7 @@
 
 	g->revision = row_version(ev, key);
 	bstr_free(&key);
-	row_extend(&g->row, &s->in_flight);
+	row_append(&g->row, &s->in_flight);
 	g->bytes = xdr_sizeof(XDR_PROC(xdr_journal_row), &g->row);
 	while ((e = TAILQ_FIRST(&s->in_flight))) {
 		TAILQ_REMOVE(&s->in_flight, e, entry);
@@ -254,7 +259,7 @@
 	}
 }
 
-/* A journal commit has its outcome. */
+/* Handles the outcome of a journal commit. */
 void shard_committed(struct state *st, struct unit *u, struct request *rq,
 		     const ev_platform *ev)
 {
@@ -265,11 +270,11 @@
 	s->commit_request = 0;
 	if (ev->outcome != PLATFORM_OK) {
 		/*
-		 * The unit's row or the segment's is not at our version:
-		 * another VM owns the shard.  Nothing was written, and the
-		 * new owner has read what was.
+		 * The row of the shard or of the segment has changed, so
+		 * another VM owns the shard.  This commit wrote nothing, and
+		 * the new owner has read all earlier records.
 		 */
-		unit_drop(st, u, "another owner has the journal");
+		unit_drop(st, u, "another VM owns the journal");
 		return;
 	}
 	shard_durable(st, s, ev);
@@ -277,15 +282,16 @@
 		shard_flush(st, s);
 }
 
-/* Is nothing waiting to become durable? */
+/* Returns true if no write to the journal is pending or outstanding. */
 bool shard_is_flushed(const struct shard *s)
 {
 	return !s->commit_request && TAILQ_EMPTY(&s->pending) && !s->trimming;
 }
 
 /*
- * Take a claim back.  True if it has certainly not been written: it still
- * waits, or each try of its commit was refused and none is under way.
+ * Withdraws a job's claim.  Returns true if it has certainly not been written:
+ * it is still pending, or each attempt of its commit was refused and none is
+ * outstanding.
  */
 bool shard_withdraw(struct state *st, struct shard *s, bstr job)
 {
@@ -313,8 +319,8 @@
 	return false;
 }
 
-/* Write a job's record again, at the end. */
-static void job_rewrite(struct state *st, struct shard *s, struct job *j)
+/* Appends a full record of a job, so that older records can be removed. */
+static void job_append_record(struct state *st, struct shard *s, struct job *j)
 {
 	record rec = {.kind = JOURNAL_CLAIM};
 
@@ -329,8 +335,9 @@
 }
 
 /*
- * Does a segment hold the latest full record of a job that is kept?  With
- * rewrite set, such records are written again so that the segment can go.
+ * Returns true if a segment holds the latest full record of a job that is
+ * still kept.  With rewrite set, such records are appended to the journal
+ * again, so that the segment can be removed later.
  */
 static bool segment_needed(struct state *st, struct shard *s, struct segment *g,
 			   bool rewrite)
@@ -346,7 +353,7 @@
 		needed = true;
 		if (rewrite && j->phase != PHASE_CLAIMING &&
 		    j->phase != PHASE_ENDING) {
-			job_rewrite(st, s, j);
+			job_append_record(st, s, j);
 			j->record_segment = g->number;
 		}
 	}
@@ -354,9 +361,9 @@
 }
 
 /*
- * Remove rows from the front.  Only from the front: a final record must not
- * go before its claim, or a reader would take the job as still open and run
- * it again.
+ * Removes the first segment if no job needs it.  Segments are removed only in
+ * order: if a final record were removed before its claim, a new owner would
+ * take the job as not final and run it again.
  */
 static void shard_trim(struct state *st, struct shard *s)
 {
@@ -368,10 +375,10 @@
 	if (st->now < s->trim_at || s->trimming || s->commit_request || !g ||
 	    !TAILQ_NEXT(g, entry))
 		return;
-	s->trim_at = st->now + TRIM_MS;
+	s->trim_at = st->now + TRIM_INTERVAL_MS;
 	TAILQ_FOREACH(h, &s->segments, entry)
 		count++;
-	if (segment_needed(st, s, g, count > SEGMENTS_BEFORE_REWRITE))
+	if (segment_needed(st, s, g, count > REWRITE_SEGMENTS))
 		return;
 	key = segment_key(s->unit, g->number);
 	commit_check(&c, s->unit->name, s->unit->revision);
@@ -382,7 +389,7 @@
 	bstr_free(&key);
 }
 
-/* The oldest row is gone, or the shard is not ours. */
+/* Handles the outcome of removing the first segment. */
 void shard_trimmed(struct state *st, struct unit *u, const ev_platform *ev)
 {
 	struct shard *s = u->shard;
@@ -394,11 +401,11 @@
 		segment_free(s, TAILQ_FIRST(&s->segments));
 		s->trim_at = st->now;
 	} else {
-		unit_drop(st, u, "another owner has the journal");
+		unit_drop(st, u, "another VM owns the journal");
 	}
 }
 
-/* Flush and trim what is due. */
+/* Commits pending records and removes old segments when due. */
 void shards_tick(struct state *st)
 {
 	struct unit *u, *next;
