--- a/reduce-config.c
+++ b/reduce-config.c
@@ -3,12 +3,21 @@
 #include <stdlib.h>
 #include <string.h>
 
+/*
+ * The configuration in force and operators' changes to it.  A configuration is
+ * stored as an object of its own.  The head row names the object of the newest
+ * revision; a change stores a new object and then replaces the head.
+ */
+
 #define HEAD_KEY "config/head"
 #define HISTORY_MAX 32
-#define CHANGE_TRIES 8
-#define CHANGE_MS 8000
+#define CHANGE_TRIES_MAX 8
+#define CHANGE_TIMEOUT_MS 8000
 
-/* Put a newer configuration in force; an older one never replaces it. */
+/*
+ * Puts a configuration in force if it is newer than the current one, else
+ * frees it.
+ */
 static void config_adopt(struct state *st, struct config *c)
 {
 	if (st->config && c->revision <= st->config->revision) {
@@ -22,7 +31,10 @@
 	effect_count(st, COUNT_CONFIG_REVISION, c->revision);
 }
 
-/* Read revision and object name out of the head row. */
+/*
+ * Parses the revision and the object's name, which the caller frees, from the
+ * head row.  Returns false if one is missing.
+ */
 static bool head_parse(bstr value, uint64_t *revision, bstr *object)
 {
 	json_t *head = json_loadb(value.bstr_val ? value.bstr_val : "",
@@ -35,7 +47,7 @@
 	return *revision && object->bstr_len;
 }
 
-/* The configuration's head was read. */
+/* Handles the configuration's head row. */
 static void head_read(struct state *st, const struct request *rq,
 		      const table_row *r)
 {
@@ -44,7 +56,7 @@
 	bstr object;
 
 	if (r->revision < st->head_revision)
-		return; /* an old answer: what we hold is newer */
+		return; /* an old answer: a newer head is known */
 	st->head_revision = r->revision;
 	bstr_set(&st->head_value, r->value);
 	if (!r->revision) {
@@ -57,7 +69,7 @@
 		return;
 	}
 	if (!head_parse(r->value, &revision, &object)) {
-		effect_log(st, LOG_CONFIG_BAD, "the head can't be read");
+		effect_log(st, LOG_CONFIG_BAD, "the head row can't be parsed");
 	} else if (st->config && revision <= st->config->revision) {
 		st->config_known = true;
 		st->head_confirmed_at = rq->sent_at;
@@ -69,7 +81,7 @@
 	bstr_free(&object);
 }
 
-/* Both heads were read: the configuration's and the VMs'. */
+/* Handles the head rows of the configuration and of the VMs. */
 void heads_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	const table_row *r;
@@ -80,12 +92,13 @@
 	r = row_find(ev, bstr_lit(HEAD_KEY));
 	if (r)
 		head_read(st, rq, r);
+	/* Changes wait until the head has been read. */
 	if (!TAILQ_EMPTY(&st->changes))
-		effect_wake(st, st->now); /* they waited for this */
+		effect_wake(st, st->now);
 	vms_head_read(st, rq, ev);
 }
 
-/* A configuration's body came. */
+/* Handles the body of a configuration that was read. */
 void config_got(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct config *c;
@@ -99,7 +112,7 @@
 	    !head_parse(st->head_value, &revision, &object))
 		return;
 	error_init(&e);
-	/* The head may have moved on meanwhile: the next poll asks again. */
+	/* If the head has changed, the next poll reads the new body. */
 	if (bstr_eq(object, rq->name)) {
 		c = config_parse(ev->body, revision, &e);
 		if (c) {
@@ -116,7 +129,6 @@
 	bstr_free(&object);
 }
 
-/* Free a change, answered or not. */
 void change_free(struct state *st, struct change *c)
 {
 	TAILQ_REMOVE(&st->changes, c, entry);
@@ -127,7 +139,7 @@
 	free(c);
 }
 
-/* Answer a change and forget it. */
+/* Answers a change and frees it. */
 static void change_answer(struct state *st, struct change *c, op_status status,
 			  const char *reason, const char *detail,
 			  uint32_t retry, json_t *body)
@@ -138,7 +150,7 @@
 	change_free(st, c);
 }
 
-/* The history with one more entry, the oldest dropped. */
+/* Returns the history with one more entry, without the oldest if it is full. */
 static json_t *history_add(const struct state *st, uint64_t revision,
 			   bstr object, op_kind kind)
 {
@@ -154,7 +166,7 @@
 	return list;
 }
 
-/* The latest revisions, newest first; a fresh array. */
+/* Returns a new array of the latest revisions, newest first. */
 json_t *config_history(const struct state *st)
 {
 	json_t *head = json_loadb(
@@ -166,7 +178,7 @@
 	return list ? list : json_array();
 }
 
-/* Commit the head that names a change's body. */
+/* Commits a head row that names the stored body of a change. */
 static void change_commit(struct state *st, struct change *c)
 {
 	json_t *head = json_object();
@@ -187,7 +199,10 @@
 	json_decref(head);
 }
 
-/* Apply the oldest waiting change to the newest configuration. */
+/*
+ * Applies a change to the configuration in force and stores the new body, or
+ * answers the change if it can't be applied.
+ */
 static void change_start(struct state *st, struct change *c)
 {
 	const op_config *oc = &c->request.op_request_u.config;
@@ -202,7 +217,7 @@
 	c->head_revision = st->head_revision;
 	if (c->request.kind == OP_CONFIG_APPLY &&
 	    oc->revision != st->config->revision) {
-		s = xasprintf("expected revision %llu, in force is %llu",
+		s = xasprintf("expected revision %llu, but %llu is in force",
 			      (unsigned long long)oc->revision,
 			      (unsigned long long)st->config->revision);
 		change_answer(st, c, OP_CONFLICT, "revision-conflict", s, 0,
@@ -231,8 +246,8 @@
 	c->in_flight = true;
 }
 
-/* The change that is being committed, if any. */
-static struct change *change_flying(struct state *st)
+/* Returns the change that is being stored or committed, NULL if none is. */
+static struct change *change_in_flight(struct state *st)
 {
 	struct change *c;
 
@@ -243,9 +258,10 @@
 }
 
 /*
- * Is the configuration in force the one that the head names?  Between the
- * read of a head and that of its body it is not: a change made then would
- * replace the new head by the old body, and undo what was accepted.
+ * Returns true if the configuration in force is the one that the head names.
+ * It is not between reading a head and reading its body.  A change made then
+ * would be based on the old body but replace the new head, and so undo changes
+ * that were accepted.
  */
 static bool config_is_head(const struct state *st)
 {
@@ -260,7 +276,7 @@
 	return st->config && st->config->revision == revision;
 }
 
-/* Start the next change, if it can be. */
+/* Starts the next change if that is possible now. */
 static void change_next(struct state *st)
 {
 	struct change *c, *next;
@@ -272,30 +288,31 @@
 		if (c->accepted)
 			continue;
 		/*
-		 * The head must have been read since the operator asked: a
-		 * VM whose configuration lags would say "no such key" of one
-		 * that another VM has just made, and it would stay in force.
+		 * The head must have been read since the request arrived.  A
+		 * VM whose configuration lags would answer "no such key" to
+		 * the withdrawal of a key that was just created through
+		 * another VM, and the key would stay in force.
 		 */
 		if (st->head_confirmed_at < c->made_at) {
 			st->heads_poll_at = st->now;
 			return;
 		}
-		/* After a lost race, wait until the winner is in force. */
+		/* After a conflict, wait until the other change is in force. */
 		if (!config_is_head(st) ||
 		    (c->tries && st->config->revision <= c->base_revision))
 			return;
 		change_start(st, c);
 		/*
-		 * One at a time: the answers about body and head are matched
-		 * to the one that is under way.  With two, a head was written
-		 * that named a body not stored yet.
+		 * Only one at a time: answers about the body and the head are
+		 * taken to be about the change in flight.  With two in flight,
+		 * a head was written that named a body not stored yet.
 		 */
-		if (change_flying(st))
+		if (change_in_flight(st))
 			return;
 	}
 }
 
-/* Take an operator's change of the configuration. */
+/* Handles an operator's request to change the configuration. */
 void change_add(struct state *st, uint64_t call, const op_request *rq)
 {
 	struct change *c;
@@ -309,17 +326,17 @@
 	c = xcalloc(1, sizeof(*c));
 	c->call = call;
 	c->made_at = st->now;
-	c->deadline = st->now + CHANGE_MS;
+	c->deadline = st->now + CHANGE_TIMEOUT_MS;
 	xdr_copy(XDR_PROC(xdr_op_request), &c->request, rq, sizeof(*rq));
 	TAILQ_INSERT_TAIL(&st->changes, c, entry);
 	change_next(st);
 	effect_wake(st, st->now);
 }
 
-/* The body of a change is stored, or not. */
+/* Handles the outcome of storing the body of a change. */
 void change_put(struct state *st, const ev_platform *ev)
 {
-	struct change *c = change_flying(st);
+	struct change *c = change_in_flight(st);
 
 	if (!c)
 		return;
@@ -328,21 +345,23 @@
 		return;
 	}
 	c->in_flight = false;
-	if (++c->tries < CHANGE_TRIES) {
+	if (++c->tries < CHANGE_TRIES_MAX) {
 		c->base_revision = 0; /* try again at the next tick */
 		return;
 	}
-	change_answer(st, c, OP_UNAVAILABLE, "platform-unavailable",
-		      "the body could not be stored; nothing was changed",
-		      RETRY_AFTER_MS * 2, NULL);
+	change_answer(
+		st, c, OP_UNAVAILABLE, "platform-unavailable",
+		"the configuration could not be stored; nothing was changed",
+		RETRY_AFTER_MS * 2, NULL);
 }
 
 /*
- * Where an accepted change is in force, by data centre: true once every
- * VM there has it.  Others refuse new work at by_ms at the latest.
+ * Reports where an accepted change is in force, by data centre: true once all
+ * live VMs there have it.  A VM without it refuses new jobs after
+ * everywhere_by_ms at the latest.
  */
-static json_t *change_force(struct state *st, const struct change *c,
-			    bool *everywhere)
+static json_t *change_in_force_json(struct state *st, const struct change *c,
+				    bool *everywhere)
 {
 	json_t *body = json_object(), *dcs = json_object();
 	struct member *m, *next;
@@ -372,13 +391,14 @@
 }
 
 /*
- * Answer an accepted change: a withdrawal once each VM has it, or when
- * those that have not must have lost their freshness; others at once.
+ * Answers an accepted change.  The withdrawal of a key is answered once all
+ * live VMs have it, or when those without it must have lost their freshness
+ * and refuse new jobs.  Other changes are answered at once.
  */
-static void change_report(struct state *st, struct change *c)
+static void change_report_accepted(struct state *st, struct change *c)
 {
 	bool everywhere;
-	json_t *body = change_force(st, c, &everywhere);
+	json_t *body = change_in_force_json(st, c, &everywhere);
 
 	if (c->request.kind == OP_KEY_WITHDRAW && !everywhere &&
 	    st->now < c->deadline) {
@@ -388,11 +408,11 @@
 	change_answer(st, c, OP_OK, "accepted", "", 0, body);
 }
 
-/* The head's commit has an outcome. */
+/* Handles the outcome of committing the head of a change. */
 void change_committed(struct state *st, struct request *rq,
 		      const ev_platform *ev)
 {
-	struct change *c = change_flying(st);
+	struct change *c = change_in_flight(st);
 	struct error e;
 
 	if (!c)
@@ -412,15 +432,16 @@
 			st, LOG_OPERATOR_DID, "operation %d made revision %llu",
 			(int)c->request.kind, (unsigned long long)c->accepted);
 		member_ping_all(st);
-		change_report(st, c);
+		change_report_accepted(st, c);
 		break;
 	case PLATFORM_CONFLICT:
 		st->heads_poll_at = st->now;
-		if (++c->tries < CHANGE_TRIES)
+		if (++c->tries < CHANGE_TRIES_MAX)
 			break;
-		change_answer(st, c, OP_CONFLICT, "too-many-races",
-			      "other operators were faster each time",
-			      RETRY_AFTER_MS, NULL);
+		change_answer(
+			st, c, OP_CONFLICT, "too-many-races",
+			"concurrent changes by other operators won each time",
+			RETRY_AFTER_MS, NULL);
 		break;
 	case PLATFORM_REFUSED:
 		change_answer(st, c, OP_UNAVAILABLE, "platform-unavailable",
@@ -428,7 +449,7 @@
 		break;
 	default:
 		change_answer(st, c, OP_UNKNOWN, "outcome-unknown",
-			      "the change may have been made: look at the "
+			      "the change may have been made: check the "
 			      "history before you repeat it",
 			      RETRY_AFTER_MS * 2, NULL);
 		break;
@@ -436,7 +457,7 @@
 	change_next(st);
 }
 
-/* Answer and give up what is due. */
+/* Answers changes that are in force or whose deadline has passed. */
 static void changes_tick(struct state *st)
 {
 	struct change *c, *next;
@@ -444,7 +465,7 @@
 	for (c = TAILQ_FIRST(&st->changes); c; c = next) {
 		next = TAILQ_NEXT(c, entry);
 		if (c->accepted)
-			change_report(st, c);
+			change_report_accepted(st, c);
 		else if (!c->in_flight && st->now >= c->deadline)
 			change_answer(st, c, OP_UNAVAILABLE,
 				      "platform-unavailable",
@@ -454,7 +475,10 @@
 	change_next(st);
 }
 
-/* Poll the heads, the backstop of the peers' announcements. */
+/*
+ * Polls the head rows, in case a peer's announcement of a change was missed,
+ * and updates the readiness.
+ */
 void config_tick(struct state *st)
 {
 	bstr keys[] = {bstr_lit(HEAD_KEY), bstr_lit(VMS_HEAD_KEY)};
