--- a/reduce-op.c
+++ b/reduce-op.c
@@ -4,8 +4,13 @@
 #include <string.h>
 
 /*
- * Answer an operator of ours, or the VM that asked for one (asker is not
- * empty); takes body.
+ * Operators' requests: which entry VM handles each, and the requests that show
+ * the state of the fleet.
+ */
+
+/*
+ * Answers an operator of this VM (asker is empty) or the VM that forwarded the
+ * request.  Takes ownership of body.
  */
 void op_answer_to(struct state *st, bstr asker, uint64_t call, op_status status,
 		  const char *reason, const char *detail,
@@ -31,7 +36,7 @@
 	fx->effect_u.op_reply.reply = r;
 }
 
-/* Answer whoever asked the request at hand. */
+/* Answers the request that is being handled. */
 void op_answer(struct state *st, uint64_t call, op_status status,
 	       const char *reason, const char *detail, uint32_t retry_after_ms,
 	       json_t *body)
@@ -40,7 +45,7 @@
 		     retry_after_ms, body);
 }
 
-/* Answer a question that has an answer. */
+/* Answers a request with its result. */
 void op_show(struct state *st, uint64_t call, json_t *body)
 {
 	op_answer(st, call, OP_OK, "", "", 0, body);
@@ -64,8 +69,11 @@
 	json_object_set_new(o, name, json_integer((json_int_t)value));
 }
 
-/* A VM's state in words, as this entry VM sees it. */
-static const char *vm_words(struct state *st, const struct vm *v)
+/*
+ * Returns the name of a VM's state, as far as this entry VM knows it.  Only the
+ * owner of the VM's cell knows the state of its worker.
+ */
+static const char *vm_state_name(struct state *st, const struct vm *v)
 {
 	struct unit *u, *next;
 	struct worker *w;
@@ -91,7 +99,6 @@
 	return "active";
 }
 
-/* One VM as JSON. */
 static json_t *vm_json(struct state *st, const struct vm *v)
 {
 	json_t *o = json_object();
@@ -102,13 +109,13 @@
 	json_set_str(o, "rack", v->row.rack);
 	json_set_str(o, "address", v->row.address);
 	json_set_int(o, "slots", v->row.slots);
-	json_object_set_new(o, "state", json_string(vm_words(st, v)));
+	json_object_set_new(o, "state", json_string(vm_state_name(st, v)));
 	if (v->row.target_pool.bstr_len)
 		json_set_str(o, "moves_to", v->row.target_pool);
 	return o;
 }
 
-/* Show one VM, or all of a pool, or all. */
+/* Shows one VM, all of a pool, or all. */
 static void op_vm_show(struct state *st, uint64_t call, const op_request *rq)
 {
 	const op_vm *o = &rq->op_request_u.vm;
@@ -128,7 +135,6 @@
 	op_show(st, call, list);
 }
 
-/* One pool as JSON. */
 static json_t *pool_json(struct state *st, const struct pool *p)
 {
 	json_t *o = json_object(), *dcs = json_array();
@@ -155,7 +161,7 @@
 	return o;
 }
 
-/* Show one pool or all. */
+/* Shows one pool or all. */
 static void op_pool_show(struct state *st, uint64_t call, const op_request *rq)
 {
 	bstr name = rq->op_request_u.pool.pool;
@@ -174,8 +180,11 @@
 	op_show(st, call, list);
 }
 
-/* What a team has in the cells of this entry VM; the asker adds it up. */
-static void team_figures(struct state *st, bstr team, json_t *o)
+/*
+ * Adds a team's usage in the cells of this entry VM.  The VM that got the
+ * request adds up the figures of all entry VMs.
+ */
+static void team_add_usage(struct state *st, bstr team, json_t *o)
 {
 	uint64_t running = 0, queued = 0, held = 0;
 	struct unit *u, *next;
@@ -196,7 +205,7 @@
 	json_set_int(o, "held", held);
 }
 
-/* Show one team or all. */
+/* Shows one team or all. */
 static void op_team_show(struct state *st, uint64_t call, const op_request *rq)
 {
 	bstr name = rq->op_request_u.team.team;
@@ -211,7 +220,7 @@
 		json_set_int(o, "share", t->share);
 		json_set_int(o, "limit", t->limit);
 		json_set_int(o, "grace_ms", t->grace_ms);
-		team_figures(st, t->name, o);
+		team_add_usage(st, t->name, o);
 		json_array_append_new(list, o);
 	}
 	if (name.bstr_len && !json_array_size(list)) {
@@ -222,7 +231,7 @@
 	op_show(st, call, list);
 }
 
-/* Show the keys of a team, or all; never their hashes. */
+/* Shows the keys of a team, or all; never their hashes. */
 static void op_key_show(struct state *st, uint64_t call, const op_request *rq)
 {
 	bstr team = rq->op_request_u.key.team;
@@ -241,7 +250,10 @@
 	op_show(st, call, list);
 }
 
-/* The object name of an older revision; empty if it is not in the history. */
+/*
+ * Returns the name of the object that stores an older revision, empty if the
+ * revision is not in the history.
+ */
 static bstr history_object(struct state *st, uint64_t revision)
 {
 	json_t *list = config_history(st);
@@ -258,7 +270,7 @@
 	return name;
 }
 
-/* The newest configuration with its revision. */
+/* Returns a configuration with its revision. */
 static json_t *config_body(uint64_t revision, json_t *doc)
 {
 	json_t *o = json_object();
@@ -268,7 +280,7 @@
 	return o;
 }
 
-/* Show the configuration in force, or fetch an older one. */
+/* Shows the configuration in force, or reads an older one from its object. */
 static void op_config_show(struct state *st, uint64_t call,
 			   const op_request *rq)
 {
@@ -293,7 +305,7 @@
 	bstr_free(&object);
 }
 
-/* An older configuration was fetched. */
+/* Handles an older configuration that was read. */
 void op_object_got(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	uint64_t call, revision;
@@ -317,7 +329,7 @@
 	json_decref(doc);
 }
 
-/* Say what would change if a document were applied. */
+/* Shows what would change if a document were applied. */
 static void op_config_diff(struct state *st, uint64_t call,
 			   const op_request *rq)
 {
@@ -339,7 +351,7 @@
 	error_free(&e);
 }
 
-/* The latest revisions. */
+/* Shows the latest revisions. */
 static void op_config_history(struct state *st, uint64_t call,
 			      const op_request *rq)
 {
@@ -347,20 +359,19 @@
 	op_show(st, call, config_history(st));
 }
 
-/* One entry VM as JSON. */
-static json_t *member_json(bstr vm, bstr dc, const char *words,
+static json_t *member_json(bstr vm, bstr dc, const char *state,
 			   uint64_t revision)
 {
 	json_t *o = json_object();
 
 	json_set_str(o, "vm", vm);
 	json_set_str(o, "dc", dc);
-	json_object_set_new(o, "state", json_string(words));
+	json_object_set_new(o, "state", json_string(state));
 	json_set_int(o, "config", revision);
 	return o;
 }
 
-/* The units that this VM owns. */
+/* Returns the units that this VM owns. */
 static json_t *units_json(struct state *st)
 {
 	json_t *list = json_array(), *o;
@@ -386,7 +397,7 @@
 	return list;
 }
 
-/* The fleet in figures, as this entry VM sees it. */
+/* Shows the entry VMs and the platform as this entry VM sees them. */
 static void op_fleet(struct state *st, uint64_t call, const op_request *rq)
 {
 	json_t *o = json_object(), *members = json_array();
@@ -416,7 +427,10 @@
 	op_show(st, call, o);
 }
 
-/* A pool that still has VMs must not vanish: its tasks would be orphans. */
+/*
+ * Removes a pool.  Refused while it has VMs, because no cell would manage their
+ * tasks any more.
+ */
 static void op_pool_remove(struct state *st, uint64_t call,
 			   const op_request *rq)
 {
@@ -433,7 +447,7 @@
 	change_add(st, call, rq);
 }
 
-/* Who can answer a request: any entry VM, all together, or a job's home. */
+/* Which VMs answer a request: any one, all of them, or a job's home. */
 enum op_scope { SCOPE_ANY, SCOPE_ALL, SCOPE_HOME };
 
 static const struct {
@@ -465,7 +479,7 @@
 	{OP_WAVE_SHOW, SCOPE_ALL, op_wave_show},
 };
 
-/* Does an operator of ours still wait for an answer? */
+/* Returns true if some operator's request has no answer yet. */
 bool ops_pending(struct state *st)
 {
 	struct edit *e;
@@ -477,16 +491,16 @@
 	       !TAILQ_EMPTY(&st->questions) || !TAILQ_EMPTY(&st->asks);
 }
 
-/* The process ends with a request open that may have taken effect. */
-static void op_cut(struct state *st, uint64_t call)
+/* Answers a request that may have taken effect when the process stops. */
+static void op_answer_stopping(struct state *st, uint64_t call)
 {
 	op_answer(st, call, OP_UNKNOWN, "stopping",
-		  "this VM stops; a change may have been made: look before "
-		  "you repeat it",
+		  "this VM is stopping; a change may have been made: check "
+		  "before you repeat it",
 		  RETRY_AFTER_MS, NULL);
 }
 
-/* The process ends: every operator who still waits is answered. */
+/* The process stops: answers all operators' requests that still wait. */
 void ops_stop(struct state *st)
 {
 	struct wave_change *w;
@@ -496,20 +510,23 @@
 	struct ask *a;
 
 	TAILQ_FOREACH(c, &st->changes, entry)
-		op_cut(st, c->call);
+		op_answer_stopping(st, c->call);
 	TAILQ_FOREACH(w, &st->wave_changes, entry)
-		op_cut(st, w->call);
+		op_answer_stopping(st, w->call);
 	TAILQ_FOREACH(e, &st->edits, entry)
 		if (e->kind == EDIT_OPERATOR)
-			op_cut(st, e->call);
+			op_answer_stopping(st, e->call);
 	TAILQ_FOREACH(a, &st->asks, entry)
-		op_cut(st, a->call);
+		op_answer_stopping(st, a->call);
 	TAILQ_FOREACH(q, &st->questions, entry)
 		if (!q->forwarded_by.bstr_len)
-			op_cut(st, q->call);
+			op_answer_stopping(st, q->call);
 }
 
-/* An operator's request. */
+/*
+ * Handles an operator's request: here, at the job's home or at all entry VMs,
+ * by its scope.  A forwarded request is always handled here.
+ */
 void op_event(struct state *st, uint64_t call, const op_request *rq)
 {
 	size_t i;
@@ -545,7 +562,10 @@
 		  "this entry VM does not know that request", 0, NULL);
 }
 
-/* Another entry VM asks for its operator; it may only ask, not change. */
+/*
+ * Handles a request that another entry VM has forwarded.  Only requests that
+ * show something are forwarded; changes are dropped.
+ */
 void op_forwarded(struct state *st, bstr from, const pm_operate *m)
 {
 	size_t i;
