--- a/reduce-ask.c
+++ b/reduce-ask.c
@@ -4,14 +4,15 @@
 #include <string.h>
 
 /*
- * Questions that one entry VM can't answer alone.  The VM that the operator
- * asked puts them to the others and joins what they say, so that a phone
- * call is one command, and it names those that did not answer.
+ * Operators' requests that one entry VM can't answer alone.  The VM that got
+ * the request sends it to the others and merges their replies, so that the
+ * operator needs only one command.  The answer names the VMs that did not
+ * reply.
  */
-#define ASK_MS 1500
-#define ASK_HOME_MS 4000
 
-/* Make a question. */
+#define ASK_ALL_TIMEOUT_MS 1500
+#define ASK_HOME_TIMEOUT_MS 4000
+
 static struct ask *ask_new(struct state *st, uint64_t call,
 			   const op_request *rq, int64_t deadline)
 {
@@ -36,7 +37,6 @@
 	free(a);
 }
 
-/* Free all. */
 void asks_free(struct state *st)
 {
 	struct ask *a;
@@ -45,7 +45,7 @@
 		ask_free(st, a);
 }
 
-/* Put a question to a VM, this one among them. */
+/* Sends a request to a VM, which may be this one. */
 static void ask_send(struct state *st, struct ask *a, bstr vm)
 {
 	peer_message msg = {.kind = PM_OPERATE};
@@ -59,10 +59,10 @@
 	peer_send(st, vm, &msg);
 }
 
-/* Ask every entry VM that is alive. */
+/* Sends a request to all live entry VMs, this one included. */
 void ask_all(struct state *st, uint64_t call, const op_request *rq)
 {
-	struct ask *a = ask_new(st, call, rq, st->now + ASK_MS);
+	struct ask *a = ask_new(st, call, rq, st->now + ASK_ALL_TIMEOUT_MS);
 	struct member *m, *next;
 
 	ask_send(st, a, st->vm);
@@ -72,7 +72,10 @@
 	}
 }
 
-/* Ask a job's home; false if that is this VM, or there is none. */
+/*
+ * Sends a request to a job's home.  Returns false if the home is this VM or is
+ * not known.
+ */
 bool ask_home(struct state *st, uint64_t call, const op_request *rq)
 {
 	bstr id = rq->op_request_u.name, vm;
@@ -83,13 +86,18 @@
 		vm = bstr_copy(unit_choose(st, u));
 	elsewhere = vm.bstr_len && !bstr_eq(vm, st->vm) && member_find(st, vm);
 	if (elsewhere)
-		ask_send(st, ask_new(st, call, rq, st->now + ASK_HOME_MS), vm);
+		ask_send(st,
+			 ask_new(st, call, rq, st->now + ASK_HOME_TIMEOUT_MS),
+			 vm);
 	bstr_free(&vm);
 	return elsewhere;
 }
 
-/* Which member names a row of an answer; NULL: rows are only put together. */
-static const char *ask_key(op_kind kind)
+/*
+ * Returns the member that identifies a row of a reply.  Rows with the same
+ * value are merged.  NULL: rows are only concatenated.
+ */
+static const char *ask_row_key(op_kind kind)
 {
 	switch (kind) {
 	case OP_TEAM_SHOW:
@@ -104,38 +112,38 @@
 }
 
 /*
- * Join two rows about the same thing: counts that each VM has a part of are
- * added; the state of a VM is best known to the owner of its cell, which
- * says more than "active".
+ * Merges a row into another about the same object.  Counts of which each VM
+ * reports a part are added.  A state other than "active" wins, because it comes
+ * from the owner of the VM's cell, which knows the state best.
  */
-static void row_join(json_t *row, const json_t *other)
+static void row_merge(json_t *row, const json_t *other)
 {
-	static const char *const sums[] = {"running", "queued", "held"};
+	static const char *const summed[] = {"running", "queued", "held"};
 	const json_t *state = json_object_get(other, "state");
 	const json_t *blocked = json_object_get(other, "blocked");
 	const json_t *expected = json_object_get(other, "expected_ms");
 	json_int_t n;
 	size_t i;
 
-	for (i = 0; i < NELEMS(sums); i++) {
-		if (!json_object_get(row, sums[i]))
+	for (i = 0; i < NELEMS(summed); i++) {
+		if (!json_object_get(row, summed[i]))
 			continue;
-		n = json_integer_value(json_object_get(row, sums[i])) +
-		    json_integer_value(json_object_get(other, sums[i]));
-		json_object_set_new(row, sums[i], json_integer(n));
+		n = json_integer_value(json_object_get(row, summed[i])) +
+		    json_integer_value(json_object_get(other, summed[i]));
+		json_object_set_new(row, summed[i], json_integer(n));
 	}
 	if (json_is_string(state) &&
 	    strcmp(json_string_value(state), "active") != 0)
 		json_object_set(row, "state", (json_t *)state);
-	/* What only the VM that runs a wave knows. */
+	/* Only the VM that runs a wave reports these. */
 	if (json_string_length(blocked))
 		json_object_set(row, "blocked", (json_t *)blocked);
 	if (expected)
 		json_object_set(row, "expected_ms", (json_t *)expected);
 }
 
-/* Join a list of rows into another by the member that names them. */
-static void rows_join(json_t *rows, const json_t *others, const char *key)
+/* Merges a list of rows into another, matching rows by the member key. */
+static void rows_merge(json_t *rows, const json_t *others, const char *key)
 {
 	json_t *other, *row, *match;
 	size_t i, k;
@@ -148,14 +156,14 @@
 				match = row;
 		}
 		if (match)
-			row_join(match, other);
+			row_merge(match, other);
 		else
 			json_array_append(rows, other);
 	}
 }
 
-/* Join an answer to what has come so far. */
-static void ask_join(struct ask *a, const op_reply *r)
+/* Merges a reply into those received so far. */
+static void ask_merge(struct ask *a, const op_reply *r)
 {
 	json_t *body = json_loadb(r->body.bstr_val ? r->body.bstr_val : "",
 				  r->body.bstr_len, 0, NULL);
@@ -165,14 +173,14 @@
 	if (!a->body)
 		a->body = json_incref(body);
 	else if (json_is_array(a->body))
-		rows_join(a->body, body, ask_key(a->request.kind));
+		rows_merge(a->body, body, ask_row_key(a->request.kind));
 	else
-		rows_join(json_object_get(a->body, "owned"),
-			  json_object_get(body, "owned"), NULL);
+		rows_merge(json_object_get(a->body, "owned"),
+			   json_object_get(body, "owned"), NULL);
 	json_decref(body);
 }
 
-/* Answer the operator with what there is. */
+/* Answers the operator with the replies received so far. */
 static void ask_finish(struct state *st, struct ask *a)
 {
 	char *missing = bstr_cstr(a->pending_vms), *detail, *reason;
@@ -198,8 +206,11 @@
 	ask_free(st, a);
 }
 
-/* Strike a VM off those that have not answered; false: not among them. */
-static bool ask_strike(struct ask *a, bstr vm)
+/*
+ * Removes a VM from those that have not replied yet.  Returns false if it is
+ * not one of them.
+ */
+static bool ask_remove_pending(struct ask *a, bstr vm)
 {
 	bstr name = bstr_printf(" %.*s ", BSTR_ARG(vm));
 	char *at = memmem(a->pending_vms.bstr_val, a->pending_vms.bstr_len,
@@ -210,7 +221,7 @@
 		rest = (size_t)(a->pending_vms.bstr_val +
 				a->pending_vms.bstr_len - at) -
 		       name.bstr_len;
-		/* The space before the next name stays. */
+		/* Keep one space between the names around it. */
 		memmove(at + 1, at + name.bstr_len, rest);
 		a->pending_vms.bstr_len -= name.bstr_len - 1;
 		a->pending--;
@@ -219,7 +230,7 @@
 	return at;
 }
 
-/* An entry VM has answered. */
+/* Handles an entry VM's reply. */
 void ask_answered(struct state *st, bstr from, const pm_op_reply *m)
 {
 	struct ask *a;
@@ -227,12 +238,12 @@
 	TAILQ_FOREACH(a, &st->asks, entry)
 		if (a->id == m->call)
 			break;
-	if (!a || !ask_strike(a, from)) {
+	if (!a || !ask_remove_pending(a, from)) {
 		effect_count(st, COUNT_DROPPED_LATE, 1);
 		return;
 	}
 	if (m->reply.status == OP_OK) {
-		ask_join(a, &m->reply);
+		ask_merge(a, &m->reply);
 	} else {
 		xdr_free(XDR_PROC(xdr_op_reply), (char *)&a->reply);
 		xdr_copy(XDR_PROC(xdr_op_reply), &a->reply, &m->reply,
@@ -242,7 +253,7 @@
 		ask_finish(st, a);
 }
 
-/* Answer what has waited long enough. */
+/* Answers requests whose deadline has passed. */
 void asks_tick(struct state *st)
 {
 	struct ask *a, *next;
--- a/reduce-boot.c
+++ b/reduce-boot.c
@@ -4,26 +4,28 @@
 #include <string.h>
 
 /*
- * A worker that restarts forgets what it ran.  If its cell changes hands
- * around that time, the new owner hears every worker, finds no trace of a job
- * that did run, and would say so: the home would run it again, or answer
- * "not run".  So a worker is given work that must not run twice only once
- * its boot is in the cell's row, and an owner that finds another boot there
- * leaves a lasting mark: "no trace" is no proof in this cell until every home
- * has had a day to ask after what it had sent here.
+ * Durable record of the workers' boot ids.  A worker that restarts loses its
+ * record of what it ran.  If the owner of its cell changes at about that time,
+ * the new owner gets answers from all workers, finds no task of a job that did
+ * run, and would report so; the home would then run the job again or answer
+ * "not run".  So a worker gets tasks that must not run twice only once its boot
+ * id is in the cell's row.  An owner that finds another boot id there sets
+ * history_lost in the row: from then on the absence of a task does not prove
+ * that a job did not run.
  */
-#define FORGOTTEN_MS 86400000
+
+/* history_lost stays for a day, in which homes query the jobs sent here. */
+#define HISTORY_LOST_MS 86400000
 #define BOOTS_RETRY_MS 300
 #define BOOTS_GIVE_UP_MS 5000
 
-/* The key of a cell's row. */
 static bstr boots_key(const struct cell *c)
 {
 	return bstr_printf("boots/%.*s/%.*s", BSTR_ARG(c->unit->id.pool),
 			   BSTR_ARG(c->unit->id.dc));
 }
 
-/* The boot that the row has for a VM; NULL if it has none. */
+/* Returns a VM's entry in a row, NULL if it has none. */
 static worker_boot *boot_find(const boots_row *row, bstr vm)
 {
 	u_int i;
@@ -34,7 +36,7 @@
 	return NULL;
 }
 
-/* Is the boot that a worker last told durable? */
+/* Returns true if the boot id that a worker last reported is durable. */
 bool boot_recorded(const struct worker *w)
 {
 	const worker_boot *b = boot_find(&w->cell->boots, w->vm);
@@ -42,7 +44,10 @@
 	return w->cell->boots_loaded && b && bstr_eq(b->boot, w->boot_id);
 }
 
-/* Take entries of VMs that are no longer this cell's out of a row. */
+/*
+ * Removes the entries of VMs that are dead or no longer in this cell from a
+ * row.  Returns true if it removed any.
+ */
 static bool boots_prune(struct state *st, struct cell *c, boots_row *row)
 {
 	worker_boot *b = row->boots.boots_val;
@@ -56,8 +61,8 @@
 			continue;
 		}
 		/*
-		 * One that moved to another pool was emptied before; one that
-		 * is dead or was removed took along what it remembered.
+		 * A VM that moved to another pool had no tasks left.  With
+		 * one that is dead or was removed, its task state is lost.
 		 */
 		if (w || !vm_find(st, b[i].vm))
 			row->history_lost = TRUE;
@@ -67,8 +72,10 @@
 	return n != row->boots.boots_len;
 }
 
-/* Enter a worker's boot into a row; true if that changes it. */
-static bool boots_enter(const struct worker *w, boots_row *row)
+/*
+ * Records a worker's boot id in a row.  Returns true if the row has changed.
+ */
+static bool boots_record(const struct worker *w, boots_row *row)
 {
 	worker_boot *b = boot_find(row, w->vm);
 	u_int n = row->boots.boots_len;
@@ -88,8 +95,11 @@
 	return true;
 }
 
-/* The row as it should be; true if it differs from the one on the table. */
-static bool boots_next(struct state *st, struct cell *c, boots_row *row)
+/*
+ * Computes the row that fits the present workers, which the caller frees.
+ * Returns true if it differs from the stored row.
+ */
+static bool boots_compute(struct state *st, struct cell *c, boots_row *row)
 {
 	struct worker *w, *next;
 	bool changed;
@@ -98,12 +108,12 @@
 	changed = c->rows_known && boots_prune(st, c, row);
 	HASH_ITER(hh, c->workers, w, next) {
 		if (w->fenced && !w->dead && w->listed)
-			changed = boots_enter(w, row) || changed;
+			changed = boots_record(w, row) || changed;
 	}
 	return changed;
 }
 
-/* Is it durable which workers have forgotten? */
+/* Returns true if all known restarts of the cell's workers are durable. */
 bool boots_durable(struct state *st, struct cell *c)
 {
 	boots_row row;
@@ -111,12 +121,11 @@
 
 	if (!c->boots_loaded || c->boots_request)
 		return false;
-	changed = boots_next(st, c, &row);
+	changed = boots_compute(st, c, &row);
 	xdr_free(XDR_PROC(xdr_boots_row), (char *)&row);
 	return !changed;
 }
 
-/* Write the row. */
 static void boots_write(struct state *st, struct cell *c, const boots_row *row)
 {
 	bstr key = boots_key(c);
@@ -130,9 +139,9 @@
 	bstr_free(&key);
 }
 
-/* Put a row that is on the table in force. */
-static void boots_take(struct state *st, struct cell *c, const boots_row *row,
-		       uint64_t revision)
+/* Adopts a row that is stored in the table. */
+static void boots_apply(struct state *st, struct cell *c, const boots_row *row,
+			uint64_t revision)
 {
 	bool before = c->boots.history_lost;
 
@@ -145,7 +154,7 @@
 		c->forgotten_at = st->now;
 }
 
-/* The row was read. */
+/* Handles the outcome of reading the row. */
 void boots_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct unit *u = unit_find(st, rq->name);
@@ -158,11 +167,14 @@
 	if (ev->outcome == PLATFORM_OK && r &&
 	    (!r->revision ||
 	     xdr_decode(XDR_PROC(xdr_boots_row), r->value, &row, sizeof(row))))
-		boots_take(st, u->cell, &row, r->revision);
+		boots_apply(st, u->cell, &row, r->revision);
 	xdr_free(XDR_PROC(xdr_boots_row), (char *)&row);
 }
 
-/* The row was written, or it is not known whether: then it is read again. */
+/*
+ * Handles the outcome of writing the row.  Unless the write succeeded, the row
+ * is read again.
+ */
 void boots_committed(struct state *st, struct request *rq,
 		     const ev_platform *ev)
 {
@@ -180,12 +192,12 @@
 			sizeof(row)))
 		return;
 	key = boots_key(u->cell);
-	boots_take(st, u->cell, &row, row_version(ev, key));
+	boots_apply(st, u->cell, &row, row_version(ev, key));
 	bstr_free(&key);
 	xdr_free(XDR_PROC(xdr_boots_row), (char *)&row);
 }
 
-/* Keep the row up to the workers' boots. */
+/* Updates the row when the workers' boot ids have changed. */
 void boots_tick(struct state *st, struct cell *c)
 {
 	boots_row row;
@@ -202,11 +214,11 @@
 		bstr_free(&key);
 		return;
 	}
-	changed = boots_next(st, c, &row);
+	changed = boots_compute(st, c, &row);
 	if (changed) {
 		c->forgotten_at = st->now;
 	} else if (row.history_lost &&
-		   st->now - c->forgotten_at >= FORGOTTEN_MS) {
+		   st->now - c->forgotten_at >= HISTORY_LOST_MS) {
 		row.history_lost = FALSE;
 		changed = true;
 	}
--- a/reduce-home.c
+++ b/reduce-home.c
@@ -1,6 +1,14 @@
 #include "reduce.h"
 
-/* A claim, alone or after one of an earlier attempt; NULL: the job is over. */
+/*
+ * The jobs of a shard when its owner changes: replay of the journal at the new
+ * owner, and redirection of waiting callers at the old one.
+ */
+
+/*
+ * Replays a claim, the first of the job or one that was appended again later.
+ * Returns NULL if the job is final.
+ */
 static struct job *replay_claim(struct state *st, struct shard *s,
 				const journal_claim *c)
 {
@@ -13,11 +21,12 @@
 	bstr_set(&j->digest, c->digest);
 	job_set_cell(j, &c->cell);
 	j->attempt = c->attempt;
-	j->may_have_run = j->attempt > 1; /* as far as the journal tells */
+	/* The journal does not tell whether earlier attempts were started. */
+	j->may_have_run = j->attempt > 1;
 	return j;
 }
 
-/* The choice of another cell. */
+/* Replays the choice of another cell. */
 static void replay_move(struct state *st, const journal_move *m)
 {
 	struct job *j = job_find(st, m->job);
@@ -29,7 +38,7 @@
 	j->may_have_run = j->attempt > 1;
 }
 
-/* A final answer; NULL: there is one already. */
+/* Replays a final record.  Returns NULL if the job is final already. */
 static struct job *replay_final(struct state *st, struct shard *s,
 				const job_view *v)
 {
@@ -48,7 +57,7 @@
 	return j;
 }
 
-/* Take up a record of the journal. */
+/* Replays a record of the journal, from the segment added last. */
 void job_replay(struct state *st, struct shard *s, const record *rec)
 {
 	struct job *j = NULL;
@@ -69,8 +78,9 @@
 }
 
 /*
- * The shard is ours: look after what it has open.  Its cell is asked, not
- * told: the last owner may have sent it there already.
+ * Resumes the active jobs of a shard that was taken over.  A job that has a
+ * cell counts as dispatched, so that the cell is queried first: the previous
+ * owner of the shard may have dispatched the job.
  */
 void jobs_resume(struct state *st, struct shard *s)
 {
@@ -87,9 +97,9 @@
 }
 
 /*
- * The shard is no longer ours; its work goes on under its new owner.  Who
- * waits for a claimed job is led there; whose claim was not yet durable has
- * to ask again.
+ * Drops the jobs of a shard that this VM no longer owns; they go on under the
+ * new owner.  Callers that wait for a job are redirected to it.  Those of a job
+ * whose claim may not be durable are told to retry.
  */
 void jobs_drop(struct state *st, struct shard *s)
 {
@@ -106,8 +116,8 @@
 				answer_refuse(
 					st, w->vm, w->call, 503,
 					COUNT_REFUSED_NO_OWNER,
-					"the deciding VM changed: the work "
-					"may have been accepted; ask again "
+					"the owner of the job changed: the job "
+					"may have been accepted; retry "
 					"with the same key",
 					RETRY_AFTER_MS);
 			waiter_free(j, w);
--- a/reduce-key.c
+++ b/reduce-key.c
@@ -1,34 +1,37 @@
 #include "reduce.h"
 
 /*
- * Freshness.  "A withdrawn key stops working within seconds" needs that
- * every VM knows, when it accepts work, that it has seen all withdrawals
- * accepted up to a moment fresh_ms ago at the most.  proof_at is that
- * moment.  It moves forward by a read of the configuration's head, by a
- * peer that has such a proof, or, while no VM reaches the platform, by
- * hearing every VM: a withdrawal is accepted by an entry VM only, and each
- * says that it has accepted none beyond the revision we hold.
+ * Key checks and the freshness of the configuration.  A withdrawn key must stop
+ * working within seconds.  So a VM accepts jobs only if it knows all
+ * withdrawals that were accepted up to a time that is at most fresh_ms ago.
+ * That time is proof_at.  It advances when this VM reads the configuration's
+ * head row, or when a peer reports a later proof.  While no VM reaches the
+ * platform, it advances when all VMs have answered pings: only entry VMs
+ * accept withdrawals, and each reports the revision that it has, so none has
+ * accepted a change that this VM does not have.
  */
 
-/* A read of the head, sent at a time, found nothing newer than we hold. */
+/* A read of the head row, sent at sent_at, found no newer revision. */
 void proof_platform(struct state *st, int64_t sent_at)
 {
 	if (sent_at > st->proof_at)
 		st->proof_at = sent_at;
 }
 
-/* Does a member hold nothing that we don't? */
-static bool proof_same_config(const struct state *st, const struct member *m)
+/* Returns true if a member has no newer configuration than this VM. */
+static bool proof_config_not_newer(const struct state *st,
+				   const struct member *m)
 {
 	return st->config && m->config_revision <= st->config->revision;
 }
 
 /*
- * The moment up to which every VM with a row has said that it accepted no
- * change beyond ours.  Bounded by PEER_PROOF_MS since the platform was last
- * heard: a VM that joined since then could not be known to us.
+ * Returns the time up to which every member has confirmed that it accepted no
+ * change newer than this VM's configuration, or a time long ago if there is no
+ * such proof.  Valid only for PEER_PROOF_MS after the platform last answered,
+ * because this VM would not know of a VM that has joined since then.
  */
-static int64_t proof_all_heard(struct state *st)
+static int64_t proof_from_pings(struct state *st)
 {
 	struct member *m, *next;
 	int64_t at = st->now;
@@ -39,7 +42,7 @@
 	HASH_ITER(hh, st->members, m, next) {
 		if (m->leaving)
 			continue;
-		if (!proof_same_config(st, m))
+		if (!proof_config_not_newer(st, m))
 			return INT64_MIN / 2;
 		if (m->ponged_at < at)
 			at = m->ponged_at;
@@ -47,21 +50,21 @@
 	return at;
 }
 
-/* Is all that was withdrawn up to fresh_ms ago known here? */
+/* Returns true if all keys withdrawn until fresh_ms ago are known here. */
 bool proof_fresh(const struct state *st)
 {
 	return st->config_known && st->now - st->proof_at <= st->fresh_ms;
 }
 
-/* Move the proof forward by what the peers have said. */
+/* Advances the proof by the peers' pings, and reports a change of freshness. */
 void proof_update(struct state *st)
 {
-	int64_t at = proof_all_heard(st);
+	int64_t at = proof_from_pings(st);
 	struct member *m, *next;
 	bool fresh;
 
 	HASH_ITER(hh, st->members, m, next) {
-		if (m->proof_at > at && proof_same_config(st, m))
+		if (m->proof_at > at && proof_config_not_newer(st, m))
 			at = m->proof_at;
 	}
 	if (at > st->proof_at)
@@ -72,11 +75,11 @@
 	st->fresh = fresh;
 	effect_count(st, COUNT_FRESH, fresh);
 	effect_log(st, fresh ? LOG_PROOF_BACK : LOG_PROOF_LOST, "%s",
-		   fresh ? "new work is accepted"
-			 : "new work is refused; accepted work goes on");
+		   fresh ? "new jobs are accepted"
+			 : "new jobs are refused; accepted jobs go on");
 }
 
-/* Fill in a refusal. */
+/* Fills in a refusal.  Returns NULL for key_check() to return. */
 static const struct team *key_refuse(struct state *st, caller_answer *a,
 				     uint32_t http, enum counter_id counter,
 				     const char *detail, uint32_t retry)
@@ -90,10 +93,11 @@
 }
 
 /*
- * Whose key is it?  Freshness is asked for new work only: what was accepted
- * may always be looked at and cancelled.  It is judged on the clock reading
- * of the event that brought the request, so a process that slept between
- * does not answer on what it knew before.
+ * Returns the team of a request's key, or NULL with a refusal to send.  Only
+ * submissions need a fresh configuration; accepted jobs can always be queried
+ * and cancelled.  Freshness is judged at the time of the event that carried the
+ * request, so a process that was paused before does not rely on a proof from
+ * before the pause.
  */
 const struct team *key_check(struct state *st, const caller_request *rq,
 			     caller_answer *refusal)
@@ -118,8 +122,8 @@
 		     (int64_t)st->fresh_ms + k->team->grace_ms))
 		return key_refuse(
 			st, refusal, 503, COUNT_REFUSED_NOT_FRESH,
-			"this data centre is cut off and can't tell whether "
-			"the key still holds",
+			"this data centre is cut off and can't verify that "
+			"the key is still valid",
 			RETRY_AFTER_MS * 5);
 	return k->team;
 }
