--- a/bamboofront-entryd.c
+++ b/bamboofront-entryd.c
@@ -1,7 +1,7 @@
 /*
- * bamboofront-entryd: the daemon of an entry VM on the platform.  The main
- * thread is the scheduler's; the edges have threads of their own and meet it
- * in the inbox.
+ * bamboofront-entryd: the daemon of an entry VM on the platform. The main
+ * thread runs the scheduler. The edges (platform/) have their own threads and
+ * post events to the scheduler's inboxes.
  */
 #include "entry-settings.h"
 
@@ -17,15 +17,14 @@
 #include <unistd.h>
 
 #define INBOX_SIZE 16384
-#define EVENTS_PER_ROUND 256
-/* The scheduler looks at the clock so often. */
-#define TICK_MS 40
-/* The settings file is looked at so often: it may change without a signal. */
-#define SETTINGS_LOOK_MS 1000
-#define PROCESSOR_TOLD_MS 1000
-
-/* Processor time that the threads had used, in ms. */
-struct processor {
+#define EVENTS_PER_ITERATION 256 /* before ticks and signals get their turn */
+#define TICK_MS 40		 /* interval of EVENT_TICK */
+/* The settings file may change without a signal, so it is polled as well. */
+#define SETTINGS_POLL_MS 1000
+#define CPU_REPORT_MS 1000
+
+/* CPU time that the threads have used, in ms. */
+struct cpu_times {
 	int64_t scheduler;
 	int64_t store;
 	int64_t workers;
@@ -34,26 +33,26 @@
 struct entry {
 	char *path;
 	struct entry_settings settings;
-	struct timespec changed; /* of the settings file */
-	int64_t look_at;
-	struct mailbox *store_inbox; /* taken first, see platform/calls.c */
+	struct timespec settings_mtime; /* of the settings file */
+	int64_t settings_poll_at;
+	struct mailbox *store_inbox; /* has precedence, see platform/calls.c */
 	struct mailbox *inbox;
 	struct platform *platform;
 	struct front *front;
 	struct sched *sched;
 	struct sched_effects effects;
 	int64_t tick_at;
-	int64_t told_at; /* the latest line about processor time */
-	struct processor processor;
-	bool stopped; /* the scheduler knows of the planned stop */
+	int64_t cpu_reported_at;
+	struct cpu_times cpu; /* at the last report */
+	bool stop_requested;  /* EVENT_STOP was sent */
 	bool exit;
 };
 
 static volatile sig_atomic_t signal_stop, signal_reload;
 static int signal_fd = -1;
 
-/* Note a signal and wake the main thread. */
-static void signal_note(int number)
+/* The signal handler: sets a flag and wakes the main thread. */
+static void signal_handler(int number)
 {
 	uint64_t one = 1;
 	int saved = errno;
@@ -63,17 +62,17 @@
 		signal_reload = 1;
 	else
 		signal_stop = 1;
-	/* A failed write means that the count is at its top: it is awake. */
+	/* Fails only if the counter is full, when poll returns anyway. */
 	n = write(signal_fd, &one, sizeof(one));
 	(void)n;
 	errno = saved;
 }
 
-/* Catch the signals of the platform. */
-static void signals_catch(void)
+/* Installs the handlers of the signals that the platform sends. */
+static void signals_init(void)
 {
 	static const int numbers[] = {SIGTERM, SIGINT, SIGHUP};
-	struct sigaction sa = {.sa_handler = signal_note,
+	struct sigaction sa = {.sa_handler = signal_handler,
 			       .sa_flags = SA_RESTART};
 	size_t i;
 
@@ -83,12 +82,12 @@
 	signal(SIGPIPE, SIG_IGN);
 }
 
-/* Carry out one effect. */
+/* Carries out one effect and frees it. */
 static void effect_execute(struct entry *d, struct sched_effect *fx)
 {
 	switch (fx->kind) {
 	case EFFECT_ASK:
-		platform_send(d->platform, fx); /* owns it now */
+		platform_send(d->platform, fx); /* takes ownership */
 		return;
 	case EFFECT_REPLY:
 		front_reply(d->front, &fx->reply);
@@ -115,8 +114,8 @@
 	sched_effect_free(fx);
 }
 
-/* Reduce one event and carry out its effects. */
-static void entry_step(struct entry *d, struct sched_event *ev)
+/* Passes an event to the reducer, carries out the effects, frees the event. */
+static void entry_handle(struct entry *d, struct sched_event *ev)
 {
 	struct sched_effect *fx;
 
@@ -130,49 +129,49 @@
 	sched_event_free(ev);
 }
 
-/* Reduce an event of the daemon's own. */
-static void entry_own(struct entry *d, enum sched_event_kind kind)
+/* Handles an event that the daemon itself creates. */
+static void entry_raise(struct entry *d, enum sched_event_kind kind)
 {
 	struct sched_event *ev = xcalloc(1, sizeof(*ev));
 
 	ev->kind = kind;
-	entry_step(d, ev);
+	entry_handle(d, ev);
 }
 
 /*
- * Read the settings again if the file has changed.  Addresses stay those of
- * the start: a process that moves is started anew; a file with a mistake is
- * reported and changes nothing.
+ * Reloads the settings file if it has changed or if a signal asked for that.
+ * Only the log level takes effect; changed addresses need a restart. An invalid
+ * file is logged and changes nothing.
  */
-static void settings_look(struct entry *d, bool asked)
+static void settings_poll(struct entry *d, bool signalled)
 {
 	struct entry_settings next;
 	struct error e;
 	struct stat st;
 	char *text;
 
-	d->look_at = clock_now() + SETTINGS_LOOK_MS;
+	d->settings_poll_at = clock_now() + SETTINGS_POLL_MS;
 	if (stat(d->path, &st) != 0 ||
-	    (!asked && st.st_mtim.tv_sec == d->changed.tv_sec &&
-	     st.st_mtim.tv_nsec == d->changed.tv_nsec))
+	    (!signalled && st.st_mtim.tv_sec == d->settings_mtime.tv_sec &&
+	     st.st_mtim.tv_nsec == d->settings_mtime.tv_nsec))
 		return;
-	d->changed = st.st_mtim;
+	d->settings_mtime = st.st_mtim;
 	error_init(&e);
 	if (entry_settings_load(d->path, &next, &e)) {
 		log_open("bamboofront-entryd", next.log_level);
-		log_event(LOG_RELOADED, "ok=1 signal=%d", asked);
+		log_event(LOG_RELOADED, "ok=1 signal=%d", signalled);
 	} else {
 		text = error_text(&e);
-		log_event(LOG_RELOADED, "ok=0 signal=%d error=\"%s\"", asked,
-			  text);
+		log_event(LOG_RELOADED, "ok=0 signal=%d error=\"%s\"",
+			  signalled, text);
 		free(text);
 	}
 	entry_settings_free(&next);
 	error_free(&e);
 }
 
-/* Deal with signals that came. */
-static void signals_drain(struct entry *d)
+/* Acts on the signals that were received since the last call. */
+static void signals_handle(struct entry *d)
 {
 	uint64_t count;
 
@@ -180,37 +179,38 @@
 		;
 	if (signal_reload) {
 		signal_reload = 0;
-		settings_look(d, true);
+		settings_poll(d, true);
 	}
-	if (signal_stop && !d->stopped) {
-		d->stopped = true;
-		entry_own(d, EVENT_STOP);
+	if (signal_stop && !d->stop_requested) {
+		d->stop_requested = true;
+		entry_raise(d, EVENT_STOP);
 	}
 }
 
 /*
- * Tell what the owner's threads have used in the last second: what it does not
- * get done may be for want of processor, which no other line shows.
+ * Logs the CPU time that the threads have used since the last report, if this
+ * VM is the owner. An owner that falls behind may lack CPU time, which no other
+ * log line shows.
  */
-static void processor_tell(struct entry *d)
+static void cpu_report(struct entry *d)
 {
-	struct processor now = {.scheduler = clock_thread_cpu(pthread_self())};
-	const struct processor *before = &d->processor;
+	struct cpu_times now = {.scheduler = clock_thread_cpu(pthread_self())};
+	const struct cpu_times *before = &d->cpu;
 
 	platform_cpu_ms(d->platform, &now.store, &now.workers);
 	if (counter_get(COUNT_OWNER))
 		log_event(LOG_PROCESSOR,
 			  "ms=%lld scheduler_ms=%lld store_ms=%lld "
 			  "workers_ms=%lld",
-			  (long long)(clock_now() - d->told_at),
+			  (long long)(clock_now() - d->cpu_reported_at),
 			  (long long)(now.scheduler - before->scheduler),
 			  (long long)(now.store - before->store),
 			  (long long)(now.workers - before->workers));
-	d->processor = now;
-	d->told_at = clock_now();
+	d->cpu = now;
+	d->cpu_reported_at = clock_now();
 }
 
-/* The next event to reduce; NULL: none has come. */
+/* Returns the next event, or NULL. Answers of the store come first. */
 static struct sched_event *inbox_take(struct entry *d)
 {
 	struct sched_event *ev = mailbox_take(d->store_inbox);
@@ -218,7 +218,10 @@
 	return ev ? ev : mailbox_take(d->inbox);
 }
 
-/* Reduce what has come in; false: there may be more. */
+/*
+ * Handles the events in the inboxes. Returns false if the limit for an
+ * iteration was reached, when more events may be waiting.
+ */
 static bool inbox_drain(struct entry *d)
 {
 	struct sched_event *ev, *next;
@@ -228,15 +231,15 @@
 	mailbox_clear_wakeup(d->inbox);
 	ev = inbox_take(d);
 	for (n = 1; ev; n++) {
-		next = n < EVENTS_PER_ROUND ? inbox_take(d) : NULL;
+		next = n < EVENTS_PER_ITERATION ? inbox_take(d) : NULL;
 		ev->more_follow = next != NULL;
-		entry_step(d, ev);
+		entry_handle(d, ev);
 		ev = next;
 	}
-	return n <= EVENTS_PER_ROUND;
+	return n <= EVENTS_PER_ITERATION;
 }
 
-/* Reduce events until the scheduler says that the process may end. */
+/* The event loop; returns when the scheduler lets the process end. */
 static void entry_loop(struct entry *d)
 {
 	struct pollfd p[] = {
@@ -253,21 +256,24 @@
 			left = 0;
 		if (poll(p, NELEMS(p), (int)left) < 0 && errno != EINTR)
 			abort();
-		signals_drain(d);
+		signals_handle(d);
 		drained = inbox_drain(d);
 		if (clock_now() >= d->tick_at) {
 			d->tick_at = clock_now() + TICK_MS;
-			entry_own(d, EVENT_TICK);
+			entry_raise(d, EVENT_TICK);
 		}
-		if (clock_now() >= d->look_at)
-			settings_look(d, false);
-		if (clock_now() >= d->told_at + PROCESSOR_TOLD_MS)
-			processor_tell(d);
+		if (clock_now() >= d->settings_poll_at)
+			settings_poll(d, false);
+		if (clock_now() >= d->cpu_reported_at + CPU_REPORT_MS)
+			cpu_report(d);
 		log_flush();
 	}
 }
 
-/* Start the edges; callers come last, when they can be served. */
+/*
+ * Starts the scheduler and the edges. The front comes last, because its callers
+ * need the others. Returns false with an error on failure.
+ */
 static bool entry_start(struct entry *d, struct error *e)
 {
 	TAILQ_INIT(&d->effects);
@@ -275,7 +281,7 @@
 	d->inbox = mailbox_new(INBOX_SIZE);
 	randombytes_buf(&d->settings.sched.seed,
 			sizeof(d->settings.sched.seed));
-	d->settings.sched.seed >>= 1; /* JSON's whole numbers have a sign */
+	d->settings.sched.seed >>= 1; /* fits a signed JSON integer */
 	d->sched = sched_new(&d->settings.sched);
 	d->platform = platform_start(&d->settings.platform, d->store_inbox,
 				     d->inbox, e);
@@ -285,7 +291,7 @@
 	return d->front != NULL;
 }
 
-/* Stop the edges and free everything. */
+/* Stops the edges and frees everything. */
 static void entry_stop(struct entry *d)
 {
 	struct sched_event *ev;
@@ -302,19 +308,22 @@
 	entry_settings_free(&d->settings);
 }
 
-/* Read the command line; the exit status if there is nothing to run. */
-static int options_read(int argc, char **argv, struct entry *d, bool *check)
+/*
+ * Parses the command line. Returns -1 if the daemon should run or check its
+ * settings, else the exit status.
+ */
+static int options_parse(int argc, char **argv, struct entry *d, bool *check)
 {
 	char *path = NULL;
-	int version = 0, only_check = 0, rc;
+	int version = 0, check_only = 0, rc;
 	struct poptOption table[] = {
 		{"settings", 's', POPT_ARG_STRING, &path, 0,
 		 "settings file; default: $" PLATFORM_SETTINGS_VARIABLE,
 		 "FILE"},
-		{"check", 'c', POPT_ARG_NONE, &only_check, 0,
-		 "check the settings file and end", NULL},
+		{"check", 'c', POPT_ARG_NONE, &check_only, 0,
+		 "check the settings file and exit", NULL},
 		{"version", 'v', POPT_ARG_NONE, &version, 0,
-		 "print the version and end", NULL},
+		 "print the version and exit", NULL},
 		POPT_AUTOHELP POPT_TABLEEND};
 	poptContext c = poptGetContext(NULL, argc, (const char **)argv, table,
 				       0);
@@ -335,28 +344,27 @@
 	d->path = path;
 	if (!path && getenv(PLATFORM_SETTINGS_VARIABLE))
 		d->path = xstrdup(getenv(PLATFORM_SETTINGS_VARIABLE));
-	*check = only_check;
+	*check = check_only;
 	if (d->path)
 		return -1;
 	fprintf(stderr,
-		"no settings: give --settings or set " PLATFORM_SETTINGS_VARIABLE
+		"no settings; pass --settings or set " PLATFORM_SETTINGS_VARIABLE
 		"\n");
 	return 2;
 }
 
-/* Run the daemon. */
 int main(int argc, char **argv)
 {
 	struct entry d = {0};
 	struct error e;
 	bool check = false;
 	struct stat st;
-	int rc = options_read(argc, argv, &d, &check);
+	int rc = options_parse(argc, argv, &d, &check);
 
 	if (rc >= 0)
 		return rc;
-	/* First of all: a reload that comes early must not end the process. */
-	signals_catch();
+	/* Comes first: without a handler, an early SIGHUP ends the process. */
+	signals_init();
 	error_init(&e);
 	if (!entry_settings_load(d.path, &d.settings, &e) ||
 	    sodium_init() < 0) {
@@ -368,7 +376,7 @@
 	log_open("bamboofront-entryd", d.settings.log_level);
 	log_open_structured(STDOUT_FILENO, BSTR_ARG(d.settings.sched.vm));
 	if (stat(d.path, &st) == 0)
-		d.changed = st.st_mtim;
+		d.settings_mtime = st.st_mtim;
 	if (!entry_start(&d, &e)) {
 		error_print(&e, stderr);
 		return 1;
--- a/entry-settings.c
+++ b/entry-settings.c
@@ -1,17 +1,15 @@
-/*
- * Reading and checking the settings of an entry VM.
- */
+/* Reads and validates the settings of an entry VM. */
 #include "entry-settings.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Final states stay longer than callers may ask, for late askers. */
-#define KEEP_SLACK_MS 30000
-#define MACHINE_CALLS_MAX 100000 /* a second */
+/* Final jobs are kept longer than callers may query them, for late queries. */
+#define KEEP_MARGIN_MS 30000
+#define MACHINE_CALLS_MAX 100000 /* per second */
 #define MACHINE_CALLS_DEFAULT 64
 
-/* A member on a path like "bounds.stop_ms"; NULL: it is missing. */
+/* Returns the member at a path like "bounds.stop_ms", or NULL. */
 static const json_t *member(const json_t *j, const char *path)
 {
 	const char *dot;
@@ -25,51 +23,55 @@
 	return json_object_get(j, path);
 }
 
-/* A text that must be there. */
-static const char *text_get(const json_t *j, const char *path, struct error *e)
+/* Returns a required string, or "" with an error if it is missing or empty. */
+static const char *string_get(const json_t *j, const char *path,
+			      struct error *e)
 {
 	const char *text = json_string_value(member(j, path));
 
 	if (text && *text)
 		return text;
-	error_add(e, path, "a text is wanted");
+	error_add(e, path, "must be a non-empty string");
 	return "";
 }
 
-/* A number within bounds; left out: the default. */
-static int64_t number_get(const json_t *j, const char *path, double least,
-			  double most, double fallback, struct error *e)
+/*
+ * Returns a number, or the default if it is missing. Adds an error if it is not
+ * a number from min to max.
+ */
+static int64_t number_get(const json_t *j, const char *path, double min,
+			  double max, double fallback, struct error *e)
 {
 	const json_t *v = member(j, path);
 
 	if (!v)
 		return (int64_t)fallback;
-	if (json_is_number(v) && json_number_value(v) >= least &&
-	    json_number_value(v) <= most)
+	if (json_is_number(v) && json_number_value(v) >= min &&
+	    json_number_value(v) <= max)
 		return (int64_t)json_number_value(v);
-	error_add(e, path, "a number from %g to %g is wanted", least, most);
+	error_add(e, path, "must be a number from %g to %g", min, max);
 	return (int64_t)fallback;
 }
 
-/* An address "IP:PORT". */
+/* Reads an address "IP:PORT"; adds an error if it is malformed. */
 static void address_get(const json_t *j, const char *path, struct address *a,
 			struct error *e)
 {
-	const char *text = text_get(j, path, e), *colon = strrchr(text, ':');
+	const char *text = string_get(j, path, e), *colon = strrchr(text, ':');
 	long port = colon ? strtol(colon + 1, NULL, 10) : 0;
 
 	if (!*text)
 		return;
 	if (!colon || port < 1 || port > 65535) {
-		error_add(e, path, "IP:PORT is wanted, not \"%s\"", text);
+		error_add(e, path, "must be IP:PORT, not \"%s\"", text);
 		return;
 	}
 	a->host = xasprintf("%.*s", (int)(colon - text), text);
 	a->port = (uint16_t)port;
 }
 
-/* The cores that this VM may use; left out: a whole one. */
-static double cores_get(const json_t *j, struct error *e)
+/* Returns the number of cores that this VM may use; the default is 1. */
+static double cpu_share_get(const json_t *j, struct error *e)
 {
 	const json_t *v = member(j, "cpu_share");
 
@@ -77,11 +79,11 @@
 		return 1;
 	if (json_is_number(v) && json_number_value(v) > 0)
 		return json_number_value(v);
-	error_add(e, "cpu_share", "a number above 0 is wanted");
+	error_add(e, "cpu_share", "must be a number above 0");
 	return 1;
 }
 
-/* Read the bounds that the scheduler works by. */
+/* Reads the limits and expected durations that the scheduler works with. */
 static void bounds_get(const json_t *j, struct sched_options *o,
 		       struct error *e)
 {
@@ -92,7 +94,7 @@
 				     6000, e);
 	o->stop_ms = number_get(j, "bounds.stop_ms", 1, 60000, 1000, e);
 	o->keep_ms = 1000 * number_get(j, "bounds.keep_s", 1, 86400, 120, e) +
-		     KEEP_SLACK_MS;
+		     KEEP_MARGIN_MS;
 	o->grace_ms = 1000 * number_get(j, "bounds.grace_s", 1, 600, 6, e);
 	o->harm_ms = number_get(j, "bounds.harm_ms", 100, 60000, 4000, e);
 	o->notice_ms = number_get(j, "bounds.notice_ms", 100, 60000, 4500, e);
@@ -104,7 +106,7 @@
 	o->far_factor = json_is_number(far) ? json_number_value(far) : 1;
 }
 
-/* Read the level of the log. */
+/* Returns the least severe log level that is written. */
 static enum log_level level_get(const json_t *j, struct error *e)
 {
 	static const char *const names[] = {
@@ -121,15 +123,18 @@
 			return (enum log_level)i;
 	if (v)
 		error_add(e, "log_level",
-			  "error, warning, notice, info or debug is wanted");
+			  "must be error, warning, notice, info or debug");
 	return LEVEL_INFO;
 }
 
-/* Read the mechanisms that are left out, for a measurement. */
-static unsigned without_get(const json_t *j, struct error *e)
+/*
+ * Returns the bit mask of mechanisms that are disabled, to measure the benefit
+ * of each.
+ */
+static unsigned disabled_get(const json_t *j, struct error *e)
 {
 	const json_t *list = member(j, "without"), *v;
-	unsigned without = 0;
+	unsigned disabled = 0;
 	enum policy p;
 	size_t i;
 
@@ -137,14 +142,15 @@
 		p = policy_find(json_string_value(v) ? json_string_value(v)
 						     : "");
 		if (p == POLICY_MAX)
-			error_add(e, "without", "entry %zu is no mechanism", i);
+			error_add(e, "without",
+				  "entry %zu is not a known mechanism", i);
 		else
-			without |= 1U << p;
+			disabled |= 1U << p;
 	}
-	return without;
+	return disabled;
 }
 
-/* Read the settings; false: e tells all that is wrong. */
+/* Reads the settings. Returns false with all errors if any are invalid. */
 bool entry_settings_load(const char *path, struct entry_settings *s,
 			 struct error *e)
 {
@@ -158,29 +164,29 @@
 		return false;
 	}
 	s->document = j;
-	s->sched.vm = bstr_lit(text_get(j, "vm", e));
-	s->sched.zone = bstr_lit(text_get(j, "dc", e));
+	s->sched.vm = bstr_lit(string_get(j, "vm", e));
+	s->sched.zone = bstr_lit(string_get(j, "dc", e));
 	address_get(j, "callers", &s->front.callers, e);
 	address_get(j, "readiness", &s->front.readiness, e);
 	s->front.metrics.host = xstrdup(
 		s->front.callers.host ? s->front.callers.host : "");
 	s->front.metrics.port = (uint16_t)number_get(j, "metrics_port", 0,
 						     65535, 0, e);
-	s->platform.store = text_get(j, "store", e);
-	s->platform.cloud = text_get(j, "machines", e);
+	s->platform.store = string_get(j, "store", e);
+	s->platform.cloud = string_get(j, "machines", e);
 	advice = json_string_value(member(j, "advice"));
 	s->platform.advice = advice ? advice : "";
-	s->sched.cpu_share = cores_get(j, e);
+	s->sched.cpu_share = cpu_share_get(j, e);
 	s->sched.machine_calls_per_s = (unsigned)number_get(
 		j, "machine_calls_per_s", 0, MACHINE_CALLS_MAX,
 		MACHINE_CALLS_DEFAULT, e);
-	s->sched.disabled = without_get(j, e);
+	s->sched.disabled = disabled_get(j, e);
 	bounds_get(j, &s->sched, e);
 	s->log_level = level_get(j, e);
 	return !e->count;
 }
 
-/* Free the settings. */
+/* Frees the members of s, but not s itself. */
 void entry_settings_free(struct entry_settings *s)
 {
 	free(s->front.callers.host);
