--- a/http-client.c
+++ b/http-client.c
@@ -1,3 +1,7 @@
+/*
+ * The interface of the HTTP client and the event loop of its thread. See
+ * http-state.h for the other parts.
+ */
 #include "http-state.h"
 
 #include <errno.h>
@@ -8,19 +12,19 @@
 #include <time.h>
 #include <unistd.h>
 
-#define POLL_MS 1000	  /* the loop looks round at least so often */
-#define POST_STOP_MS 1000 /* a stop waits for a full inbox */
-#define EVENTS_AT_ONCE 256
+#define LOOP_MAX_MS 1000  /* longest sleep of the event loop */
+#define STOP_POST_MS 1000 /* wait for a full inbox while stopping */
+#define EPOLL_EVENTS_MAX 256
 
 static pthread_once_t curl_once = PTHREAD_ONCE_INIT;
 
-/* libcurl's own set-up is not safe to run twice at once. */
-static void curl_setup(void)
+/* Initializes libcurl, which is not safe to do in two threads at once. */
+static void curl_init(void)
 {
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 }
 
-/* Free what a request holds; the request itself is its owner's. */
+/* Frees the members of a request, but not r itself, which the sender owns. */
 void http_request_clear(struct http_request *r)
 {
 	size_t i;
@@ -35,8 +39,11 @@
 	bstr_free(&r->body);
 }
 
-/* End all that is held: what was sent has no answer, the rest never left. */
-static void client_abandon(struct http_client *c)
+/*
+ * Ends all requests: those that were sent have no response, the others are not
+ * sent.
+ */
+static void client_abort(struct http_client *c)
 {
 	struct http_request *r;
 
@@ -46,24 +53,27 @@
 	http_queues_abort(c);
 }
 
-/* How long the loop may sleep. */
-static int client_sleep_ms(const struct http_client *c)
+/*
+ * Returns how long the event loop may sleep, in ms: until the first timer is
+ * due, or 0 if a queue may have requests to start.
+ */
+static int client_timeout_ms(const struct http_client *c)
 {
-	const struct heap_node *timer = heap_first(&c->shard_timers);
-	const struct heap_node *due = heap_first(&c->request_timers);
-	int64_t now = clock_now(), at = now + POLL_MS;
+	const struct heap_node *shard = heap_first(&c->shard_timers);
+	const struct heap_node *request = heap_first(&c->request_timers);
+	int64_t now = clock_now(), at = now + LOOP_MAX_MS;
 
 	if (!TAILQ_EMPTY(&c->ready))
 		return 0;
-	if (timer && timer->due < at)
-		at = timer->due;
-	if (due && due->due < at)
-		at = due->due;
+	if (shard && shard->due < at)
+		at = shard->due;
+	if (request && request->due < at)
+		at = request->due;
 	return at > now ? (int)(at - now) : 0;
 }
 
-/* Take the requests that were sent, and begin what there are places for. */
-static void client_take(struct http_client *c)
+/* Queues new requests and starts those that their queues have capacity for. */
+static void client_start_requests(struct http_client *c)
 {
 	struct http_request *r;
 
@@ -73,29 +83,29 @@
 	http_queues_start(c);
 }
 
-/* The client's thread. */
+/* The main function of the client's thread. */
 static void *client_run(void *arg)
 {
-	struct epoll_event events[EVENTS_AT_ONCE];
+	struct epoll_event events[EPOLL_EVENTS_MAX];
 	struct http_client *c = arg;
 	int i, n, inbox = mailbox_fd(c->mailbox);
 
 	while (!atomic_load(&c->stopping)) {
-		client_take(c);
+		client_start_requests(c);
 		http_shards_run_timers(c, clock_now());
 		http_queues_expire(c, clock_now());
-		n = epoll_wait(c->epoll, events, EVENTS_AT_ONCE,
-			       client_sleep_ms(c));
+		n = epoll_wait(c->epoll, events, EPOLL_EVENTS_MAX,
+			       client_timeout_ms(c));
 		for (i = 0; i < n; i++)
 			if (events[i].data.fd != inbox)
 				http_socket_ready(c, events[i].data.fd,
 						  events[i].events);
 	}
-	client_abandon(c);
+	client_abort(c);
 	return NULL;
 }
 
-/* Free a client whose thread has ended. */
+/* Frees a client whose thread has ended or was not created. */
 static void client_free(struct http_client *c)
 {
 	http_queues_expire(c, INT64_MAX);
@@ -110,15 +120,15 @@
 	free(c);
 }
 
-/* Add a header that all requests carry. */
-static void client_header(struct http_client *c, const char *line)
+/* Adds a header that is sent with all requests. */
+static void client_add_header(struct http_client *c, const char *line)
 {
 	c->headers = curl_slist_append(c->headers, line);
 	if (!c->headers)
 		abort(); /* out of memory */
 }
 
-/* Make a client that has no thread yet. */
+/* Creates a client without its thread. */
 static struct http_client *client_new(const struct http_client_options *o)
 {
 	struct http_client *c = xcalloc(1, sizeof(*c));
@@ -129,7 +139,7 @@
 	while (size <= o->max_requests)
 		size *= 2;
 	c->options = *o;
-	/* These are the caller's. */
+	/* These strings belong to the caller. */
 	c->options.name = c->options.token = c->options.tls_ca = NULL;
 	c->mailbox = mailbox_new(size);
 	c->tls_ca = o->tls_ca ? xstrdup(o->tls_ca) : NULL;
@@ -144,17 +154,17 @@
 	if (c->epoll < 0 ||
 	    epoll_ctl(c->epoll, EPOLL_CTL_ADD, e.data.fd, &e) != 0)
 		abort(); /* out of descriptors or memory */
-	client_header(c, "Content-Type: application/json");
-	client_header(c, "Expect:");
+	client_add_header(c, "Content-Type: application/json");
+	client_add_header(c, "Expect:");
 	if (o->token) {
 		line = xasprintf("Authorization: Bearer %s", o->token);
-		client_header(c, line);
+		client_add_header(c, line);
 		free(line);
 	}
 	return c;
 }
 
-/* Start a client. */
+/* Starts a client. Returns NULL with an error on failure. */
 struct http_client *http_client_start(const struct http_client_options *o,
 				      struct error *e)
 {
@@ -162,24 +172,27 @@
 	sigset_t all, old;
 	int rc;
 
-	pthread_once(&curl_once, curl_setup);
+	pthread_once(&curl_once, curl_init);
 	if (o->tls_ca && access(o->tls_ca, R_OK) != 0) {
-		error_add(e, o->tls_ca, "can't be read: %s", strerror(errno));
+		error_add(e, o->tls_ca, "cannot be read: %s", strerror(errno));
 		return NULL;
 	}
 	if (o->token && strpbrk(o->token, "\r\n")) {
-		error_add(e, "token", "a line break can't be sent");
+		error_add(e, "token", "must not contain a line break");
 		return NULL;
 	}
 	c = client_new(o);
-	/* Signals are the main thread's; a broken pipe is an error code here.
+	/*
+	 * The main thread handles signals. With SIGPIPE blocked, a write to a
+	 * closed connection returns an error.
 	 */
 	sigfillset(&all);
 	pthread_sigmask(SIG_SETMASK, &all, &old);
 	rc = pthread_create(&c->thread, NULL, client_run, c);
 	pthread_sigmask(SIG_SETMASK, &old, NULL);
 	if (rc) {
-		error_add(e, "http client", "no thread: %s", strerror(rc));
+		error_add(e, "http client", "cannot create a thread: %s",
+			  strerror(rc));
 		client_free(c);
 		return NULL;
 	}
@@ -188,7 +201,10 @@
 	return c;
 }
 
-/* Send a request, from any thread. */
+/*
+ * Sends a request, from any thread. Returns false if the client already has
+ * max_requests.
+ */
 bool http_client_send(struct http_client *c, struct http_request *r)
 {
 	if (atomic_fetch_add(&c->request_count, 1) < c->options.max_requests &&
@@ -198,16 +214,18 @@
 	return false;
 }
 
-/* The processor time that a client's thread has used. */
+/* Returns the CPU time that the client's thread has used. */
 int64_t http_client_cpu_ms(const struct http_client *c)
 {
 	return clock_thread_cpu(c->thread);
 }
 
 /*
- * A full inbox means that the reducer is behind: this thread waits for it,
- * and its senders are refused meanwhile.  While stopping nobody may be
- * reading any more, so that wait has an end.
+ * Posts an event to an inbox. A full inbox means that the reducer is
+ * overloaded. This thread then waits, which in turn makes http_client_send
+ * refuse requests once max_requests are reached. While the client is stopping,
+ * the inbox may have no reader any more, so the wait is limited and the event
+ * is then dropped.
  */
 void http_client_post(struct http_client *c, struct mailbox *inbox, event *ev)
 {
@@ -215,9 +233,10 @@
 
 	while (!mailbox_put(inbox, ev)) {
 		if (atomic_load(&c->stopping) && !c->post_deadline)
-			c->post_deadline = clock_now() + POST_STOP_MS;
+			c->post_deadline = clock_now() + STOP_POST_MS;
 		if (c->post_deadline && clock_now() > c->post_deadline) {
-			log_event(LOG_OVERRUN, "inbox full while stopping");
+			log_event(LOG_OVERRUN,
+				  "inbox full while stopping; event dropped");
 			event_free(ev);
 			return;
 		}
@@ -225,12 +244,12 @@
 	}
 }
 
-/* Stop a client. */
+/* Stops a client: ends its requests, joins its thread and frees it. */
 void http_client_stop(struct http_client *c)
 {
 	atomic_store(&c->stopping, true);
 	mailbox_wake(c->mailbox);
 	pthread_join(c->thread, NULL);
-	client_abandon(c); /* what was sent while the thread ended */
+	client_abort(c); /* requests sent while the thread ended */
 	client_free(c);
 }
--- a/http-queue.c
+++ b/http-queue.c
@@ -1,15 +1,20 @@
+/*
+ * Queues of requests. A request waits in its queue until it may start or its
+ * deadline passes. A queue starts up to max_per_queue requests at a time.
+ */
 #include "http-state.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 /*
- * A queue without requests is known for as long as its connections may be
- * kept, and as it may mistrust them after a silence.
+ * A queue without requests is kept for this long. It must outlive its idle
+ * connections (CONNECTION_IDLE_S): its timeout_serial tells which of them must
+ * not be reused after a timeout.
  */
 #define QUEUE_IDLE_MS 120000
 
-/* Make a queue. */
+/* Creates a queue and assigns it to a shard. */
 static struct http_queue *queue_new(struct http_client *c, const char *name)
 {
 	struct http_queue *q = xcalloc(1, sizeof(*q));
@@ -21,7 +26,7 @@
 	return q;
 }
 
-/* Find a queue, or make it. */
+/* Returns the queue of a name, which is created if necessary. */
 struct http_queue *http_queue_get(struct http_client *c, const char *name)
 {
 	struct http_queue *q;
@@ -30,8 +35,8 @@
 	return q ? q : queue_new(c, name);
 }
 
-/* A queue may have something to begin. */
-static void queue_ready(struct http_client *c, struct http_queue *q)
+/* Adds a queue to those that may have requests to start. */
+static void queue_set_ready(struct http_client *c, struct http_queue *q)
 {
 	if (q->ready)
 		return;
@@ -42,8 +47,8 @@
 	TAILQ_INSERT_TAIL(&c->ready, q, entry);
 }
 
-/* A queue that has nothing left is forgotten after a while. */
-static void queue_settle(struct http_client *c, struct http_queue *q)
+/* Marks a queue as idle if it has no requests left. */
+static void queue_check_idle(struct http_client *c, struct http_queue *q)
 {
 	if (q->ready || q->idle || q->in_flight || !TAILQ_EMPTY(&q->waiting))
 		return;
@@ -52,7 +57,7 @@
 	TAILQ_INSERT_TAIL(&c->idle, q, entry);
 }
 
-/* Free a queue that is in no list. */
+/* Frees a queue, which must have been removed from all lists. */
 static void queue_free(struct http_client *c, struct http_queue *q)
 {
 	if (c->queues)
@@ -62,7 +67,7 @@
 	free(q);
 }
 
-/* Forget the queues that have been idle until a time. */
+/* Frees the queues that have been idle for QUEUE_IDLE_MS. */
 void http_queues_expire(struct http_client *c, int64_t now)
 {
 	struct http_queue *q, *next;
@@ -74,48 +79,54 @@
 	}
 }
 
-/* A request of a queue has begun. */
+/* Counts a request of a queue that has started. */
 void http_queue_begin(struct http_queue *q)
 {
 	q->in_flight++;
 }
 
-/* A request of a queue has ended: another may have its place. */
+/* Counts a request of a queue that has ended, so that another may start. */
 void http_queue_end(struct http_client *c, struct http_queue *q)
 {
 	q->in_flight--;
 	if (!TAILQ_EMPTY(&q->waiting))
-		queue_ready(c, q);
-	queue_settle(c, q);
+		queue_set_ready(c, q);
+	queue_check_idle(c, q);
 }
 
-/* When a waiting request has to be looked at by the clock. */
-static void request_due(struct http_client *c, struct http_request *r,
-			int64_t now)
+/*
+ * Sets the timer of a waiting request: to its earliest start if that is still
+ * to come, else to its deadline.
+ */
+static void request_set_timer(struct http_client *c, struct http_request *r,
+			      int64_t now)
 {
 	heap_set(&c->request_timers, &r->timer,
 		 r->start_at > now ? r->start_at : r->deadline);
 }
 
-/* Let a request wait for a place in its queue. */
+/* Adds a request to its queue. */
 void http_request_enqueue(struct http_client *c, struct http_request *r)
 {
 	struct http_queue *q = http_queue_get(c, r->queue_name);
 
 	r->waiting_in = q;
 	TAILQ_INSERT_TAIL(&q->waiting, r, entry);
-	request_due(c, r, clock_now());
-	queue_ready(c, q);
+	request_set_timer(c, r, clock_now());
+	queue_set_ready(c, q);
 }
 
-/* A request waits no more. */
-static void request_leave(struct http_client *c, struct http_request *r)
+/* Removes a waiting request from its queue. */
+static void request_dequeue(struct http_client *c, struct http_request *r)
 {
 	TAILQ_REMOVE(&r->waiting_in->waiting, r, entry);
 	heap_remove(&c->request_timers, &r->timer);
 }
 
-/* Tell the outcome of a request; it may come back for another round. */
+/*
+ * Reports the response to the sender, which may return a request to be queued
+ * again.
+ */
 void http_request_end(struct http_client *c, struct http_request *r,
 		      const struct http_response *a)
 {
@@ -127,7 +138,7 @@
 		atomic_fetch_sub(&c->request_count, 1);
 }
 
-/* Tell that a request never left. */
+/* Ends a request with HTTP_NOT_SENT. */
 void http_request_not_sent(struct http_client *c, struct http_request *r)
 {
 	struct http_response a = {.outcome = HTTP_NOT_SENT};
@@ -135,7 +146,7 @@
 	http_request_end(c, r, &a);
 }
 
-/* Begin what a queue has places for. */
+/* Starts as many waiting requests as the queue has capacity for. */
 static void queue_start(struct http_client *c, struct http_queue *q,
 			int64_t now)
 {
@@ -147,13 +158,16 @@
 		next = TAILQ_NEXT(r, entry);
 		if (r->start_at > now)
 			continue;
-		request_leave(c, r);
+		request_dequeue(c, r);
 		http_transfer_start(c, q, r);
 	}
 }
 
-/* Look at the waiting requests that are due, or out of time. */
-static void requests_due(struct http_client *c, int64_t now)
+/*
+ * Runs the timers of waiting requests. Those whose deadline has passed are not
+ * sent; the queues of those that may start now become ready.
+ */
+static void requests_run_timers(struct http_client *c, int64_t now)
 {
 	struct heap_node *n;
 	struct http_request *r;
@@ -161,32 +175,32 @@
 	while ((n = heap_first(&c->request_timers)) && n->due <= now) {
 		r = HEAP_ENTRY(n, struct http_request, timer);
 		if (now < r->deadline) {
-			request_due(c, r, now);
-			queue_ready(c, r->waiting_in);
+			request_set_timer(c, r, now);
+			queue_set_ready(c, r->waiting_in);
 			continue;
 		}
-		request_leave(c, r);
-		queue_settle(c, r->waiting_in);
+		request_dequeue(c, r);
+		queue_check_idle(c, r->waiting_in);
 		http_request_not_sent(c, r);
 	}
 }
 
-/* Begin what there are places for, and end what has waited too long. */
+/* Ends waiting requests that are too late and starts those of ready queues. */
 void http_queues_start(struct http_client *c)
 {
 	int64_t now = clock_now();
 	struct http_queue *q;
 
-	requests_due(c, now);
+	requests_run_timers(c, now);
 	while ((q = TAILQ_FIRST(&c->ready))) {
 		TAILQ_REMOVE(&c->ready, q, entry);
 		q->ready = false;
 		queue_start(c, q, now);
-		queue_settle(c, q);
+		queue_check_idle(c, q);
 	}
 }
 
-/* End all that waits: it never left. */
+/* Ends all waiting requests as not sent. */
 void http_queues_abort(struct http_client *c)
 {
 	struct heap_node *n;
@@ -194,9 +208,9 @@
 
 	while ((n = heap_first(&c->request_timers))) {
 		r = HEAP_ENTRY(n, struct http_request, timer);
-		request_leave(c, r);
-		queue_ready(c, r->waiting_in);
+		request_dequeue(c, r);
+		queue_set_ready(c, r->waiting_in);
 		http_request_not_sent(c, r);
 	}
-	http_queues_start(c); /* all are idle then */
+	http_queues_start(c); /* moves all queues to idle, to be freed */
 }
--- a/http-shard.c
+++ b/http-shard.c
@@ -1,12 +1,15 @@
+/* Groups of queues that share a libcurl multi handle, and their timers. */
 #include "http-state.h"
 
 #include <stdlib.h>
 
-/* Queues of a shard; a worker has two. */
-#define SHARD_QUEUES 32
+#define QUEUES_PER_SHARD 32 /* a worker has two queues */
 
-/* libcurl wants to look at its clock in so many ms; -1: not at all. */
-static int shard_timer(CURLM *multi, long ms, void *arg)
+/*
+ * Callback of libcurl: sets the time at which it wants to handle its timeouts.
+ * A negative time removes the timer.
+ */
+static int shard_set_timer(CURLM *multi, long ms, void *arg)
 {
 	struct http_shard *sh = arg;
 	struct http_client *c = sh->client;
@@ -19,47 +22,51 @@
 	return 0;
 }
 
-/* Make a shard. */
+/* Creates a shard with its multi handle. */
 static struct http_shard *shard_new(struct http_client *c)
 {
 	struct http_shard *sh = xcalloc(1, sizeof(*sh));
-	long most = (long)c->options.max_per_queue * SHARD_QUEUES;
+	long max_connections = (long)c->options.max_per_queue *
+			       QUEUES_PER_SHARD;
 	CURLM *m = curl_multi_init();
 
 	if (!m)
 		abort(); /* out of memory */
-	if (most > (long)c->options.max_requests)
-		most = (long)c->options.max_requests;
+	if (max_connections > (long)c->options.max_requests)
+		max_connections = (long)c->options.max_requests;
 	sh->client = c;
 	sh->multi = m;
 	curl_multi_setopt(m, CURLMOPT_PIPELINING, CURLPIPE_NOTHING);
-	curl_multi_setopt(m, CURLMOPT_MAXCONNECTS, most);
+	curl_multi_setopt(m, CURLMOPT_MAXCONNECTS, max_connections);
 	curl_multi_setopt(m, CURLMOPT_SOCKETFUNCTION, http_socket_watch);
 	curl_multi_setopt(m, CURLMOPT_SOCKETDATA, sh);
-	curl_multi_setopt(m, CURLMOPT_TIMERFUNCTION, shard_timer);
+	curl_multi_setopt(m, CURLMOPT_TIMERFUNCTION, shard_set_timer);
 	curl_multi_setopt(m, CURLMOPT_TIMERDATA, sh);
 	TAILQ_INSERT_HEAD(&c->available_shards, sh, entry);
 	return sh;
 }
 
-/* A shard for one more queue. */
+/* Returns a shard with capacity for one more queue, and counts the queue. */
 struct http_shard *http_shard_acquire(struct http_client *c)
 {
 	struct http_shard *sh = TAILQ_FIRST(&c->available_shards);
 
 	if (!sh)
 		sh = shard_new(c);
-	if (++sh->queues == SHARD_QUEUES)
+	if (++sh->queues == QUEUES_PER_SHARD)
 		TAILQ_REMOVE(&c->available_shards, sh, entry);
 	return sh;
 }
 
-/* A queue leaves its shard; the last one takes its connections with it. */
+/*
+ * Releases a shard from a queue. The last queue frees the shard, which closes
+ * its connections.
+ */
 void http_shard_release(struct http_shard *sh)
 {
 	struct http_client *c = sh->client;
 
-	if (sh->queues-- == SHARD_QUEUES)
+	if (sh->queues-- == QUEUES_PER_SHARD)
 		TAILQ_INSERT_HEAD(&c->available_shards, sh, entry);
 	if (sh->queues)
 		return;
@@ -69,7 +76,7 @@
 	free(sh);
 }
 
-/* Have the shards look at the clock that want to. */
+/* Lets libcurl handle the timeouts of the shards whose timers are due. */
 void http_shards_run_timers(struct http_client *c, int64_t now)
 {
 	struct heap_node *n;
