--- a/http-socket.c
+++ b/http-socket.c
@@ -1,3 +1,7 @@
+/*
+ * Sockets of connections: opens and closes them for libcurl, registers their
+ * events with epoll, and decides whether a connection may be reused.
+ */
 #include "http-state.h"
 
 #include <arpa/inet.h>
@@ -8,7 +12,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* What is known of a descriptor; made if there was nothing. */
+/* Returns the state of a file descriptor, which is created if necessary. */
 struct http_socket *http_socket_get(struct http_client *c, int fd)
 {
 	size_t count;
@@ -29,7 +33,7 @@
 	return c->sockets[fd];
 }
 
-/* The port in an address. */
+/* Returns the port of a socket address. */
 static uint16_t address_port(const struct sockaddr *a)
 {
 	if (a->sa_family == AF_INET6)
@@ -37,8 +41,8 @@
 	return ntohs(((const struct sockaddr_in *)a)->sin_port);
 }
 
-/* Note whereto a socket leads. */
-static void socket_peer(struct http_socket *s, const struct sockaddr *a)
+/* Sets the peer's address in the hash key of a socket. */
+static void socket_set_peer(struct http_socket *s, const struct sockaddr *a)
 {
 	const void *ip = &((const struct sockaddr_in *)a)->sin_addr;
 
@@ -48,8 +52,8 @@
 	s->key.peer_port = address_port(a);
 }
 
-/* Forget what was known of a socket that is closed. */
-static void socket_forget(struct http_client *c, struct http_socket *s)
+/* Clears the state of a socket, except for its descriptor. */
+static void socket_clear(struct http_client *c, struct http_socket *s)
 {
 	int fd = s->fd;
 
@@ -61,7 +65,7 @@
 	s->fd = fd;
 }
 
-/* Open a socket and note what is known of it. */
+/* Callback of libcurl: opens a socket and sets up its state. */
 curl_socket_t http_socket_open(void *arg, curlsocktype purpose,
 			       struct curl_sockaddr *a)
 {
@@ -74,35 +78,37 @@
 	if (fd < 0)
 		return CURL_SOCKET_BAD;
 	s = http_socket_get(c, fd);
-	socket_forget(c, s);
+	socket_clear(c, s);
 	s->serial = ++c->last_serial;
 	s->opened_at = clock_now();
-	socket_peer(s, &a->addr);
+	socket_set_peer(s, &a->addr);
 	TAILQ_INSERT_TAIL(&c->unhashed, s, entry);
 	return fd;
 }
 
 /*
- * Close a socket and throw away what it has not sent yet.  Otherwise the
- * kernel goes on sending a request that has run out of time, and a worker
- * that was cut off would start minutes later what is long taken as not
- * started.  With a linger time of zero nothing leaves this VM after the
- * request's outcome has been told.
+ * Callback of libcurl: closes a socket and discards its unsent data.
+ *
+ * The kernel would otherwise go on sending a request whose deadline has passed.
+ * A worker that had been unreachable would then start a task minutes after it
+ * was taken as not started. With a linger time of zero, nothing leaves this VM
+ * after the outcome of the request was reported.
  */
 int http_socket_close(void *arg, curl_socket_t fd)
 {
-	struct linger now = {.l_onoff = 1, .l_linger = 0};
+	struct linger reset = {.l_onoff = 1, .l_linger = 0};
 	struct http_client *c = arg;
 
-	socket_forget(c, http_socket_get(c, fd));
-	setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+	socket_clear(c, http_socket_get(c, fd));
+	setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
 	return close(fd);
 }
 
-/* Learn the local ports of sockets that have got one since they were opened. */
-static void sockets_name(struct http_client *c)
+/* Adds to the hash the sockets that were given a local port since the last
+ * call. */
+static void sockets_add_to_hash(struct http_client *c)
 {
-	struct sockaddr_in6 a; /* has room for either family */
+	struct sockaddr_in6 a; /* fits IPv4 and IPv6 */
 	struct http_socket *s, *next;
 	socklen_t len;
 
@@ -122,31 +128,36 @@
 }
 
 /*
- * Find the socket of a connection by its four numbers, which is how libcurl
- * names it before a request; CURLINFO_ACTIVESOCKET is not set yet then.
+ * Returns the socket of a connection, or NULL. Before a request libcurl
+ * identifies the connection by its addresses and ports only;
+ * CURLINFO_ACTIVESOCKET is not set yet then.
  */
 struct http_socket *http_socket_find(struct http_client *c, const char *peer_ip,
 				     int peer_port, int local_port)
 {
-	struct http_socket_key name = {.peer_port = (uint16_t)peer_port,
-				       .local_port = (uint16_t)local_port};
+	struct http_socket_key key = {.peer_port = (uint16_t)peer_port,
+				      .local_port = (uint16_t)local_port};
 	struct http_socket *s;
 
-	snprintf(name.peer_ip, sizeof(name.peer_ip), "%s", peer_ip);
-	HASH_FIND(hh, c->socket_hash, &name, sizeof(name), s);
+	snprintf(key.peer_ip, sizeof(key.peer_ip), "%s", peer_ip);
+	HASH_FIND(hh, c->socket_hash, &key, sizeof(key), s);
 	if (s)
 		return s;
-	sockets_name(c);
-	HASH_FIND(hh, c->socket_hash, &name, sizeof(name), s);
+	sockets_add_to_hash(c);
+	HASH_FIND(hh, c->socket_hash, &key, sizeof(key), s);
 	return s;
 }
 
 /*
- * May a connection carry a request?  Of those that have carried one before:
- * not if bytes wait on it, which are a second answer to the last request (or
- * its end) and would be taken as the answer to this one; and not if it is
- * older than the last silence on this queue, because something in between may
- * have lost track of it, and each such connection would cost a timeout.
+ * Returns true if a connection can carry a request of a queue. A new connection
+ * always can. One that has carried a request before cannot in two cases:
+ *
+ * - It has unread data or was closed by the peer. The data is a second response
+ *   to the last request and would be taken for the response to this one.
+ *
+ * - It was opened before the last timeout of the queue. A device on the path
+ * may have lost the state of the connection, and each such connection would
+ * cost another timeout.
  */
 bool http_socket_is_reusable(struct http_socket *s, const struct http_queue *q)
 {
@@ -162,7 +173,7 @@
 	       errno == EAGAIN;
 }
 
-/* Register the events of a socket; none: it is watched no more. */
+/* Registers the events of a socket with epoll; 0 removes the socket. */
 static void socket_register(struct http_client *c, struct http_socket *s,
 			    uint32_t events)
 {
@@ -175,14 +186,17 @@
 		return;
 	s->watched_events = events;
 	if (epoll_ctl(c->epoll, op, s->fd, &e) != 0 && events)
-		abort(); /* out of memory: nothing would wake the transfer */
+		abort(); /* out of memory; nothing would wake the transfer */
 }
 
 /*
- * libcurl tells what it waits for on a socket.  One that it has no use for
- * now stays registered for reading, for the next request will want that again;
- * but not one that it opened itself (a resolver's), whose closing is not told.
- * That of an attempt to connect that was given up is not told either.
+ * Callback of libcurl: sets the events that it waits for on a socket.
+ *
+ * A socket that has carried a request stays registered for reading while
+ * libcurl waits for nothing, because the next request needs that again. Any
+ * other socket is then removed and its state cleared, because libcurl may close
+ * it without a callback: one that libcurl opened itself, such as a resolver's,
+ * or one of an abandoned attempt to connect.
  */
 int http_socket_watch(CURL *easy, curl_socket_t fd, int what, void *arg,
 		      void *unused)
@@ -203,23 +217,25 @@
 	if (s->wanted_events || !s->used || s->watched_events != EPOLLIN)
 		socket_register(sh->client, s, s->wanted_events);
 	if (!s->wanted_events && !s->used)
-		socket_forget(sh->client, s);
+		socket_clear(sh->client, s);
 	return 0;
 }
 
-/* A socket has events. */
+/* Handles the epoll events of a socket. */
 void http_socket_ready(struct http_client *c, int fd, uint32_t events)
 {
 	struct http_socket *s = http_socket_get(c, fd);
 	struct http_shard *sh = s->shard;
 	int mask = 0, running;
 
-	/* Closed since, and perhaps opened anew, by what came before. */
+	/* Closed, and maybe reopened, while earlier events were handled. */
 	if (!s->watched_events)
 		return;
 	if (!s->wanted_events) {
-		/* The peer has closed an idle connection: seen at its next
-		 * use. */
+		/*
+		 * The peer has closed or written to an idle connection.
+		 * http_socket_is_reusable rejects it at its next use.
+		 */
 		socket_register(c, s, 0);
 		return;
 	}
@@ -233,7 +249,7 @@
 	http_transfers_reap(sh);
 }
 
-/* Free what is known of sockets; all are closed. */
+/* Frees the state of all sockets, which must be closed. */
 void http_sockets_free(struct http_client *c)
 {
 	size_t fd;
--- a/http-transfer.c
+++ b/http-transfer.c
@@ -1,3 +1,7 @@
+/*
+ * Transfers: runs each request on a libcurl easy handle, parses the response
+ * and decides on the outcome.
+ */
 #include "http-state.h"
 
 #include <math.h>
@@ -5,12 +9,13 @@
 #include <string.h>
 #include <strings.h>
 
-#define HEADERS_MAX 65536	 /* bytes of all header lines of an answer */
-#define RETRY_AFTER_MAX_MS 60000 /* a longer one is cut to this */
-#define CONNECTION_IDLE_S 60	 /* an idle connection is kept for */
+#define HEADERS_MAX 65536	 /* bytes of all header lines of a response */
+#define RETRY_AFTER_MAX_MS 60000 /* longer values are reduced to this */
+#define CONNECTION_IDLE_S 60	 /* before an idle connection is closed */
 
-/* Collect the answer's body, up to the bound. */
-static size_t answer_write(char *p, size_t size, size_t count, void *arg)
+/* Callback of libcurl: appends to the body, which has at most max_response
+ * bytes. */
+static size_t response_body(char *p, size_t size, size_t count, void *arg)
 {
 	struct http_transfer *t = arg;
 	bstr *body = &t->response.body;
@@ -32,7 +37,10 @@
 	return n;
 }
 
-/* Read Retry-After: seconds, decimals allowed, bounded. */
+/*
+ * Returns the value of a Retry-After header in ms, at most RETRY_AFTER_MAX_MS,
+ * or 0 if it is not a positive number of seconds. Decimals are accepted.
+ */
 static uint32_t retry_after_parse(const char *p, size_t len)
 {
 	char text[32], *end;
@@ -54,7 +62,7 @@
 	return (uint32_t)ceil(s * 1000);
 }
 
-/* If the line is the named header, give its value. */
+/* Returns the value of a header line if it has the given name, else NULL. */
 static const char *header_value(const char *line, size_t len, const char *name,
 				size_t *value_len)
 {
@@ -66,8 +74,8 @@
 	return line + n + 1;
 }
 
-/* Look at a header line. */
-static size_t answer_header(char *p, size_t size, size_t count, void *arg)
+/* Callback of libcurl: handles a header line of the response. */
+static size_t response_header(char *p, size_t size, size_t count, void *arg)
 {
 	struct http_transfer *t = arg;
 	size_t n = size * count, len;
@@ -79,7 +87,7 @@
 		return 0;
 	}
 	if (n > 5 && strncasecmp(p, "HTTP/", 5) == 0) {
-		/* The headers before were those of an interim answer. */
+		/* The previous headers were of an interim response (1xx). */
 		t->headers_done = false;
 		t->response.retry_after_ms = 0;
 		t->framed = false;
@@ -98,26 +106,26 @@
 }
 
 /*
- * Called when a connection stands and nothing of the request has been sent
- * on it; from here on the request may have arrived.
+ * Callback of libcurl: the connection is established and nothing of the request
+ * has been sent on it. Once this returns CURL_PREREQFUNC_OK, the server may
+ * receive the request.
  *
- * The deadline is looked at once more.  libcurl's timeout runs from when it
- * begins the transfer, and a round reads the clock once for all transfers: a
- * thread that gets no processor would send orders about machines long after
- * their deadline, beside those of a successor.  libcurl writes right after
- * this returns, all of a small request in one call, so what is late stays
- * here.  Not held back: what is late because the thread stops between the
- * look and that call, and what the kernel has taken before the deadline, until
- * http_socket_close().
+ * The deadline is checked again here. libcurl's timeout starts with the
+ * transfer, and an iteration of the event loop starts all its transfers at one
+ * reading of the clock. Without the check, a thread that is denied the CPU
+ * would send orders about machines long after their deadline, while a successor
+ * sends its own. The check is enough because libcurl writes right after this
+ * returns, and a small request in one call. Two cases remain: the thread is
+ * suspended between the check and that call, and data that the kernel accepted
+ * before the deadline is sent until http_socket_close.
  *
- * libcurl calls this again if it repeats the request by itself, which it does
- * when a connection it had kept turns out to be closed without a byte of an
- * answer.  The peer may then see the request twice; that is safe because
- * commits are idempotent by their txid, starts and orders by the task, and
- * objects never change.
+ * libcurl calls this again if it repeats the request by itself. It does so when
+ * a reused connection was closed without a byte of a response. The server may
+ * then receive the request twice, which is safe: commits are idempotent by
+ * txid, starts and orders by task, and objects never change.
  */
-static int request_ready(void *arg, char *peer_ip, char *local_ip,
-			 int peer_port, int local_port)
+static int transfer_prereq(void *arg, char *peer_ip, char *local_ip,
+			   int peer_port, int local_port)
 {
 	struct http_transfer *t = arg;
 	struct http_socket *s = http_socket_find(t->client, peer_ip, peer_port,
@@ -140,7 +148,7 @@
 	return CURL_PREREQFUNC_OK;
 }
 
-/* Make a handle with the options that all requests share. */
+/* Creates a transfer with the options that are the same for all requests. */
 static struct http_transfer *transfer_new(struct http_client *c)
 {
 	struct http_transfer *t = xcalloc(1, sizeof(*t));
@@ -163,20 +171,23 @@
 			 (long)c->options.connect_ms);
 	if (c->tls_ca)
 		curl_easy_setopt(h, CURLOPT_CAINFO, c->tls_ca);
-	curl_easy_setopt(h, CURLOPT_WRITEFUNCTION, answer_write);
+	curl_easy_setopt(h, CURLOPT_WRITEFUNCTION, response_body);
 	curl_easy_setopt(h, CURLOPT_WRITEDATA, t);
-	curl_easy_setopt(h, CURLOPT_HEADERFUNCTION, answer_header);
+	curl_easy_setopt(h, CURLOPT_HEADERFUNCTION, response_header);
 	curl_easy_setopt(h, CURLOPT_HEADERDATA, t);
 	curl_easy_setopt(h, CURLOPT_OPENSOCKETFUNCTION, http_socket_open);
 	curl_easy_setopt(h, CURLOPT_OPENSOCKETDATA, c);
 	curl_easy_setopt(h, CURLOPT_CLOSESOCKETFUNCTION, http_socket_close);
 	curl_easy_setopt(h, CURLOPT_CLOSESOCKETDATA, c);
-	curl_easy_setopt(h, CURLOPT_PREREQFUNCTION, request_ready);
+	curl_easy_setopt(h, CURLOPT_PREREQFUNCTION, transfer_prereq);
 	curl_easy_setopt(h, CURLOPT_PREREQDATA, t);
 	return t;
 }
 
-/* Hand a transfer to libcurl, with the time that is left. */
+/*
+ * Starts a transfer with the time until its deadline as timeout. Returns false
+ * if none is left or libcurl refuses the transfer.
+ */
 static bool transfer_add(struct http_transfer *t)
 {
 	int64_t left = t->request->deadline - clock_now();
@@ -188,7 +199,7 @@
 	       CURLM_OK;
 }
 
-/* Give a transfer back and tell its outcome. */
+/* Ends a transfer, keeps it for reuse and reports the response. */
 static void transfer_end(struct http_transfer *t, enum http_outcome outcome)
 {
 	struct http_client *c = t->client;
@@ -203,12 +214,13 @@
 }
 
 /*
- * Give a transfer its request's headers, with the client's behind them.  The
- * list's nodes are the transfer's own and its texts the request's: libcurl
- * keeps a pointer only, and a copy of each would be made for every request.
+ * Sets the headers of the request, followed by those of the client. The list is
+ * built from nodes in the transfer that point to the strings of the request,
+ * which libcurl does not copy. curl_slist_append would copy each string for
+ * every request.
  */
-static void transfer_headers(struct http_transfer *t,
-			     const struct http_request *r)
+static void transfer_set_headers(struct http_transfer *t,
+				 const struct http_request *r)
 {
 	struct curl_slist *next = t->client->headers;
 	size_t i;
@@ -223,9 +235,9 @@
 	curl_easy_setopt(t->easy, CURLOPT_HTTPHEADER, next);
 }
 
-/* Give a transfer its request's method and body. */
-static void transfer_method(struct http_transfer *t,
-			    const struct http_request *r)
+/* Sets the method and the body of the request. */
+static void transfer_set_method(struct http_transfer *t,
+				const struct http_request *r)
 {
 	CURL *h = t->easy;
 
@@ -242,7 +254,10 @@
 			 r->body.bstr_val ? r->body.bstr_val : "");
 }
 
-/* Begin the exchange of a request whose queue has a place for it. */
+/*
+ * Starts a request, whose queue must have capacity for it. The request ends at
+ * once if its deadline has passed or its body cannot be built.
+ */
 void http_transfer_start(struct http_client *c, struct http_queue *q,
 			 struct http_request *r)
 {
@@ -268,17 +283,18 @@
 
 	h = t->easy;
 	curl_easy_setopt(h, CURLOPT_URL, r->url);
-	transfer_headers(t, r);
+	transfer_set_headers(t, r);
 	curl_easy_setopt(h, CURLOPT_FRESH_CONNECT, 0L);
-	transfer_method(t, r);
+	transfer_set_method(t, r);
 	if (!transfer_add(t))
 		transfer_end(t, HTTP_NOT_SENT);
 }
 
 /*
- * What a finished transfer amounts to.  libcurl takes two kinds of answers
- * that are cut short for whole ones: headers that end with the connection,
- * and a body without a length, which ends where the connection does.
+ * Returns the outcome of a completed transfer. libcurl reports success for two
+ * kinds of truncated responses: one whose connection was closed within the
+ * headers, and one with a body of unknown length, which ends with the
+ * connection.
  */
 static enum http_outcome transfer_outcome(struct http_transfer *t, CURLcode rc)
 {
@@ -301,8 +317,12 @@
 	}
 }
 
-/* End a transfer that libcurl is done with, or send it by a fresh way. */
-static void transfer_done(struct http_transfer *t, CURLcode rc)
+/*
+ * Ends a transfer that libcurl has completed. If its connection was stale, the
+ * transfer is started again on a new connection instead. A timeout marks all
+ * older connections of the queue as not reusable.
+ */
+static void transfer_complete(struct http_transfer *t, CURLcode rc)
 {
 	struct http_client *c = t->client;
 
@@ -322,7 +342,7 @@
 	transfer_end(t, transfer_outcome(t, rc));
 }
 
-/* Take the finished transfers out of libcurl. */
+/* Ends the transfers of a shard that libcurl has completed. */
 void http_transfers_reap(struct http_shard *sh)
 {
 	struct http_transfer *t;
@@ -333,11 +353,11 @@
 		if (msg->msg != CURLMSG_DONE)
 			continue;
 		curl_easy_getinfo(msg->easy_handle, CURLINFO_PRIVATE, &t);
-		transfer_done(t, msg->data.result);
+		transfer_complete(t, msg->data.result);
 	}
 }
 
-/* End all that is under way: what was sent has no answer. */
+/* Ends all running transfers: those that were sent have no response. */
 void http_transfers_abort(struct http_client *c)
 {
 	struct http_transfer *t;
@@ -348,7 +368,7 @@
 	}
 }
 
-/* Free the handles; none is under way. */
+/* Frees all transfers, none of which may be running. */
 void http_transfers_free(struct http_client *c)
 {
 	struct http_transfer *t;
