--- a/rpc-client.c
+++ b/rpc-client.c
@@ -1,3 +1,12 @@
+/*
+ * ONC RPC client and record marking. As in rpc-server.c, libtirpc encodes the
+ * messages, and the sockets are handled here.
+ *
+ * libtirpc's clnt_vc restarts its timeout with each byte that it receives. A
+ * server that sends a byte at a time, or that answers other calls without end,
+ * held a call with a deadline of 300 ms for more than ten seconds. Its write
+ * has no timeout at all. Here the deadline holds whatever the server does.
+ */
 #include "bamboofront.h"
 
 #include <arpa/inet.h>
@@ -11,16 +20,8 @@
 
 #include "rpc-client.h"
 
-/*
- * As in rpc-server.c the messages are libtirpc's and the sockets are ours.
- * clnt_vc's timeout begins anew with each byte that comes, so that a server
- * which dribbles, or answers other calls without end, held a call with a
- * deadline of 300 ms for more than ten seconds; its write has no timeout at
- * all.  Here the deadline holds whatever the other end does.
- */
-
-#define FRAGMENT_LAST 0x80000000u
-#define FRAGMENT_MARK 4 /* bytes of the mark before each fragment */
+#define FRAGMENT_LAST 0x80000000u /* flag in the mark of a fragment */
+#define FRAGMENT_MARK 4		  /* bytes of the mark before each fragment */
 #define FRAGMENTS_MAX 256
 #define READ_BYTES 4096
 
@@ -31,10 +32,13 @@
 	uint32_t xid;
 	uint8_t *in;
 	size_t in_len;
-	size_t in_room;
+	size_t in_capacity;
 };
 
-/* Is a whole record at the start of these bytes? */
+/*
+ * Checks whether p starts with a complete record. If so, payload is the length
+ * of the message and raw that of the record with its marks.
+ */
 enum rpc_record_result rpc_record_find(const uint8_t *p, size_t len,
 				       size_t *payload, size_t *raw)
 {
@@ -64,7 +68,7 @@
 	return RPC_RECORD_INVALID;
 }
 
-/* Join the fragments of a whole record, taking out the marks. */
+/* Joins the fragments of a complete record in place, without the marks. */
 void rpc_record_join(uint8_t *p, size_t payload)
 {
 	size_t from = 0, to = 0, fragment;
@@ -79,7 +83,7 @@
 	}
 }
 
-/* Make a record of one fragment from the two parts of a message. */
+/* Returns a record of one fragment with the two parts of a message. */
 bstr rpc_record_new(bstr head, bstr body)
 {
 	uint32_t mark = htonl(FRAGMENT_LAST | (head.bstr_len + body.bstr_len));
@@ -97,7 +101,10 @@
 	return b;
 }
 
-/* Turn an IP number and a port into a socket address. */
+/*
+ * Converts a numeric IP address and a port to a socket address. Returns false
+ * if host is neither an IPv4 nor an IPv6 address.
+ */
 bool socket_address(const char *host, uint16_t port,
 		    struct sockaddr_storage *sa, socklen_t *len)
 {
@@ -120,7 +127,7 @@
 	return false;
 }
 
-/* Split "ip:port" or "[ip]:port"; false if it is neither. */
+/* Parses "ip:port" or "[ip]:port"; returns false if address is neither. */
 static bool address_parse(bstr address, struct sockaddr_storage *sa,
 			  socklen_t *len)
 {
@@ -143,8 +150,8 @@
 	return ok;
 }
 
-/* Milliseconds until a deadline, as poll wants them. */
-static int ms_left(int64_t deadline)
+/* Returns the time until a deadline in ms, in the range that poll accepts. */
+static int ms_until(int64_t deadline)
 {
 	int64_t left = deadline - clock_now();
 
@@ -153,24 +160,27 @@
 	return left > INT32_MAX ? INT32_MAX : (int)left;
 }
 
-/* Wait until a socket is ready; false at the deadline. */
+/* Waits until a socket is ready. Returns false at the deadline. */
 static bool socket_wait(int fd, short events, int64_t deadline)
 {
 	struct pollfd p = {.fd = fd, .events = events};
 	int n;
 
 	do
-		n = poll(&p, 1, ms_left(deadline));
+		n = poll(&p, 1, ms_until(deadline));
 	while (n < 0 && errno == EINTR);
 	return n > 0;
 }
 
-/* Connect without blocking; -1 on failure. */
+/*
+ * Returns a non-blocking socket that is connected, or -1 on failure or at the
+ * deadline.
+ */
 static int socket_connect(const struct sockaddr_storage *sa, socklen_t len,
 			  int64_t deadline)
 {
-	int fd, one = 1, failed = 0;
-	socklen_t size = sizeof(failed);
+	int fd, one = 1, err = 0;
+	socklen_t size = sizeof(err);
 
 	fd = socket(sa->ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC,
 		    0);
@@ -179,13 +189,16 @@
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
 	if (!connect(fd, (const struct sockaddr *)sa, len) ||
 	    (errno == EINPROGRESS && socket_wait(fd, POLLOUT, deadline) &&
-	     !getsockopt(fd, SOL_SOCKET, SO_ERROR, &failed, &size) && !failed))
+	     !getsockopt(fd, SOL_SOCKET, SO_ERROR, &err, &size) && !err))
 		return fd;
 	close(fd);
 	return -1;
 }
 
-/* Open a connection; NULL if it is not there by the deadline. */
+/*
+ * Opens a connection. Returns NULL if the address is malformed or the
+ * connection is not established by the deadline.
+ */
 struct rpc_client *rpc_client_open(bstr address, uint32_t program,
 				   uint32_t version, int64_t deadline)
 {
@@ -208,8 +221,8 @@
 }
 
 /*
- * Is the connection fit for another call?  A server that has closed it, or
- * bytes that nobody asked for, make it readable.
+ * Returns true if an idle connection can carry another call. It is readable,
+ * and so cannot, if the server has closed it or has sent unsolicited data.
  */
 bool rpc_client_alive(const struct rpc_client *c)
 {
@@ -218,7 +231,10 @@
 	return poll(&p, 1, 0) == 0;
 }
 
-/* Write a call whole; until it is, the server can't carry it out. */
+/*
+ * Writes a complete record. Returns false on failure or at the deadline; the
+ * server cannot execute a call of which a part is missing.
+ */
 static bool client_write(const struct rpc_client *c, bstr record,
 			 int64_t deadline)
 {
@@ -239,18 +255,18 @@
 	return true;
 }
 
-/* Read some bytes. */
+/* Waits for data and appends it to the buffer. */
 static enum clnt_stat client_read(struct rpc_client *c, int64_t deadline)
 {
 	ssize_t n;
 
-	if (!ms_left(deadline) || !socket_wait(c->fd, POLLIN, deadline))
+	if (!ms_until(deadline) || !socket_wait(c->fd, POLLIN, deadline))
 		return RPC_TIMEDOUT;
-	if (c->in_room - c->in_len < READ_BYTES) {
-		c->in_room = c->in_len * 2 + READ_BYTES;
-		c->in = xrealloc(c->in, c->in_room, 1);
+	if (c->in_capacity - c->in_len < READ_BYTES) {
+		c->in_capacity = c->in_len * 2 + READ_BYTES;
+		c->in = xrealloc(c->in, c->in_capacity, 1);
 	}
-	n = recv(c->fd, c->in + c->in_len, c->in_room - c->in_len, 0);
+	n = recv(c->fd, c->in + c->in_len, c->in_capacity - c->in_len, 0);
 	if (n > 0)
 		c->in_len += (size_t)n;
 	else if (n == 0 || (errno != EAGAIN && errno != EINTR))
@@ -258,9 +274,9 @@
 	return RPC_SUCCESS;
 }
 
-/* Decode an answer and its result, which is the caller's to free. */
-static enum clnt_stat client_decode(uint8_t *p, size_t len, xdrproc_t proc,
-				    void *result)
+/* Decodes a reply and its result, which the caller must free. */
+static enum clnt_stat client_decode_reply(uint8_t *p, size_t len,
+					  xdrproc_t proc, void *result)
 {
 	char verf[MAX_AUTH_BYTES];
 	struct rpc_msg msg = {0};
@@ -279,9 +295,9 @@
 	return err.re_status;
 }
 
-/* Wait for the answer to the call; answers to others are passed over. */
-static enum clnt_stat client_answer(struct rpc_client *c, xdrproc_t proc,
-				    void *result, int64_t deadline)
+/* Waits for the reply to the current call; other replies are ignored. */
+static enum clnt_stat client_await_reply(struct rpc_client *c, xdrproc_t proc,
+					 void *result, int64_t deadline)
 {
 	enum clnt_stat stat;
 	size_t payload, raw;
@@ -304,7 +320,8 @@
 		if (payload >= sizeof(xid))
 			memcpy(&xid, c->in, sizeof(xid));
 		if (payload >= sizeof(xid) && ntohl(xid) == c->xid)
-			stat = client_decode(c->in, payload, proc, result);
+			stat = client_decode_reply(c->in, payload, proc,
+						   result);
 		else
 			stat = RPC_INPROGRESS;
 		c->in_len -= raw;
@@ -314,7 +331,10 @@
 	}
 }
 
-/* Make one call. */
+/*
+ * Makes a call and waits for its reply. A connection on which a call has failed
+ * must be closed.
+ */
 enum clnt_stat rpc_client_call(struct rpc_client *c, uint32_t procedure,
 			       const sealed *args, xdrproc_t proc, void *result,
 			       int64_t deadline)
@@ -339,10 +359,10 @@
 	bstr_free(&record);
 	if (!sent)
 		return RPC_CANTSEND;
-	return client_answer(c, proc, result, deadline);
+	return client_await_reply(c, proc, result, deadline);
 }
 
-/* Close the connection. */
+/* Closes a connection and frees it; c may be NULL. */
 void rpc_client_close(struct rpc_client *c)
 {
 	if (!c)
--- a/rpc-server.c
+++ b/rpc-server.c
@@ -1,3 +1,14 @@
+/*
+ * ONC RPC server. libtirpc encodes the messages (xdr_callmsg, xdr_replymsg),
+ * and the sockets are handled here.
+ *
+ * libtirpc's own transport, svc_vc, keeps its connections in tables of the
+ * whole process. It enables the mode that tolerates an incomplete record only
+ * on connections that it accepts itself. And it busy-waits for two seconds in
+ * the server's thread when a client does not read its reply, during which no
+ * other client is served. Here each server has its own thread, and no
+ * connection can block it.
+ */
 #include "bamboofront.h"
 
 #include <arpa/inet.h>
@@ -14,19 +25,9 @@
 #include "rpc-client.h"
 #include "rpc-server.h"
 
-/*
- * The messages are libtirpc's (xdr_callmsg, xdr_replymsg); the sockets are
- * ours.  Its svc_vc transport keeps its connections in tables of the whole
- * process, sets the mode that withstands a half-sent record only on
- * connections that it accepts itself, and spins for two seconds in the
- * server's thread when a client doesn't read its answer, during which
- * nobody else is served.  Here each listener has its own thread and no
- * connection can make it wait.
- */
-
-#define READ_BYTES 65536 /* of one connection in one round */
-#define ACCEPT_PAUSE_MS 100
-#define STOP_MS 1000 /* answers are still written for so long */
+#define READ_BYTES 65536    /* per connection and iteration of the loop */
+#define ACCEPT_PAUSE_MS 100 /* after descriptors or memory ran out */
+#define STOP_MS 1000	    /* replies are still written for this long */
 
 struct rpc_timeouts rpc_timeouts = {
 	.record_ms = 5000,
@@ -37,8 +38,8 @@
 
 enum conn_state {
 	CONN_IDLE,
-	CONN_READING, /* part of a record is here */
-	CONN_CALLED,  /* the answer is awaited */
+	CONN_READING,	 /* a part of a record has been received */
+	CONN_DISPATCHED, /* waits for the service to reply */
 	CONN_WRITING
 };
 
@@ -46,13 +47,13 @@
 	int fd;
 	enum conn_state state;
 	int64_t deadline; /* of the state */
-	bool dead;
+	bool closing;	  /* at the next server_close_conns */
 	uint64_t call;
 	uint32_t xid;
 	uint8_t *in;
-	size_t in_at; /* what comes before has been taken */
+	size_t in_start; /* data before it has been processed */
 	size_t in_len;
-	size_t in_room;
+	size_t in_capacity;
 	uint8_t *out;
 	size_t out_len;
 	size_t out_sent;
@@ -65,18 +66,18 @@
 	int listen_fd;
 	int stop_fd;
 	uint16_t port;
-	int64_t accept_at;     /* not before: descriptors ran out */
+	int64_t accept_at;     /* no connection is accepted earlier */
 	int64_t stop_deadline; /* 0: not stopping */
 	uint64_t next_call;
 	struct rpc_conn **conns; /* conn_count of them */
 	size_t conn_count;
-	bool again;	    /* a connection may hold a whole record already */
+	bool buffered; /* a complete record may be buffered: do not sleep */
 	struct pollfd *fds; /* POLL_CONNS, then one for each connection */
 };
 
 enum { POLL_STOP, POLL_LISTEN, POLL_WAKE, POLL_CONNS };
 
-/* Start a thread with every signal blocked. */
+/* Starts a thread with all signals blocked. */
 void rpc_thread_start(pthread_t *thread, void *(*run)(void *), void *arg)
 {
 	sigset_t all, old;
@@ -88,8 +89,8 @@
 	pthread_sigmask(SIG_SETMASK, &old, NULL);
 }
 
-/* Enter a state and set its deadline. */
-static void conn_enter(struct rpc_conn *conn, enum conn_state state)
+/* Changes the state of a connection and sets the deadline of the state. */
+static void conn_set_state(struct rpc_conn *conn, enum conn_state state)
 {
 	conn->state = state;
 	switch (state) {
@@ -100,16 +101,17 @@
 	case CONN_WRITING:
 		conn->deadline = clock_now() + rpc_timeouts.record_ms;
 		break;
-	case CONN_CALLED:
-		conn->deadline = INT64_MAX; /* the edge answers in time */
+	case CONN_DISPATCHED:
+		conn->deadline = INT64_MAX; /* the service replies in time */
 		break;
 	}
 }
 
 /*
- * Close a connection.  An answer that is still unsent would stay with the
- * kernel for as long as the other end leaves its window shut; a reset drops
- * it and tells the other end.
+ * Closes and frees a connection. If a reply has not been written completely,
+ * the connection is reset. The kernel would otherwise keep the data for as long
+ * as the client's receive window is closed; a reset discards it and notifies
+ * the client.
  */
 static void conn_free(struct rpc_conn *conn)
 {
@@ -124,17 +126,20 @@
 	free(conn);
 }
 
-/* Give up a connection for what it sent. */
-static void conn_refuse(const struct rpc_server *srv, struct rpc_conn *conn,
+/* Marks a misbehaving connection for closing; logs and counts the reason. */
+static void conn_reject(const struct rpc_server *srv, struct rpc_conn *conn,
 			enum counter_id counter, const char *why)
 {
-	conn->dead = true;
+	conn->closing = true;
 	counter_add(counter, 1);
 	log_event(LOG_BAD_INPUT, "%s: %s; connection closed", srv->service.name,
 		  why);
 }
 
-/* Write what the socket takes now. */
+/*
+ * Writes as much of the reply as the socket accepts. Once it is complete, the
+ * connection may process the next record, which may be buffered already.
+ */
 static void conn_write(struct rpc_server *srv, struct rpc_conn *conn)
 {
 	ssize_t n;
@@ -148,7 +153,7 @@
 		if (n < 0 && errno == EAGAIN)
 			return;
 		if (n < 0) {
-			conn->dead = true;
+			conn->closing = true;
 			return;
 		}
 		conn->out_sent += (size_t)n;
@@ -156,11 +161,11 @@
 	free(conn->out);
 	conn->out = NULL;
 	conn->out_len = conn->out_sent = 0;
-	conn_enter(conn, CONN_READING);
-	srv->again = true;
+	conn_set_state(conn, CONN_READING);
+	srv->buffered = true;
 }
 
-/* Encode an answer as a record of one fragment and begin to write it. */
+/* Encodes a reply as a record of one fragment and starts to write it. */
 static void conn_reply(struct rpc_server *srv, struct rpc_conn *conn,
 		       struct rpc_msg *msg)
 {
@@ -174,14 +179,14 @@
 	conn->out_len = record.bstr_len;
 	bstr_free(&b);
 	conn->call = 0;
-	conn_enter(conn, CONN_WRITING);
+	conn_set_state(conn, CONN_WRITING);
 	conn_write(srv, conn);
 }
 
-/* Answer that the call was accepted, with what came of it. */
-static void conn_accepted(struct rpc_server *srv, struct rpc_conn *conn,
-			  enum accept_stat stat, xdrproc_t proc,
-			  const void *result)
+/* Replies that a call was accepted, with its status and its result, if any. */
+static void conn_reply_accepted(struct rpc_server *srv, struct rpc_conn *conn,
+				enum accept_stat stat, xdrproc_t proc,
+				const void *result)
 {
 	struct rpc_msg msg = {0};
 
@@ -198,53 +203,57 @@
 	conn_reply(srv, conn, &msg);
 }
 
-/* Find the connection that awaits the answer to a call. */
-static struct rpc_conn *server_find(struct rpc_server *srv, uint64_t call)
+/* Returns the connection that waits for the reply to a call, or NULL. */
+static struct rpc_conn *server_find_conn(struct rpc_server *srv, uint64_t call)
 {
 	size_t i;
 
 	for (i = 0; i < srv->conn_count; i++)
-		if (srv->conns[i]->call == call && !srv->conns[i]->dead)
+		if (srv->conns[i]->call == call && !srv->conns[i]->closing)
 			return srv->conns[i];
 	return NULL;
 }
 
-/* Answer a call with its result. */
+/* Replies to a call with its result; false if the client has disconnected. */
 bool rpc_server_reply(struct rpc_server *srv, uint64_t call, xdrproc_t proc,
 		      const void *result)
 {
-	struct rpc_conn *conn = server_find(srv, call);
+	struct rpc_conn *conn = server_find_conn(srv, call);
 
 	if (!conn)
 		return false;
-	conn_accepted(srv, conn, SUCCESS, proc, result);
+	conn_reply_accepted(srv, conn, SUCCESS, proc, result);
 	return true;
 }
 
-/* Answer that a call failed on this side. */
+/* Replies to a call with an RPC error; false if the client has disconnected. */
 bool rpc_server_fail(struct rpc_server *srv, uint64_t call,
 		     enum accept_stat why)
 {
-	struct rpc_conn *conn = server_find(srv, call);
+	struct rpc_conn *conn = server_find_conn(srv, call);
 
 	if (!conn)
 		return false;
-	conn_accepted(srv, conn, why, NULL, NULL);
+	conn_reply_accepted(srv, conn, why, NULL, NULL);
 	return true;
 }
 
-/* Answer that a call's seal did not hold. */
+/*
+ * Replies to a call that its seal was rejected, and logs and counts that.
+ * Returns false if the client has disconnected.
+ */
 bool rpc_server_deny(struct rpc_server *srv, uint64_t call,
 		     enum seal_result why)
 {
-	struct rpc_conn *conn = server_find(srv, call);
+	struct rpc_conn *conn = server_find_conn(srv, call);
 	struct rpc_msg msg = {0};
 
 	counter_add(COUNT_REFUSED_SEAL, 1);
 	log_event(LOG_BAD_SEAL, "%s: %s", srv->service.name,
-		  why == SEAL_EXPIRED	 ? "late, or the clocks differ"
-		  : why == SEAL_REPLAYED ? "replayed, or too many at once"
-					 : "bad MAC");
+		  why == SEAL_EXPIRED ? "expired, or the clocks differ"
+		  : why == SEAL_REPLAYED
+			  ? "replayed, or the replay guard is full"
+			  : "bad MAC");
 	if (!conn)
 		return false;
 	msg.rm_reply.rp_stat = MSG_DENIED;
@@ -255,7 +264,7 @@
 	return true;
 }
 
-/* Dispatch a call whose arguments come next in x. */
+/* Passes a call to the service; x is positioned at the arguments. */
 static void conn_dispatch(struct rpc_server *srv, struct rpc_conn *conn,
 			  const struct call_body *body, XDR *x, size_t payload)
 {
@@ -263,28 +272,30 @@
 	sealed envelope;
 
 	if (body->cb_prog != service->program) {
-		conn_accepted(srv, conn, PROG_UNAVAIL, NULL, NULL);
+		conn_reply_accepted(srv, conn, PROG_UNAVAIL, NULL, NULL);
 	} else if (body->cb_vers != service->version) {
-		conn_accepted(srv, conn, PROG_MISMATCH, NULL, NULL);
+		conn_reply_accepted(srv, conn, PROG_MISMATCH, NULL, NULL);
 	} else if (body->cb_proc != service->procedure) {
-		conn_accepted(srv, conn, PROC_UNAVAIL, NULL, NULL);
+		conn_reply_accepted(srv, conn, PROC_UNAVAIL, NULL, NULL);
 	} else {
 		memset(&envelope, 0, sizeof(envelope));
 		if (xdr_sealed(x, &envelope) && xdr_getpos(x) == payload) {
 			service->on_call(service->arg, conn->call, &envelope);
 		} else {
 			counter_add(COUNT_REFUSED_MALFORMED, 1);
-			log_event(LOG_BAD_INPUT, "%s: arguments don't decode",
+			log_event(LOG_BAD_INPUT,
+				  "%s: arguments cannot be decoded",
 				  service->name);
-			conn_accepted(srv, conn, GARBAGE_ARGS, NULL, NULL);
+			conn_reply_accepted(srv, conn, GARBAGE_ARGS, NULL,
+					    NULL);
 		}
 		xdr_free(XDR_PROC(xdr_sealed), (char *)&envelope);
 	}
 }
 
-/* Decode one record as a call. */
-static void conn_call(struct rpc_server *srv, struct rpc_conn *conn,
-		      size_t payload)
+/* Decodes a record as a call and dispatches it. */
+static void conn_decode_call(struct rpc_server *srv, struct rpc_conn *conn,
+			     size_t payload)
 {
 	char cred[MAX_AUTH_BYTES], verf[MAX_AUTH_BYTES];
 	struct rpc_msg msg = {0};
@@ -292,54 +303,58 @@
 
 	msg.rm_call.cb_cred.oa_base = cred;
 	msg.rm_call.cb_verf.oa_base = verf;
-	xdrmem_create(&x, (char *)conn->in + conn->in_at, (u_int)payload,
+	xdrmem_create(&x, (char *)conn->in + conn->in_start, (u_int)payload,
 		      XDR_DECODE);
 	if (xdr_callmsg(&x, &msg)) {
 		conn->xid = msg.rm_xid;
 		conn->call = srv->next_call++;
-		conn_enter(conn, CONN_CALLED);
+		conn_set_state(conn, CONN_DISPATCHED);
 		conn_dispatch(srv, conn, &msg.rm_call, &x, payload);
 	} else {
-		conn_refuse(srv, conn, COUNT_REFUSED_MALFORMED,
-			    "a record that is no call");
+		conn_reject(srv, conn, COUNT_REFUSED_MALFORMED,
+			    "a record is not a call");
 	}
 	xdr_destroy(&x);
 }
 
-/* Handle the record at the start of what has been read, if it is whole. */
-static bool conn_take(struct rpc_server *srv, struct rpc_conn *conn)
+/*
+ * Processes the first record in the buffer. Returns false if it is incomplete
+ * or invalid.
+ */
+static bool conn_process_record(struct rpc_server *srv, struct rpc_conn *conn)
 {
 	size_t payload, raw;
 
-	switch (rpc_record_find(conn->in + conn->in_at,
-				conn->in_len - conn->in_at, &payload, &raw)) {
+	switch (rpc_record_find(conn->in + conn->in_start,
+				conn->in_len - conn->in_start, &payload,
+				&raw)) {
 	case RPC_RECORD_PARTIAL:
 		return false;
 	case RPC_RECORD_TOO_LONG:
-		conn_refuse(srv, conn, COUNT_REFUSED_BODY_TOO_LARGE,
-			    "a record over the bound");
+		conn_reject(srv, conn, COUNT_REFUSED_BODY_TOO_LARGE,
+			    "a record is too long");
 		return false;
 	case RPC_RECORD_INVALID:
-		conn_refuse(srv, conn, COUNT_REFUSED_MALFORMED,
-			    "a record in too many fragments");
+		conn_reject(srv, conn, COUNT_REFUSED_MALFORMED,
+			    "a record has too many fragments");
 		return false;
 	case RPC_RECORD_COMPLETE:
 		break;
 	}
-	rpc_record_join(conn->in + conn->in_at, payload);
-	conn_call(srv, conn, payload);
-	conn->in_at += raw;
+	rpc_record_join(conn->in + conn->in_start, payload);
+	conn_decode_call(srv, conn, payload);
+	conn->in_start += raw;
 	return true;
 }
 
-/* Read what is there, up to a bound for each round. */
+/* Reads up to READ_BYTES into the buffer. Returns false if nothing was read. */
 static bool conn_read(struct rpc_conn *conn)
 {
 	ssize_t n;
 
-	if (conn->in_room - conn->in_len < READ_BYTES) {
-		conn->in_room = conn->in_len + READ_BYTES;
-		conn->in = xrealloc(conn->in, conn->in_room, 1);
+	if (conn->in_capacity - conn->in_len < READ_BYTES) {
+		conn->in_capacity = conn->in_len + READ_BYTES;
+		conn->in = xrealloc(conn->in, conn->in_capacity, 1);
 	}
 	n = recv(conn->fd, conn->in + conn->in_len, READ_BYTES, MSG_DONTWAIT);
 	if (n > 0) {
@@ -347,78 +362,85 @@
 		return true;
 	}
 	if (n == 0 || (errno != EAGAIN && errno != EINTR))
-		conn->dead = true;
+		conn->closing = true;
 	return false;
 }
 
-/* Drop what has been taken; without anything left the connection is idle. */
+/*
+ * Removes processed data from the buffer. A connection that waits for a record
+ * becomes idle if no data is left.
+ */
 static void conn_compact(struct rpc_conn *conn)
 {
-	conn->in_len -= conn->in_at;
+	conn->in_len -= conn->in_start;
 	if (conn->in_len) {
-		memmove(conn->in, conn->in + conn->in_at, conn->in_len);
+		memmove(conn->in, conn->in + conn->in_start, conn->in_len);
 	} else {
 		free(conn->in);
 		conn->in = NULL;
-		conn->in_room = 0;
+		conn->in_capacity = 0;
 		if (conn->state == CONN_READING)
-			conn_enter(conn, CONN_IDLE);
+			conn_set_state(conn, CONN_IDLE);
 	}
-	conn->in_at = 0;
+	conn->in_start = 0;
 }
 
-/* Go on with a connection; one call at a time, calls in their order. */
-static void conn_serve(struct rpc_server *srv, struct rpc_conn *conn,
-		       short revents)
+/*
+ * Handles the poll events of a connection. Its calls are processed one at a
+ * time and in order.
+ */
+static void conn_handle_events(struct rpc_server *srv, struct rpc_conn *conn,
+			       short revents)
 {
-	if (conn->state == CONN_CALLED) {
+	if (conn->state == CONN_DISPATCHED) {
 		if (revents)
-			conn->dead = true; /* nobody is left to answer */
+			conn->closing = true; /* the client has disconnected */
 		return;
 	}
 	if (conn->state == CONN_WRITING && revents)
 		conn_write(srv, conn);
 	else if (revents && conn_read(conn) && conn->state == CONN_IDLE)
-		conn_enter(conn, CONN_READING);
+		conn_set_state(conn, CONN_READING);
 	if (conn->state != CONN_READING)
 		return;
-	while (!conn->dead && conn->state == CONN_READING)
-		if (!conn_take(srv, conn))
+	while (!conn->closing && conn->state == CONN_READING)
+		if (!conn_process_record(srv, conn))
 			break;
 	conn_compact(conn);
 }
 
-/* Close a connection whose state has lasted too long. */
+/* Marks a connection for closing if the deadline of its state has passed. */
 static void conn_expire(const struct rpc_server *srv, struct rpc_conn *conn,
 			int64_t now)
 {
-	if (conn->dead || now < conn->deadline)
+	if (conn->closing || now < conn->deadline)
 		return;
 	if (conn->state == CONN_IDLE)
-		conn->dead = true;
+		conn->closing = true;
 	else
-		conn_refuse(srv, conn, COUNT_DROPPED_SLOW,
+		conn_reject(srv, conn, COUNT_DROPPED_SLOW,
 			    conn->state == CONN_READING
-				    ? "a record was not whole in time"
-				    : "an answer was not read in time");
+				    ? "a record was not received in time"
+				    : "a reply was not read in time");
 }
 
-/* Add an accepted socket. */
-static void server_add(struct rpc_server *srv, int fd)
+/* Adds a connection for an accepted socket. */
+static void server_add_conn(struct rpc_server *srv, int fd)
 {
 	struct rpc_conn *conn = xcalloc(1, sizeof(*conn));
 	int one = 1;
 
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
 	conn->fd = fd;
-	conn_enter(conn, CONN_IDLE);
+	conn_set_state(conn, CONN_IDLE);
 	srv->conns[srv->conn_count++] = conn;
 }
 
 /*
- * Accept what waits.  When no descriptor is left the listener stays readable
- * and a loop would spin on it; a pause keeps the thread free for the calls
- * that will give descriptors back.
+ * Accepts all pending connections. When no descriptor is left, the listening
+ * socket stays readable and the event loop would spin on it. Accepting is
+ * paused then, so that the thread can serve the connections whose end frees
+ * descriptors.
  */
 static void server_accept(struct rpc_server *srv)
 {
@@ -427,13 +449,13 @@
 	while ((fd = accept4(srv->listen_fd, NULL, NULL,
 			     SOCK_CLOEXEC | SOCK_NONBLOCK)) >= 0) {
 		if (srv->conn_count < srv->service.max_connections) {
-			server_add(srv, fd);
+			server_add_conn(srv, fd);
 			continue;
 		}
 		counter_add(COUNT_REFUSED_CONNECTIONS, 1);
 		log_event(LOG_REFUSED_CONNECTION,
-			  "%s: %zu connections are open", srv->service.name,
-			  srv->conn_count);
+			  "%s: %zu connections are open already",
+			  srv->service.name, srv->conn_count);
 		close(fd);
 	}
 	if (errno == EMFILE || errno == ENFILE || errno == ENOMEM) {
@@ -444,7 +466,7 @@
 	}
 }
 
-/* What to poll a connection for. */
+/* Returns the events to poll a connection for. */
 static short conn_events(const struct rpc_conn *conn)
 {
 	switch (conn->state) {
@@ -453,14 +475,14 @@
 		return POLLIN;
 	case CONN_WRITING:
 		return POLLOUT;
-	case CONN_CALLED:
+	case CONN_DISPATCHED:
 		break;
 	}
 	return POLLRDHUP;
 }
 
-/* Fill the poll set; returns the first deadline, at most `until`. */
-static int64_t server_poll_set(struct rpc_server *srv, int64_t until)
+/* Fills the poll set. Returns the earliest deadline, at most until. */
+static int64_t server_fill_poll_set(struct rpc_server *srv, int64_t until)
 {
 	struct pollfd *p = srv->fds;
 	const struct rpc_conn *conn;
@@ -488,18 +510,21 @@
 	return until;
 }
 
-/* Serve every connection once. */
-static void server_round(struct rpc_server *srv)
+/* Handles the poll events of all connections. */
+static void server_serve_conns(struct rpc_server *srv)
 {
 	size_t i;
 
 	for (i = 0; i < srv->conn_count; i++)
-		conn_serve(srv, srv->conns[i],
-			   srv->fds[POLL_CONNS + i].revents);
+		conn_handle_events(srv, srv->conns[i],
+				   srv->fds[POLL_CONNS + i].revents);
 }
 
-/* Close what is over; true if an answer is still being written. */
-static bool server_sweep(struct rpc_server *srv)
+/*
+ * Closes the connections that are marked or expired. Returns true if a reply is
+ * still being written.
+ */
+static bool server_close_conns(struct rpc_server *srv)
 {
 	int64_t now = clock_now();
 	struct rpc_conn *conn;
@@ -509,7 +534,7 @@
 	for (i = 0; i < srv->conn_count; i++) {
 		conn = srv->conns[i];
 		conn_expire(srv, conn, now);
-		if (conn->dead) {
+		if (conn->closing) {
 			conn_free(conn);
 			continue;
 		}
@@ -520,23 +545,24 @@
 	return writing;
 }
 
-/* Sleep until something is to be done. */
-static void server_sleep(struct rpc_server *srv, int64_t until)
+/* Waits for events, until a deadline or until a timeout of a connection. */
+static void server_poll(struct rpc_server *srv, int64_t until)
 {
 	int64_t left;
 
-	until = server_poll_set(srv, until);
+	until = server_fill_poll_set(srv, until);
 	left = until - clock_now();
-	if (left < 0 || srv->again)
+	if (left < 0 || srv->buffered)
 		left = 0;
-	srv->again = false;
+	srv->buffered = false;
 	if (left > INT32_MAX)
 		left = INT32_MAX;
+	/* After EINTR, revents are stale: accept at the next iteration. */
 	if (poll(srv->fds, POLL_CONNS + srv->conn_count, (int)left) < 0)
-		srv->fds[POLL_LISTEN].revents = 0; /* EINTR: look again */
+		srv->fds[POLL_LISTEN].revents = 0;
 }
 
-/* The loop of the listener's thread. */
+/* The event loop of the server's thread. */
 static void *server_run(void *arg)
 {
 	struct rpc_server *srv = arg;
@@ -545,15 +571,16 @@
 	bool writing;
 
 	for (;;) {
-		server_sleep(srv, until);
+		server_poll(srv, until);
 		if (srv->fds[POLL_STOP].revents)
 			srv->stop_deadline = clock_now() + STOP_MS;
 		if (srv->fds[POLL_WAKE].revents)
 			mailbox_clear_wakeup(service->wake);
-		server_round(srv);
+		server_serve_conns(srv);
 		if (service->on_loop)
 			until = service->on_loop(service->arg, clock_now());
-		writing = server_sweep(srv); /* makes room for new ones */
+		/* Comes before accepting, because it may free capacity. */
+		writing = server_close_conns(srv);
 		if (srv->fds[POLL_LISTEN].revents)
 			server_accept(srv);
 		if (srv->stop_deadline &&
@@ -562,9 +589,9 @@
 	}
 }
 
-/* Bind and listen; -1 with a finding on failure. */
-static int server_listen(struct rpc_server *srv,
-			 const struct address *listen_at, struct error *e)
+/* Returns a listening socket, or -1 with an error. */
+static int server_listen(struct rpc_server *srv, const struct address *address,
+			 struct error *e)
 {
 	struct sockaddr_storage sa;
 	socklen_t len;
@@ -572,8 +599,8 @@
 	char *place = xasprintf("%s.listen", srv->service.name);
 
 	fd = -1;
-	if (!socket_address(listen_at->host, listen_at->port, &sa, &len)) {
-		error_add(e, place, "%s is no IP number", listen_at->host);
+	if (!socket_address(address->host, address->port, &sa, &len)) {
+		error_add(e, place, "%s is not an IP address", address->host);
 		goto out;
 	}
 	fd = socket(sa.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC,
@@ -583,8 +610,8 @@
 	if (fd < 0 || bind(fd, (struct sockaddr *)&sa, len) ||
 	    listen(fd, SOMAXCONN) ||
 	    getsockname(fd, (struct sockaddr *)&sa, &len)) {
-		error_add(e, place, "%s:%u: %s", listen_at->host,
-			  listen_at->port, strerror(errno));
+		error_add(e, place, "%s:%u: %s", address->host, address->port,
+			  strerror(errno));
 		if (fd >= 0)
 			close(fd);
 		fd = -1;
@@ -599,12 +626,12 @@
 }
 
 /*
- * Bind a listener; NULL with a finding if that fails.  Call identifiers
- * begin at the wall clock, so that an answer that comes late, for a call to
- * the process that ran here before, fits no call of this one.
+ * Creates a server that is bound but not started. Returns NULL with an error if
+ * it cannot listen. Call ids start at the wall clock, so that a late reply to a
+ * call that a previous process received matches no call of this one.
  */
 struct rpc_server *rpc_server_new(const struct rpc_service *service,
-				  const struct address *listen_at,
+				  const struct address *address,
 				  struct error *e)
 {
 	struct rpc_server *srv = xcalloc(1, sizeof(*srv));
@@ -613,7 +640,7 @@
 		abort();
 	srv->service = *service;
 	srv->next_call = (uint64_t)clock_wall() << 20;
-	srv->listen_fd = server_listen(srv, listen_at, e);
+	srv->listen_fd = server_listen(srv, address, e);
 	if (srv->listen_fd < 0) {
 		free(srv);
 		return NULL;
@@ -628,20 +655,20 @@
 	return srv;
 }
 
-/* Start serving. */
+/* Starts the server's thread. */
 void rpc_server_start(struct rpc_server *srv)
 {
 	rpc_thread_start(&srv->thread, server_run, srv);
 	srv->started = true;
 }
 
-/* The port that was bound. */
+/* Returns the port that the server listens on. */
 uint16_t rpc_server_port(const struct rpc_server *srv)
 {
 	return srv->port;
 }
 
-/* Stop serving, write out the answers that are there, and free. */
+/* Stops a server, after writing the replies that are ready, and frees it. */
 void rpc_server_stop(struct rpc_server *srv)
 {
 	uint64_t one = 1;
