--- a/http-socket.c
+++ b/http-socket.c
@@ -104,8 +104,7 @@
 	return close(fd);
 }
 
-/* Adds to the hash the sockets that were given a local port since the last
- * call. */
+/* Adds the sockets to the hash that have a local port by now. */
 static void sockets_add_to_hash(struct http_client *c)
 {
 	struct sockaddr_in6 a; /* fits IPv4 and IPv6 */
@@ -150,14 +149,12 @@
 
 /*
  * Returns true if a connection can carry a request of a queue. A new connection
- * always can. One that has carried a request before cannot in two cases:
- *
- * - It has unread data or was closed by the peer. The data is a second response
- *   to the last request and would be taken for the response to this one.
- *
- * - It was opened before the last timeout of the queue. A device on the path
- * may have lost the state of the connection, and each such connection would
- * cost another timeout.
+ * always can. One that has carried a request before cannot if it has unread
+ * data or was closed by the peer: the data is a second response to the last
+ * request and would be taken for the response to this one. Nor can it if it was
+ * opened before the last timeout of the queue: a device on the path may have
+ * lost the state of the connection, and each such connection would cost another
+ * timeout.
  */
 bool http_socket_is_reusable(struct http_socket *s, const struct http_queue *q)
 {
--- a/http-transfer.c
+++ b/http-transfer.c
@@ -13,8 +13,7 @@
 #define RETRY_AFTER_MAX_MS 60000 /* longer values are reduced to this */
 #define CONNECTION_IDLE_S 60	 /* before an idle connection is closed */
 
-/* Callback of libcurl: appends to the body, which has at most max_response
- * bytes. */
+/* Callback of libcurl: appends to the body, up to max_response bytes. */
 static size_t response_body(char *p, size_t size, size_t count, void *arg)
 {
 	struct http_transfer *t = arg;
