--- a/bamboofront-entryd.c
+++ b/bamboofront-entryd.c
@@ -33,7 +33,7 @@
 struct entry {
 	char *path;
 	struct entry_settings settings;
-	struct timespec settings_mtime; /* of the settings file */
+	struct timespec settings_mtime;
 	int64_t settings_poll_at;
 	struct mailbox *store_inbox; /* has precedence, see platform/calls.c */
 	struct mailbox *inbox;
