--- a/sched-job.c
+++ b/sched-job.c
@@ -1,6 +1,6 @@
 /*
- * The owner's book of jobs: their occurrences and tasks, what is ready, and
- * when a job is final.
+ * The jobs that the owner tracks: their occurrences and tasks, which steps are
+ * ready to run, and when a job is final.
  */
 #include "sched-state.h"
 
@@ -8,13 +8,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The wall clock jumps; an occurrence is begun no sooner than this late, to
- * be on the right side of the 250 ms that its start may be early. */
-#define DUE_SLACK_MS 20
-/* Jobs whose rows are removed together, three of each. */
+/*
+ * An occurrence may start at most 250 ms before its time.  It is created this
+ * long after its time, so that small jumps of the wall clock don't make it
+ * start too early.
+ */
+#define OCCURRENCE_DELAY_MS 20
+/* Jobs whose rows are removed by one transaction; each has up to three rows. */
 #define SWEEP_JOBS_MAX 30
 
-/* Find a job of the book. */
+/* Returns the job with this id, or NULL if the owner does not track it. */
 struct job *sched_job_find(struct sched *s, const char *id)
 {
 	struct job *j;
@@ -23,45 +26,60 @@
 	return j;
 }
 
-/* The step of a task. */
+/* Returns the step that a task belongs to. */
 const struct job_step *task_step(const struct task *t)
 {
 	return &t->occ->job->body->steps[t->step];
 }
 
-/* The name of a task on its worker: ID.K.STEP.INDEX. */
+/*
+ * Returns the name of a task on its worker, ID.OCCURRENCE.STEP.INDEX.  The
+ * caller frees it.
+ */
 bstr task_name(const struct task *t)
 {
 	return bstr_printf("%s.%u.%u.%u", t->occ->job->id, t->occ->number,
 			   t->step, t->index);
 }
 
-/* Find what a job refers to in the configuration in force. */
-static void job_configure(const struct sched *s, struct job *j)
+/*
+ * Looks up the route and the organisation of a job, unless that was done since
+ * the configuration changed.
+ */
+static void job_lookup_config(const struct sched *s, struct job *j)
 {
 	if (j->estimate.config_serial == s->config_serial)
 		return;
 	j->estimate.route = route_named(s, j->route);
 	j->estimate.tenant = tenant_named(s, j->tenant);
-	j->estimate.pool = NULL; /* the queue may lead to another one */
+	j->estimate.pool = NULL; /* the route may name another service now */
 	j->estimate.config_serial = s->config_serial;
 }
 
-/* A job's queue in the configuration in force; NULL: it is not there. */
+/*
+ * Returns a job's route in the current configuration, or NULL if it has been
+ * removed.
+ */
 const struct route *job_route(const struct sched *s, struct job *j)
 {
-	job_configure(s, j);
+	job_lookup_config(s, j);
 	return j->estimate.route;
 }
 
-/* A job's organisation there; NULL: it is not there. */
+/*
+ * Returns a job's organisation in the current configuration, or NULL if it has
+ * been removed.
+ */
 const struct tenant *job_tenant(const struct sched *s, struct job *j)
 {
-	job_configure(s, j);
+	job_lookup_config(s, j);
 	return j->estimate.tenant;
 }
 
-/* The service whose workers run a job now. */
+/*
+ * Returns the service whose workers run the job now.  If the route has been
+ * removed, this is the service at the time the job was accepted.
+ */
 bstr job_service(const struct sched *s, struct job *j)
 {
 	const struct route *r = job_route(s, j);
@@ -70,9 +88,9 @@
 }
 
 /*
- * Is it known where the tasks of a job are?  They can be on workers of the
- * service that its queue leads to, or of the one that it led to when the job
- * was accepted.
+ * Returns true if all runs of a job that earlier owners left are known.  They
+ * can be on workers of the service that its route names now, or of the one that
+ * it named when the job was accepted.
  */
 bool job_is_settled(struct sched *s, struct job *j)
 {
@@ -82,28 +100,29 @@
 	return j->settled;
 }
 
-/* Does a job's progress, as it was read, show that a task of it has begun? */
+/* Returns true if a job's progress row shows that one of its tasks has run. */
 static bool progress_has_run(const struct job *j)
 {
 	const struct occurrence *o;
-	unsigned i, open = 0;
+	unsigned i, unfinished = 0;
 
 	TAILQ_FOREACH(o, &j->occs, entry) {
-		open++;
+		unfinished++;
 		for (i = 0; i < o->task_count; i++)
 			if (o->tasks[i].phase == PHASE_DONE ||
 			    o->tasks[i].failure_count ||
 			    o->tasks[i].checkpoint.bstr_len)
 				return true;
 	}
-	return j->next_occurrence > open;
+	return j->next_occurrence > unfinished;
 }
 
 /*
- * Has no task of a job begun?  Only a worker's word counts: an owner orders
- * starts that workers turn away or never get, and writes that a job may run
- * before its first start.  Counted as begun, all that waits in an overload or
- * at a takeover would seem to run, and callers would be told that none waits.
+ * Returns true if no task of a job has run yet.  Only reports of workers count:
+ * the owner also orders starts that workers refuse or never receive, and it
+ * records that a job may run before it orders the first start.  If those
+ * counted, all jobs that wait during an overload or after a takeover would seem
+ * to run, and callers would be told that none waits.
  */
 bool job_waits(const struct job *j)
 {
@@ -111,11 +130,11 @@
 }
 
 /*
- * May tasks of a job start?  Before the first of them the store has to know.
- * A successor can then start at once what is queued there, wherever workers
- * are out of its reach; it would have to wait for the end of all leases
- * otherwise, 6 s for jobs that have never begun.  Costs one write, which goes
- * with others, and its few milliseconds, once a job.
+ * Returns true if tasks of a job may be started.  The store has to record that
+ * before the first start.  A successor can then start jobs without that record
+ * at once, even if it can't reach some workers; otherwise it would have to wait
+ * for the end of all leases, 6 s, for jobs that never began.  The cost is one
+ * row per job, written together with others, and a few milliseconds of delay.
  */
 bool job_begin(struct sched *s, struct job *j)
 {
@@ -129,7 +148,10 @@
 	return false;
 }
 
-/* A job's progress as it is has been written. */
+/*
+ * Called when the current progress of a job has been written.  Once that
+ * includes its start, its tasks may be placed.
+ */
 void job_mark_durable(struct sched *s, struct job *j)
 {
 	if (j->start_durable || j->dirty_seq || j->status != JOB_STATUS_RUNNING)
@@ -138,36 +160,42 @@
 	s->place_due = true;
 }
 
-/* A task changes its phase; its step's pending tasks are counted. */
+/*
+ * Changes the phase of a task and updates the count of pending tasks of its
+ * step.
+ */
 void task_phase(struct task *t, enum run_phase phase)
 {
-	struct pending_tasks *r = &t->occ->pending_tasks[t->step];
+	struct pending_tasks *p = &t->occ->pending_tasks[t->step];
 
 	if (t->phase == PHASE_PENDING)
-		r->count--;
+		p->count--;
 	if (phase == PHASE_PENDING)
-		r->count++;
+		p->count++;
 	t->phase = phase;
 }
 
-/* A task is not placed before a time. */
+/* Delays the placement of a task until the given time. */
 void task_pause(struct task *t, int64_t until)
 {
-	struct pending_tasks *r = &t->occ->pending_tasks[t->step];
+	struct pending_tasks *p = &t->occ->pending_tasks[t->step];
 
 	t->not_before = until;
-	if (until > r->retry_at_max)
-		r->retry_at_max = until;
+	if (until > p->retry_at_max)
+		p->retry_at_max = until;
 }
 
-/* Since when has a pending task been ready?  0: it is not. */
+/*
+ * Returns the time since which a pending task has been ready, or 0 if it is
+ * not.
+ */
 int64_t task_ready_at(const struct task *t)
 {
 	return t->ready_at ? t->ready_at
 			   : t->occ->pending_tasks[t->step].ready_at;
 }
 
-/* Make the tasks of an occurrence. */
+/* Creates an occurrence of a job, with all its tasks pending. */
 void job_make_occurrence(struct job *j, unsigned k)
 {
 	struct occurrence *o = xcalloc(1, sizeof(*o));
@@ -202,7 +230,7 @@
 	TAILQ_INSERT_TAIL(&j->occs, o, entry);
 }
 
-/* Free an occurrence; none of its tasks is anywhere. */
+/* Frees an occurrence.  None of its tasks may be placed on a worker. */
 static void occurrence_free(struct occurrence *o)
 {
 	unsigned i;
@@ -217,8 +245,10 @@
 	free(o);
 }
 
-/* Take a job's tasks off their workers' lists, whatever they do there. */
-static void job_detach(struct sched *s, struct job *j)
+/*
+ * Removes a job's tasks from the lists of their workers, without stopping them.
+ */
+static void job_unplace_tasks(struct sched *s, struct job *j)
 {
 	struct occurrence *o;
 	unsigned i;
@@ -230,12 +260,12 @@
 	}
 }
 
-/* Free a job. */
+/* Frees a job and removes it from all lists. */
 void sched_job_free(struct sched *s, struct job *j)
 {
 	struct occurrence *o;
 
-	job_detach(s, j);
+	job_unplace_tasks(s, j);
 	if (j->dirty_seq)
 		TAILQ_REMOVE(&s->dirty, j, dirty);
 	else if (j->commit_seq)
@@ -255,7 +285,7 @@
 	free(j);
 }
 
-/* Is everything before a step done? */
+/* Returns true if all prerequisites of a step are done. */
 bool step_ready(const struct occurrence *o, unsigned at)
 {
 	const struct job_step *st = &o->job->body->steps[at];
@@ -267,12 +297,15 @@
 	return true;
 }
 
-/* A job's progress has changed and is to be written. */
+/* Queues a job whose progress has changed for the next commit. */
 void job_mark_dirty(struct sched *s, struct job *j)
 {
 	if (j->dirty_seq || j->recommit_seq)
 		return;
-	/* In the commit under way: it is written once more after that. */
+	/*
+	 * It is part of the commit in flight and has to be written again after
+	 * that.
+	 */
 	if (j->commit_seq) {
 		j->recommit_seq = ++s->dirty_seq;
 		return;
@@ -281,7 +314,7 @@
 	TAILQ_INSERT_TAIL(&s->dirty, j, dirty);
 }
 
-/* Remember a final job until its rows may go. */
+/* Remembers a final job until its rows may be removed. */
 static void job_retire(struct sched *s, const char *id, int64_t ended)
 {
 	struct retired *r;
@@ -296,7 +329,7 @@
 	TAILQ_INSERT_TAIL(&s->retired_order, r, entry);
 }
 
-/* Forget a final job. */
+/* Forgets a final job. */
 void job_unretire(struct sched *s, struct retired *r)
 {
 	TAILQ_REMOVE(&s->retired_order, r, entry);
@@ -305,8 +338,8 @@
 	free(r);
 }
 
-/* Stop all that a final job still has on workers. */
-static void job_stop(struct sched *s, struct job *j)
+/* Orders the stop of all tasks that a job has on workers. */
+static void job_stop_tasks(struct sched *s, struct job *j)
 {
 	struct occurrence *o;
 	unsigned i;
@@ -318,60 +351,64 @@
 	}
 }
 
-/* Give a job its final state. */
-static void job_finish(struct sched *s, struct job *j, enum job_status fate)
+/* Gives a job its final state, unless it has one. */
+static void job_finish(struct sched *s, struct job *j, enum job_status status)
 {
 	if (j->status > JOB_STATUS_RUNNING)
 		return;
-	j->status = fate;
+	j->status = status;
 	j->ended = s->wall;
 	sched_count(s,
-		    fate == JOB_STATUS_COMPLETED ? COUNT_JOBS_DONE
-		    : fate == JOB_STATUS_FAILED	 ? COUNT_JOBS_FAILED
-						 : COUNT_JOBS_NOT_RUN,
+		    status == JOB_STATUS_COMPLETED ? COUNT_JOBS_DONE
+		    : status == JOB_STATUS_FAILED  ? COUNT_JOBS_FAILED
+						   : COUNT_JOBS_NOT_RUN,
 		    1);
 	sched_log(s, LOG_JOB_FINAL,
 		  "job=%s queue=%.*s state=%s starts=%u ms=%lld late_ms=%lld",
-		  j->id, BSTR_ARG(j->route), job_status_name(fate), j->starts,
+		  j->id, BSTR_ARG(j->route), job_status_name(status), j->starts,
 		  (long long)(s->now - j->arrived),
 		  (long long)(j->due ? s->now - j->due : 0));
 	if (!j->inherited)
 		sched_observe(s, HISTOGRAM_JOB, s->now - j->arrived);
-	job_stop(s, j);
+	job_stop_tasks(s, j);
 	job_mark_dirty(s, j);
 	s->place_due = true;
 }
 
 /*
- * May runs of a job that an earlier owner started still come to light?  Of a
- * final one they are to be stopped, and count for their organisation until
- * they have ended: others started beside them would be above its upper limit.
+ * Returns true if runs of a job that an earlier owner started may still be
+ * unknown.  A final job has to be kept until they are found: they have to be
+ * stopped, and they count towards the organisation's usage until they have
+ * ended.  Without that, tasks started beside them would exceed its upper limit.
  */
-static bool job_may_show_up(struct sched *s, struct job *j)
+static bool job_may_have_unknown_runs(struct sched *s, struct job *j)
 {
 	return j->inherited && !s->settled && !job_is_settled(s, j);
 }
 
-/* A final job whose state is durable and that runs nowhere is forgotten. */
+/*
+ * Stops tracking a job that is final, once its final state is durable and it
+ * has no run left.
+ */
 void job_retire_if_done(struct sched *s, struct job *j)
 {
 	if (j->status <= JOB_STATUS_RUNNING || j->dirty_seq || j->commit_seq ||
-	    j->placed || job_may_show_up(s, j))
+	    j->placed || job_may_have_unknown_runs(s, j))
 		return;
 	job_retire(s, j->id, j->ended);
 	sched_job_free(s, j);
 }
 
-/* Are all times of a job done? */
+/* Returns true if all occurrences of a job are done. */
 static bool job_is_done(const struct job *j)
 {
-	unsigned times = j->body->repeat_count ? j->body->repeat_count : 1;
+	unsigned count = j->body->repeat_count ? j->body->repeat_count : 1;
 
-	return j->next_occurrence >= times && TAILQ_EMPTY(&j->occs);
+	return j->next_occurrence >= count && TAILQ_EMPTY(&j->occs);
 }
 
-/* Make the occurrences that are due. */
-static void job_due(struct sched *s, struct job *j)
+/* Creates the occurrences of a job that are due. */
+static void job_make_due_occurrences(struct sched *s, struct job *j)
 {
 	const struct job_body *b = j->body;
 	int64_t due;
@@ -389,7 +426,7 @@
 	while (j->next_occurrence < b->repeat_count) {
 		due = b->first_at +
 		      (int64_t)j->next_occurrence * b->interval_ms;
-		if (s->wall < due + DUE_SLACK_MS)
+		if (s->wall < due + OCCURRENCE_DELAY_MS)
 			return;
 		job_make_occurrence(j, j->next_occurrence++);
 		s->place_due = true;
@@ -397,7 +434,7 @@
 	}
 }
 
-/* Put a job into the book. */
+/* Starts to track a job. */
 static void job_add(struct sched *s, struct job *j)
 {
 	j->arrived = s->now;
@@ -405,10 +442,10 @@
 	HASH_ADD(hh, s->jobs, id, JOB_ID_BYTES, j);
 	TAILQ_INSERT_TAIL(&s->order, j, entry);
 	if (!j->inherited)
-		job_due(s, j);
+		job_make_due_occurrences(s, j);
 }
 
-/* A job's cancel has been written. */
+/* Handles the cancellation of a job. */
 static void job_cancel(struct sched *s, const char *id)
 {
 	struct job *j = sched_job_find(s, id);
@@ -419,11 +456,11 @@
 	job_finish(s, j, JOB_STATUS_CANCELLED);
 }
 
-/* A row of a job, or of its cancel. */
+/* Handles a row of TABLE_JOBS: a job or its cancellation. */
 void job_row_apply(struct sched *s, struct row *r)
 {
 	char id[JOB_ID_BYTES + 1] = "";
-	struct retired *done;
+	struct retired *retired;
 	struct job *j;
 
 	if (r->removed || r->kind == ROW_BAD || r->key.bstr_len < JOB_ID_BYTES)
@@ -433,8 +470,8 @@
 		job_cancel(s, id);
 		return;
 	}
-	HASH_FIND(hh, s->retired, id, JOB_ID_BYTES, done);
-	if (done || sched_job_find(s, id))
+	HASH_FIND(hh, s->retired, id, JOB_ID_BYTES, retired);
+	if (retired || sched_job_find(s, id))
 		return;
 	j = job_row_read(id, r->value);
 	if (!j) {
@@ -450,11 +487,14 @@
 			  (unsigned long long)r->revision);
 }
 
-/* A row of progress, read at a takeover after the jobs' rows. */
+/*
+ * Handles a row of TABLE_PROGRESS.  They are read at a takeover, after the rows
+ * of the jobs.
+ */
 void progress_row_apply(struct sched *s, struct row *r)
 {
 	char id[JOB_ID_BYTES + 1] = "";
-	enum job_status fate;
+	enum job_status status;
 	struct job *j;
 	int64_t ended;
 	bstr tenant;
@@ -463,16 +503,16 @@
 	    r->key.bstr_len != JOB_ID_BYTES)
 		return;
 	memcpy(id, r->key.bstr_val, JOB_ID_BYTES);
-	if (!progress_peek(r->value, &tenant, &fate, &ended)) {
+	if (!progress_peek(r->value, &tenant, &status, &ended)) {
 		sched_log(s, LOG_JOURNAL_BAD, "progress=%s", id);
 		return;
 	}
 	bstr_free(&tenant);
 	j = sched_job_find(s, id);
-	if (fate > JOB_STATUS_RUNNING) {
+	if (status > JOB_STATUS_RUNNING) {
 		job_retire(s, id, ended);
 		if (j && j->inherited) {
-			j->status = fate;
+			j->status = status;
 			j->ended = ended;
 		}
 		return;
@@ -486,7 +526,7 @@
 		j->start_durable = j->start_was_durable = true;
 }
 
-/* A task has ended as done. */
+/* Handles the end of a run that completed its task. */
 void job_task_done(struct sched *s, struct task *t)
 {
 	struct occurrence *o = t->occ;
@@ -506,15 +546,18 @@
 		job_finish(s, j, JOB_STATUS_COMPLETED);
 }
 
-/* How often may a task of a job fail? */
-static unsigned job_attempts(const struct sched *s, struct job *j)
+/* Returns the number of failed runs of a task after which its job fails. */
+static unsigned job_max_attempts(const struct sched *s, struct job *j)
 {
 	const struct route *r = job_route(s, j);
 
 	return r && r->attempts ? r->attempts : 1;
 }
 
-/* Failed runs of a task; of a gang, whose members fail for all, of it. */
+/*
+ * Returns the number of failed runs that count for a task.  The tasks of a gang
+ * end together, so the failures of all of them count.
+ */
 static unsigned task_failures(const struct task *t)
 {
 	const struct occurrence *o = t->occ;
@@ -527,8 +570,8 @@
 	return n;
 }
 
-/* Was a failed run counted before? */
-static bool failure_is_known(const struct task *t, uint64_t run)
+/* Returns true if this failed run of a task has been counted already. */
+static bool failure_is_counted(const struct task *t, uint64_t run)
 {
 	unsigned i;
 
@@ -539,15 +582,15 @@
 }
 
 /*
- * A run of a task has ended as failed; the task is not placed now.  Ends of
- * several workers come in any order, and again after a takeover, so each run
- * is counted by its number.
+ * Handles the failed end of a run.  The task is no longer placed.  Ends from
+ * several workers arrive in any order, and again after a takeover, so run
+ * numbers are compared to count each run once.
  */
 void job_task_failed(struct sched *s, struct task *t, uint64_t run)
 {
 	struct job *j = t->occ->job;
 
-	if (failure_is_known(t, run))
+	if (failure_is_counted(t, run))
 		return;
 	if (t->failure_count < FAILED_RUNS_MAX)
 		t->failed_runs[t->failure_count] = run;
@@ -555,11 +598,11 @@
 	job_mark_dirty(s, j);
 	if (task_step(t)->long_running)
 		return;
-	if (task_failures(t) >= job_attempts(s, j))
+	if (task_failures(t) >= job_max_attempts(s, j))
 		job_finish(s, j, JOB_STATUS_FAILED);
 }
 
-/* Find one time of a job. */
+/* Returns occurrence k of a job, or NULL. */
 struct occurrence *occurrence_find(const struct job *j, unsigned k)
 {
 	struct occurrence *o;
@@ -571,18 +614,20 @@
 }
 
 /*
- * Make what a worker speaks of: the occurrences up to one that an owner has
- * begun whose wall clock was ahead of this VM's; or just that one, of a job
- * that was final when it was read and has none.
+ * Creates the occurrence k that a worker has named.  If the wall clock of an
+ * earlier owner was ahead of this VM's, the occurrences up to k are created
+ * early.  A job that was final when it was read has no occurrences; only the
+ * named one is created, so that its runs can be stopped.
  */
-static void job_catch_up(struct sched *s, struct job *j, unsigned k)
+static void job_make_missing_occurrences(struct sched *s, struct job *j,
+					 unsigned k)
 {
-	unsigned times = j->body->repeat_count ? j->body->repeat_count : 1;
+	unsigned count = j->body->repeat_count ? j->body->repeat_count : 1;
 
-	if (k >= times)
+	if (k >= count)
 		return;
 	if (j->status > JOB_STATUS_RUNNING) {
-		if (job_may_show_up(s, j) && !occurrence_find(j, k))
+		if (job_may_have_unknown_runs(s, j) && !occurrence_find(j, k))
 			job_make_occurrence(j, k);
 		return;
 	}
@@ -592,8 +637,11 @@
 	}
 }
 
-/* Read ".NUMBER" and move on; false: that is not there. */
-static bool number_take(bstr *text, unsigned *n)
+/*
+ * Parses ".NUMBER" at the start of text and removes it from there.  Returns
+ * false if text does not start with that.
+ */
+static bool name_take_number(bstr *text, unsigned *n)
 {
 	const char *p = text->bstr_val, *end = p + text->bstr_len;
 	uint64_t value = 0;
@@ -611,14 +659,14 @@
 }
 
 /*
- * Find a task by its name on a worker; job is set if that is known.  Each list
- * of a worker names all that runs there, so names are read thousands of times
- * a second.
+ * Returns the task with this name on a worker, or NULL.  Sets *job to its job,
+ * or to NULL if the owner does not track it.  Every list of a worker contains
+ * the names of all its runs, so this parses thousands of names per second.
  */
 struct task *task_find(struct sched *s, bstr name, struct job **job)
 {
 	struct occurrence *o;
-	unsigned k, number, index;
+	unsigned k, step_index, index;
 	bstr rest;
 
 	*job = NULL;
@@ -627,21 +675,22 @@
 	*job = sched_job_find(s, name.bstr_val);
 	rest = bstr_ref(name.bstr_val + JOB_ID_BYTES,
 			name.bstr_len - JOB_ID_BYTES);
-	if (!*job || !number_take(&rest, &k) || !number_take(&rest, &number) ||
-	    !number_take(&rest, &index) || rest.bstr_len)
+	if (!*job || !name_take_number(&rest, &k) ||
+	    !name_take_number(&rest, &step_index) ||
+	    !name_take_number(&rest, &index) || rest.bstr_len)
 		return NULL;
-	if (number >= (*job)->body->step_count ||
-	    index >= (*job)->body->steps[number].count)
+	if (step_index >= (*job)->body->step_count ||
+	    index >= (*job)->body->steps[step_index].count)
 		return NULL;
-	job_catch_up(s, *job, k);
+	job_make_missing_occurrences(s, *job, k);
 	o = occurrence_find(*job, k);
-	return o ? &o->tasks[o->first_task[number] + index] : NULL;
+	return o ? &o->tasks[o->first_task[step_index] + index] : NULL;
 }
 
 /*
- * Remove the rows of jobs that nobody may ask for any more.  They are known
- * as final until their rows are gone: a row that is read again would be taken
- * for a new job, and run a second time.
+ * Removes the rows of jobs whose retention time is over.  The jobs are
+ * remembered as final until the removal is done: a row that is read again would
+ * be taken for a new job and run a second time.
  */
 static void job_sweep(struct sched *s)
 {
@@ -671,7 +720,7 @@
 	s->sweep_at = s->now + 1000;
 }
 
-/* Look at the clock: occurrences that are due, rows to remove. */
+/* Creates due occurrences, retires final jobs and removes old rows. */
 void job_tick(struct sched *s)
 {
 	struct job *j, *next;
@@ -681,7 +730,7 @@
 	for (j = TAILQ_FIRST(&s->order); j; j = next) {
 		next = TAILQ_NEXT(j, entry);
 		if (!j->next_occurrence || j->body->repeat_count)
-			job_due(s, j);
+			job_make_due_occurrences(s, j);
 		job_retire_if_done(s, j);
 	}
 	if (s->now >= s->sweep_at && own_may_order(s))
