--- a/sched-admit.c
+++ b/sched-admit.c
@@ -1,34 +1,36 @@
 /*
- * Admission: a job that its pool can't get to while it is of use to its caller
- * is refused at once.  The owner reckons what share of new jobs each pool can
- * take and tells it with its beat; every entry VM decides by that.
+ * Admission control: a job that its pool can't run while the result is still
+ * useful to its caller is refused immediately.  The owner computes the share of
+ * new jobs that each pool can take and publishes it in its heartbeat; every
+ * entry VM decides by that.
  */
 #include "sched-state.h"
 
 #include <stdlib.h>
 
 /*
- * Work that takes a pool as long as so many objectives of its jobs is more
- * than it can do while that is of use: from the first on some of the jobs that
- * come are refused, from the second on all.
+ * Limits for the time that a pool needs for its queued work, in multiples of
+ * the mean objective of the queued jobs.  More work than that cannot be done
+ * while it is useful.  Above the first limit a growing part of the new jobs is
+ * refused, from the second on all of them.
  */
-#define QUEUED_SOME 2.0
-#define QUEUED_ALL 3.0
-/* Shares are told in parts of this. */
-#define SHARE_WHOLE 1000
-/* Callers who are turned away come back after this at the latest. */
+#define OVERLOAD_START 2.0
+#define OVERLOAD_FULL 3.0
+/* Shares are given in units of 1/SHARE_UNIT. */
+#define SHARE_UNIT 1000
+/* Upper bound of the Retry-After header of refused jobs. */
 #define RETRY_AFTER_MAX_S 30
 
-/* What share of new jobs a pool takes; times are by the store's clock. */
+/* The share of new jobs that a pool admits.  Times are on the store's clock. */
 struct admission {
 	bstr service;
-	unsigned share;	  /* in parts of SHARE_WHOLE */
-	int64_t until;	  /* all are taken then, if none came */
-	int64_t empty_at; /* what is queued now is done then */
+	unsigned share;	  /* in units of 1/SHARE_UNIT */
+	int64_t until;	  /* all are admitted from then on */
+	int64_t empty_at; /* when the queued work will be done */
 	UT_hash_handle hh;
 };
 
-/* Forget what was told. */
+/* Frees the published shares. */
 void admissions_free(struct sched *s)
 {
 	struct admission *a, *next;
@@ -40,7 +42,7 @@
 	}
 }
 
-/* Add what is known of a pool. */
+/* Adds the share of a pool. */
 static void admission_add(struct sched *s, bstr service, unsigned share,
 			  int64_t until, int64_t empty_at)
 {
@@ -54,35 +56,40 @@
 }
 
 /*
- * A pool has work for so long, and its jobs that objective: what share of new
- * ones can it take?
+ * Returns the share of new jobs that a pool can admit, given the time that it
+ * needs for its queued work and the mean objective of its queued jobs.
  */
 unsigned admission_share(double drain_ms, double objective_ms)
 {
-	double most = objective_ms * QUEUED_ALL;
-	double some = objective_ms * QUEUED_SOME;
+	double full = objective_ms * OVERLOAD_FULL;
+	double start = objective_ms * OVERLOAD_START;
 
-	if (drain_ms <= some)
-		return SHARE_WHOLE;
-	if (drain_ms >= most)
+	if (drain_ms <= start)
+		return SHARE_UNIT;
+	if (drain_ms >= full)
 		return 0;
-	return (unsigned)(SHARE_WHOLE * (most - drain_ms) / (most - some));
+	return (unsigned)(SHARE_UNIT * (full - drain_ms) / (full - start));
 }
 
-/* Note what share of new jobs a pool takes: the owner has looked at it. */
+/*
+ * Called by the owner: computes the share of new jobs that a pool admits, and
+ * records it if it is not all of them.
+ */
 void admission_set(struct sched *s, bstr service, double drain_ms,
 		   double objective_ms)
 {
 	unsigned share = admission_share(drain_ms, objective_ms);
-	int64_t excess = (int64_t)(drain_ms - objective_ms * QUEUED_SOME);
+	int64_t excess = (int64_t)(drain_ms - objective_ms * OVERLOAD_START);
 	int64_t now = store_clock(s);
 
-	if (share < SHARE_WHOLE && now)
+	if (share < SHARE_UNIT && now)
 		admission_add(s, service, share, now + excess,
 			      now + (int64_t)drain_ms);
 }
 
-/* For the beat: which pools don't take all jobs. */
+/*
+ * Returns the shares for the heartbeat, of those pools that refuse some jobs.
+ */
 json_t *admissions_write(const struct sched *s)
 {
 	const struct admission *a;
@@ -100,7 +107,9 @@
 	return all;
 }
 
-/* Take over what a beat tells; an owner of before told nothing of it. */
+/*
+ * Reads the shares from a heartbeat.  Heartbeats of older versions have none.
+ */
 void admissions_read(struct sched *s, const json_t *all)
 {
 	const char *service;
@@ -118,8 +127,11 @@
 	}
 }
 
-/* A job's own number: all VMs and all tries of it find the same. */
-static unsigned job_number(const char *id)
+/*
+ * Hashes a job id.  All entry VMs get the same value for all attempts to submit
+ * the job, so they decide alike.
+ */
+static unsigned job_hash(const char *id)
 {
 	unsigned n;
 
@@ -127,8 +139,11 @@
 	return n;
 }
 
-/* Does a job wait for room of its pool alone, and once? */
-static bool body_is_bounded(const struct job_body *b)
+/*
+ * Returns true if a job runs once and for a limited time; only such a job waits
+ * for nothing but room in its pool.
+ */
+static bool body_has_one_bounded_run(const struct job_body *b)
 {
 	size_t i;
 
@@ -139,26 +154,27 @@
 }
 
 /*
- * Is a new job refused?  Gives the seconds after which its caller may come
- * back, spread so that those refused together don't return together; 0: it is
- * taken.  What was told holds until the pool can have done so much: also
- * without an owner, when nothing gets done.
+ * Decides whether a new job is refused.  Returns 0 if it is admitted, else the
+ * seconds after which its caller may retry, which differ between jobs so that
+ * callers refused together don't return together.  A share is valid until the
+ * pool can have worked off the excess; that also holds while there is no owner,
+ * when no work is done.
  */
 uint32_t admission_refuses(struct sched *s, const struct route *r,
 			   const struct job_body *b, const char *id)
 {
 	int64_t now = store_clock(s), wait_s;
 	const struct admission *a;
-	unsigned number;
+	unsigned hash;
 
 	HASH_FIND_BSTR(s->admissions, r->service, a);
-	if (!a || !now || now >= a->until || !body_is_bounded(b))
+	if (!a || !now || now >= a->until || !body_has_one_bounded_run(b))
 		return 0;
-	number = job_number(id);
-	if (number % SHARE_WHOLE < a->share)
+	hash = job_hash(id);
+	if (hash % SHARE_UNIT < a->share)
 		return 0;
 	wait_s = (a->empty_at - now) / 1000 + 1;
-	wait_s += (number / SHARE_WHOLE) % wait_s;
+	wait_s += (hash / SHARE_UNIT) % wait_s;
 	if (wait_s > RETRY_AFTER_MAX_S)
 		wait_s = RETRY_AFTER_MAX_S;
 	sched_log(s, LOG_QUEUE_FULL,
