--- a/sched-limit.c
+++ b/sched-limit.c
@@ -1,24 +1,31 @@
 /*
- * What each organisation has running over the whole fleet, against its upper
- * limit.  A run counts from the moment it is ordered until its end is known.
+ * Upper limits of organisations: the resources that each organisation uses on
+ * the whole fleet.  A run counts from the moment its start is ordered until its
+ * end is known.
  *
  * A successor that can't reach some workers does not know what runs there.
- * So the owner starts nothing above a ceiling that its last beat has told the
- * store, and a successor counts what that ceiling allowed, less what it has
- * found, until all leases of before have ended.
+ * Therefore the owner starts nothing beyond a ceiling that its last heartbeat
+ * has recorded in the store.  Until all leases of earlier owners have expired,
+ * a successor adds to the usage the recorded ceiling, less the runs that it has
+ * found.
  */
 #include "sched-state.h"
 
 #include <stdlib.h>
 
-/* The ceiling leaves this much above what runs, so that it need not be
- * raised for each start: a quarter of it, and an eighth of the limit. */
-#define CEILING_SHARE 4
-#define CEILING_OF_LIMIT 8
-/* And at least so many of the tasks that wait for it to be raised. */
-#define CEILING_TASKS 8
+/*
+ * A ceiling exceeds the usage by a quarter of the usage and an eighth of the
+ * upper limit, so that not every start has to wait for a raise.
+ */
+#define CEILING_USED_DIVISOR 4
+#define CEILING_LIMIT_DIVISOR 8
+/*
+ * The ceiling also leaves room for at least this many of the tasks that wait
+ * for a raise.
+ */
+#define CEILING_WANTED_TASKS 8
 
-/* The account of an organisation. */
+/* Returns the usage of an organisation; creates it if needed. */
 static struct usage *usage_of(struct sched *s, bstr tenant)
 {
 	struct usage *u;
@@ -32,7 +39,7 @@
 	return u;
 }
 
-/* The account of a job's organisation. */
+/* Returns the usage of a job's organisation. */
 struct usage *job_usage(struct sched *s, struct job *j)
 {
 	if (!j->estimate.usage)
@@ -40,7 +47,7 @@
 	return j->estimate.usage;
 }
 
-/* Count a run, or count it no more. */
+/* Adds a run to the usage of its organisation (sign 1) or removes it (-1). */
 void usage_add(struct sched *s, const struct task *t, int sign)
 {
 	struct usage *u = job_usage(s, t->occ->job);
@@ -50,7 +57,10 @@
 			   : resources_sub(u->used, need);
 }
 
-/* A run of before was found: it is part of what the old ceiling allowed. */
+/*
+ * Counts a run of an earlier owner that was found: it is part of the usage that
+ * the inherited ceiling allowed.
+ */
 void usage_add_found(struct sched *s, const struct task *t)
 {
 	struct usage *u = job_usage(s, t->occ->job);
@@ -60,19 +70,20 @@
 }
 
 /*
- * One resource of a ceiling.  Without a limit there is a ceiling too: one may
- * be set just before the owner changes.
+ * Computes the ceiling for one resource.  There is a ceiling even without an
+ * upper limit, as one may be set just before the owner changes.
  */
-static int64_t ceiling_one(int64_t used, int64_t wanted, int64_t maximum)
+static int64_t ceiling_compute(int64_t used, int64_t wanted, int64_t maximum)
 {
-	int64_t c = used + used / CEILING_SHARE + maximum / CEILING_OF_LIMIT;
+	int64_t c = used + used / CEILING_USED_DIVISOR +
+		    maximum / CEILING_LIMIT_DIVISOR;
 
-	if (c < used + CEILING_TASKS * wanted)
-		c = used + CEILING_TASKS * wanted;
+	if (c < used + CEILING_WANTED_TASKS * wanted)
+		c = used + CEILING_WANTED_TASKS * wanted;
 	return !maximum || c < maximum ? c : maximum;
 }
 
-/* The lesser, resource by resource. */
+/* Returns the minimum, by resource. */
 static struct resources resources_min(struct resources a, struct resources b)
 {
 	return (struct resources){a.cpu < b.cpu ? a.cpu : b.cpu,
@@ -80,7 +91,10 @@
 				  a.gpus < b.gpus ? a.gpus : b.gpus};
 }
 
-/* Read the ceiling that earlier owners had told; it changes no more. */
+/*
+ * Looks up the ceiling that earlier owners recorded; it does not change any
+ * more.
+ */
 static void usage_inherit(const struct sched *s, struct usage *u)
 {
 	char *name = bstr_cstr(u->tenant);
@@ -94,20 +108,24 @@
 	u->inherited_known = true;
 }
 
-/* What an earlier owner may have running that was not found yet. */
-static struct resources usage_hidden(const struct sched *s, struct usage *u)
+/*
+ * Returns the resources that runs of earlier owners may use beyond those that
+ * were found.
+ */
+static struct resources usage_unaccounted(const struct sched *s,
+					  struct usage *u)
 {
-	struct resources hidden = {0, 0, 0}, zero = {0, 0, 0};
+	struct resources unaccounted = {0, 0, 0}, zero = {0, 0, 0};
 
 	if (s->settled)
-		return hidden;
+		return unaccounted;
 	if (!u->inherited_known)
 		usage_inherit(s, u);
-	hidden = resources_sub(u->inherited_ceiling, u->inherited_found);
-	return resources_sub(hidden, resources_min(hidden, zero));
+	unaccounted = resources_sub(u->inherited_ceiling, u->inherited_found);
+	return resources_sub(unaccounted, resources_min(unaccounted, zero));
 }
 
-/* Have accounts of all organisations whose ceilings were taken over. */
+/* Creates the usage of all organisations that have an inherited ceiling. */
 static void ceilings_inherit(struct sched *s)
 {
 	const char *name;
@@ -119,17 +137,19 @@
 }
 
 /*
- * The ceilings for a beat to tell.  Until it has, the lower ones hold.  What
- * earlier owners may have running out of reach is added until all is known:
- * this owner may be lost by then, and the next one reads its beat only.  An
- * owner that still loads has started nothing, and tells what it has read.
+ * Returns the ceilings for a heartbeat.  Until it is written, the lower of the
+ * old and the new ceilings applies.  The recorded values include what runs of
+ * earlier owners may use on unreachable workers, until all of these are known:
+ * if this owner is lost before that, its successor reads only this owner's
+ * heartbeat.  An owner that is still loading has started nothing, so it records
+ * the ceilings that it has read.
  */
 json_t *ceilings_write(struct sched *s)
 {
 	const struct tenant *t;
 	json_t *row;
 	struct usage *u;
-	struct resources told;
+	struct resources published;
 	char *name;
 
 	if (s->own.state == OWN_LOADING)
@@ -142,25 +162,28 @@
 		if (!t)
 			continue;
 		u->next_ceiling = (struct resources){
-			ceiling_one(u->used.cpu, u->wanted.cpu, t->maximum.cpu),
-			ceiling_one(u->used.memory, u->wanted.memory,
-				    t->maximum.memory),
-			ceiling_one(u->used.gpus, u->wanted.gpus,
-				    t->maximum.gpus)};
+			ceiling_compute(u->used.cpu, u->wanted.cpu,
+					t->maximum.cpu),
+			ceiling_compute(u->used.memory, u->wanted.memory,
+					t->maximum.memory),
+			ceiling_compute(u->used.gpus, u->wanted.gpus,
+					t->maximum.gpus)};
 		u->ceiling = resources_min(u->ceiling, u->next_ceiling);
 		u->ceiling_in_flight = true;
-		told = resources_add(u->next_ceiling, usage_hidden(s, u));
+		published = resources_add(u->next_ceiling,
+					  usage_unaccounted(s, u));
 		name = bstr_cstr(u->tenant);
 		json_object_set_new(row, name,
-				    json_pack("[I, I, I]", (json_int_t)told.cpu,
-					      (json_int_t)told.memory,
-					      (json_int_t)told.gpus));
+				    json_pack("[I, I, I]",
+					      (json_int_t)published.cpu,
+					      (json_int_t)published.memory,
+					      (json_int_t)published.gpus));
 		free(name);
 	}
 	return row;
 }
 
-/* The store knows the ceilings of the last beat. */
+/* Called when the heartbeat with the ceilings has been written. */
 void ceilings_published(struct sched *s)
 {
 	struct usage *u;
@@ -174,22 +197,25 @@
 	}
 }
 
-/* Does a need stay within one limit?  0 is none. */
-static bool below(int64_t used, int64_t need, int64_t maximum)
+/* Returns true if used plus need stays within a limit; 0 means no limit. */
+static bool limit_fits_one(int64_t used, int64_t need, int64_t maximum)
 {
 	return !maximum || used + need <= maximum;
 }
 
-/* Does it within all three? */
-static bool all_below(struct resources used, struct resources need,
-		      struct resources maximum)
+/* Returns true if this holds for all resources. */
+static bool limit_fits(struct resources used, struct resources need,
+		       struct resources maximum)
 {
-	return below(used.cpu, need.cpu, maximum.cpu) &&
-	       below(used.memory, need.memory, maximum.memory) &&
-	       below(used.gpus, need.gpus, maximum.gpus);
+	return limit_fits_one(used.cpu, need.cpu, maximum.cpu) &&
+	       limit_fits_one(used.memory, need.memory, maximum.memory) &&
+	       limit_fits_one(used.gpus, need.gpus, maximum.gpus);
 }
 
-/* What its organisation's limit has against a task of a step beginning. */
+/*
+ * Returns the reason why the upper limit or the ceiling of a job's organisation
+ * prevents the start of a task of a step, or PENDING_NONE.
+ */
 enum pending_reason limit_pending_reason(struct sched *s, struct job *j,
 					 const struct job_step *st)
 {
@@ -199,24 +225,27 @@
 	if (!t)
 		return PENDING_NONE;
 	u = job_usage(s, j);
-	if (!all_below(resources_add(u->used, usage_hidden(s, u)), st->need,
-		       t->maximum))
+	if (!limit_fits(resources_add(u->used, usage_unaccounted(s, u)),
+			st->need, t->maximum))
 		return PENDING_LIMIT;
 	if (resources_fit(resources_add(u->used, st->need), u->ceiling))
 		return PENDING_NONE;
-	/* Have the next beat raise it. */
+	/* Raise the ceiling with an immediate heartbeat. */
 	u->wanted = st->need;
 	s->own.heartbeat_at = s->now;
 	return PENDING_CEILING;
 }
 
-/* May a task of a step begin, by its organisation's limit? */
+/*
+ * Returns true if its organisation's limits allow the start of a task of a
+ * step.
+ */
 bool limit_allows(struct sched *s, struct job *j, const struct job_step *st)
 {
 	return limit_pending_reason(s, j, st) == PENDING_NONE;
 }
 
-/* Free the accounts. */
+/* Frees the usage of all organisations. */
 void usage_free(struct sched *s)
 {
 	struct usage *u, *next;
