--- a/sched-call.c
+++ b/sched-call.c
@@ -1,6 +1,6 @@
 /*
- * Callers' requests: every entry VM admits jobs and answers for them by the
- * store alone, whoever owns the scheduling.
+ * Requests of callers.  Every entry VM accepts jobs and answers requests from
+ * the store alone, whichever VM owns the scheduling.
  */
 #include "sched-state.h"
 
@@ -8,12 +8,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The rows of a cancel end so. */
+/* Suffix of the key of a cancellation's row. */
 #define CANCEL_SUFFIX "/cancel"
-/* Bytes; the platform's own bound of what a job hands to its workers. */
+/*
+ * In bytes; the platform's limit for the payload that a job passes to its
+ * workers.
+ */
 #define PAYLOAD_MAX 4000
 
-/* Reply to a caller, and log the decision. */
+/*
+ * Sends a reply to a caller and logs it.  Returns the effect, so that the
+ * caller of this function can change details.
+ */
 static struct sched_effect *reply(struct sched *s, uint64_t id, int status,
 				  const char *text, const char *job)
 {
@@ -34,7 +40,7 @@
 	return fx;
 }
 
-/* Refuse, and count why. */
+/* Replies with an error and counts its reason. */
 void call_refuse(struct sched *s, uint64_t id, int status,
 		 enum counter_id reason, const char *text, const char *job)
 {
@@ -42,8 +48,10 @@
 	reply(s, id, status, text, job);
 }
 
-/* Is it a job's id: 16 hexadecimal digits? */
-static bool job_id_read(bstr text, char id[JOB_ID_BYTES + 1])
+/*
+ * Copies a job id if text is one, 16 hexadecimal digits; returns false if not.
+ */
+static bool job_id_parse(bstr text, char id[JOB_ID_BYTES + 1])
 {
 	u_int i;
 
@@ -57,23 +65,24 @@
 	return true;
 }
 
-/* Remember a call that waits for the store. */
+/* Creates a call that waits for the store. */
 static struct call *call_new(struct sched *s, const struct call_in *in,
-			     const char *job, const struct tenant *t, bool open)
+			     const char *job, const struct tenant *t,
+			     bool no_key)
 {
 	struct call *c = xcalloc(1, sizeof(*c));
 
 	c->id = in->id;
 	memcpy(c->job, job, sizeof(c->job));
 	c->tenant = t ? bstr_copy(t->name) : BSTR_NONE;
-	c->no_key = open;
+	c->no_key = no_key;
 	c->deadline = in->deadline - REPLY_MARGIN_MS;
 	c->came_at = s->now;
 	HASH_ADD(hh, s->calls, id, sizeof(c->id), c);
 	return c;
 }
 
-/* Forget a call. */
+/* Frees a call and removes it from the waiting ones. */
 void call_free(struct sched *s, struct call *c)
 {
 	HASH_DEL(s->calls, c);
@@ -82,8 +91,9 @@
 	free(c);
 }
 
-/* When a try of a call's exchange with the store ends. */
-static int64_t call_try_until(const struct sched *s, const struct call *c)
+/* Returns the deadline of the next store request of a call. */
+static int64_t call_attempt_deadline(const struct sched *s,
+				     const struct call *c)
 {
 	int64_t at = s->now + STORE_TIMEOUT_MS;
 
@@ -91,14 +101,15 @@
 }
 
 /*
- * Store a job under the condition that there is none of its id.  Sending the
- * same again is safe: whichever copy comes first writes the rows, and all
- * others conflict with them, which is success too.
+ * Writes the row of a job on condition that the id is new.  Retries are safe:
+ * the first request to arrive writes the row, and the others fail with a
+ * conflict, which is a success for the caller too.
  */
 static void submit_send(struct sched *s, struct call *c)
 {
 	struct request *rq;
-	struct tx *t = sched_tx(s, FOR_SUBMIT, call_try_until(s, c), &rq);
+	struct tx *t = sched_tx(s, FOR_SUBMIT, call_attempt_deadline(s, c),
+				&rq);
 	bstr key = bstr_lit(c->job);
 
 	rq->call = c->id;
@@ -106,9 +117,9 @@
 	tx_write(t, TABLE_JOBS, key, bstr_copy(c->row));
 }
 
-/* Write the row of a new job. */
-static void submit_row(struct sched *s, struct call *c, struct call_in *in,
-		       const struct route *r)
+/* Encodes the row of a new job. */
+static void submit_make_row(struct sched *s, struct call *c, struct call_in *in,
+			    const struct route *r)
 {
 	struct job j = {.submitted = s->wall,
 			.tenant = c->tenant,
@@ -122,28 +133,32 @@
 }
 
 /*
- * Read a job's progress for a caller, or the job itself, which has no
- * progress before its owner has seen it.
+ * Reads the progress row of a job, or the row of the job itself: there is no
+ * progress row until the owner has seen the job.
  */
-static void state_send(struct sched *s, struct call *c, enum purpose purpose)
+static void call_read_row(struct sched *s, struct call *c, enum purpose purpose)
 {
-	bool job = purpose == FOR_STATE_JOB || purpose == FOR_CANCEL_READ_JOB ||
-		   purpose == FOR_SUBMIT_READ;
+	bool from_jobs = purpose == FOR_STATE_JOB ||
+			 purpose == FOR_CANCEL_READ_JOB ||
+			 purpose == FOR_SUBMIT_READ;
 	bstr key = bstr_lit(c->job);
 	struct ask *ask;
 	struct request *rq = sched_ask(s, purpose, ASK_GET,
-				       call_try_until(s, c), &ask);
+				       call_attempt_deadline(s, c), &ask);
 
 	rq->call = c->id;
-	ask->range.table = job ? TABLE_JOBS : TABLE_PROGRESS;
+	ask->range.table = from_jobs ? TABLE_JOBS : TABLE_PROGRESS;
 	ask->range.part = row_part(ask->range.table, key);
 	ask->range.from = bstr_copy(key);
 	ask->range.limit = 1;
 	sched_count(s, COUNT_TABLE_READS, 1);
 }
 
-/* Is a job within the bounds of the callers' interface? */
-static bool body_is_sane(const struct job_body *b, const char **why)
+/*
+ * Returns true if a job is within the limits of the callers' interface.
+ * Otherwise *why is the error text.
+ */
+static bool body_is_valid(const struct job_body *b, const char **why)
 {
 	*why = "spec-invalid";
 	if (b->repeat_count && b->interval_ms < 0)
@@ -151,9 +166,9 @@
 	return b->payload.bstr_len <= PAYLOAD_MAX;
 }
 
-/* Take a job. */
-static void submit_take(struct sched *s, struct call_in *in, const char *id,
-			const struct route *r, const struct tenant *t)
+/* Handles the submission of a job. */
+static void submit_receive(struct sched *s, struct call_in *in, const char *id,
+			   const struct route *r, const struct tenant *t)
 {
 	struct call *c;
 	const char *why;
@@ -166,26 +181,27 @@
 			  in->body_error ? in->body_error : "");
 		return;
 	}
-	if (!body_is_sane(in->body, &why)) {
+	if (!body_is_valid(in->body, &why)) {
 		call_refuse(s, in->id, 400, COUNT_REFUSED_SPEC, why, id);
 		return;
 	}
 	c = call_new(s, in, id, t, r->no_key);
-	submit_row(s, c, in, r);
+	submit_make_row(s, c, in, r);
 	c->retry_after_s = admission_refuses(s, r, in->body, id);
 	if (c->retry_after_s)
-		state_send(s, c, FOR_SUBMIT_READ);
+		call_read_row(s, c, FOR_SUBMIT_READ);
 	else
 		submit_send(s, c);
 }
 
-/* Take a request for one job. */
-static void job_call_take(struct sched *s, struct call_in *in, const char *id,
-			  const struct route *r, const struct tenant *t)
+/* Handles a request for a given job. */
+static void job_call_receive(struct sched *s, struct call_in *in,
+			     const char *id, const struct route *r,
+			     const struct tenant *t)
 {
 	/*
-	 * What can't be served is refused at once: the store has failed
-	 * before, so nothing of this request has been sent to it.
+	 * If the store is known to be down, refuse at once.  Nothing of this
+	 * request has been sent to it, so a 503 is correct.
 	 */
 	if (!sched_store_is_up(s)) {
 		call_refuse(s, in->id, 503, COUNT_REFUSED_PLATFORM,
@@ -198,14 +214,14 @@
 		return;
 	}
 	if (in->verb == VERB_SUBMIT)
-		submit_take(s, in, id, r, t);
+		submit_receive(s, in, id, r, t);
 	else
-		state_send(s, call_new(s, in, id, t, r->no_key),
-			   in->verb == VERB_STATE ? FOR_STATE
-						  : FOR_CANCEL_READ);
+		call_read_row(s, call_new(s, in, id, t, r->no_key),
+			      in->verb == VERB_STATE ? FOR_STATE
+						     : FOR_CANCEL_READ);
 }
 
-/* Take a caller's request. */
+/* Handles a request of a caller. */
 void call_receive(struct sched *s, struct call_in *in)
 {
 	const struct route *r;
@@ -228,7 +244,7 @@
 			in->path.bstr_len - r->prefix.bstr_len);
 	t = tenant_of_key(s, in->key);
 	if (!t && !r->no_key) {
-		if (job_id_read(rest, id))
+		if (job_id_parse(rest, id))
 			id[JOB_ID_BYTES] = '\0';
 		call_refuse(s, in->id, 401, COUNT_REFUSED_KEY, "key", id);
 		return;
@@ -237,7 +253,7 @@
 		count_receive(s, in, r);
 		return;
 	}
-	if (!job_id_read(rest, id)) {
+	if (!job_id_parse(rest, id)) {
 		call_refuse(s, in->id, 404, COUNT_REFUSED_JOB, "no-such-path",
 			    "-");
 		return;
@@ -246,10 +262,10 @@
 		call_refuse(s, in->id, 405, COUNT_REFUSED_SPEC, "method", id);
 		return;
 	}
-	job_call_take(s, in, id, r, t);
+	job_call_receive(s, in, id, r, t);
 }
 
-/* The outcome of storing a job. */
+/* Handles the store's answer to the write of a new job. */
 static void submit_answer(struct sched *s, struct call *c, struct answer *a)
 {
 	switch (a->outcome) {
@@ -263,7 +279,7 @@
 		break;
 	case OUT_REFUSED:
 	case OUT_COMPACTED:
-		/* Nothing was done by this try, but by an earlier one? */
+		/* This attempt did nothing, but an earlier one may have. */
 		if (c->uncertain)
 			break;
 		call_refuse(s, c->id, 503, COUNT_REFUSED_PLATFORM,
@@ -288,7 +304,7 @@
 	call_free(s, c);
 }
 
-/* Find the job's row in an answer; NULL: there is none. */
+/* Returns the job's row in an answer, or NULL if it has none. */
 static const struct row *state_row(const struct call *c, const struct answer *a)
 {
 	if (!a->row_count || !bstr_eq_str(a->rows[0].key, c->job))
@@ -297,12 +313,13 @@
 }
 
 /*
- * Its queue is full: was the job accepted before?  An earlier try of its caller
- * may have had no answer, and a refusal says that the job has not run and never
- * will.  When the store doesn't tell, the job is stored like any other.
+ * Handles the answer to the check whether a job exists that is about to be
+ * refused because the queue is full.  An earlier attempt of its caller may have
+ * been accepted without the reply getting through, and a refusal promises that
+ * the job never runs.  If the store can't tell, the job is stored as usual.
  */
-static void submit_read_answer(struct sched *s, struct call *c,
-			       const struct answer *a)
+static void submit_check_answer(struct sched *s, struct call *c,
+				const struct answer *a)
 {
 	struct sched_effect *fx;
 
@@ -321,11 +338,12 @@
 	call_free(s, c);
 }
 
-/* Write the row of a cancel. */
+/* Writes the row of a cancellation. */
 static void cancel_send(struct sched *s, struct call *c)
 {
 	struct request *rq;
-	struct tx *t = sched_tx(s, FOR_CANCEL, call_try_until(s, c), &rq);
+	struct tx *t = sched_tx(s, FOR_CANCEL, call_attempt_deadline(s, c),
+				&rq);
 	bstr key = bstr_printf("%s" CANCEL_SUFFIX, c->job);
 
 	rq->call = c->id;
@@ -333,64 +351,73 @@
 	bstr_free(&key);
 }
 
-/* Tell a caller a job's state, or cancel the job if it is not final. */
-static void state_reply(struct sched *s, struct call *c, enum job_status fate,
+/*
+ * Replies with a job's state; if cancel is set, cancels the job unless it is
+ * final.
+ */
+static void state_reply(struct sched *s, struct call *c, enum job_status status,
 			bool cancel)
 {
 	struct sched_effect *fx;
 
-	if (cancel && fate <= JOB_STATUS_RUNNING) {
+	if (cancel && status <= JOB_STATUS_RUNNING) {
 		cancel_send(s, c);
 		return;
 	}
 	if (cancel) {
-		reply(s, c->id, 200, job_status_name(fate), c->job);
+		reply(s, c->id, 200, job_status_name(status), c->job);
 	} else {
 		fx = sched_effect_add(s, EFFECT_REPLY);
 		fx->reply = (struct reply){.call = c->id,
 					   .status = 200,
 					   .kind = REPLY_STATE,
-					   .text = job_status_name(fate)};
+					   .text = job_status_name(status)};
 	}
 	call_free(s, c);
 }
 
-/* What the store says of a job that a caller asks for or cancels. */
+/* Handles the answer to a read for a state request or a cancellation. */
 static void state_answer(struct sched *s, struct call *c, enum purpose purpose,
 			 const struct answer *a)
 {
 	bool cancel = purpose == FOR_CANCEL_READ ||
 		      purpose == FOR_CANCEL_READ_JOB;
-	bool job = purpose == FOR_STATE_JOB || purpose == FOR_CANCEL_READ_JOB;
+	bool from_jobs = purpose == FOR_STATE_JOB ||
+			 purpose == FOR_CANCEL_READ_JOB;
 	const struct row *row = state_row(c, a);
-	enum job_status fate = JOB_STATUS_QUEUED;
+	enum job_status status = JOB_STATUS_QUEUED;
 	bstr tenant = BSTR_NONE;
 	int64_t ended;
 	bool ok = true;
 
-	if (!row && !job) {
-		state_send(s, c, cancel ? FOR_CANCEL_READ_JOB : FOR_STATE_JOB);
+	if (!row && !from_jobs) {
+		call_read_row(s, c,
+			      cancel ? FOR_CANCEL_READ_JOB : FOR_STATE_JOB);
 		return;
 	}
 	if (row)
-		ok = job ? job_row_tenant(row->value, &tenant)
-			 : progress_peek(row->value, &tenant, &fate, &ended);
+		ok = from_jobs ? job_row_tenant(row->value, &tenant)
+			       : progress_peek(row->value, &tenant, &status,
+					       &ended);
 	if (!ok) {
 		call_refuse(s, c->id, 500, COUNT_REFUSED_JOB, "row-unreadable",
 			    c->job);
 		call_free(s, c);
 	} else if (!row || (!c->no_key && !bstr_eq(tenant, c->tenant))) {
-		/* Other organisations' jobs are none of the caller's. */
+		/* Other organisations' jobs are reported as missing. */
 		reply(s, c->id, 410, "no-such-job", c->job);
 		call_free(s, c);
 	} else {
-		state_reply(s, c, fate, cancel);
+		state_reply(s, c, status, cancel);
 	}
 	bstr_free(&tenant);
 }
 
-/* Try an exchange of a call once more, or give up. */
-static void call_again(struct sched *s, struct call *c, enum purpose purpose)
+/*
+ * Retries a store request of a call, or replies with an error if there is no
+ * time left or the store is down.
+ */
+static void call_retry(struct sched *s, struct call *c, enum purpose purpose)
 {
 	if (s->now + STORE_RETRY_MS >= c->deadline || !sched_store_is_up(s)) {
 		call_refuse(s, c->id, purpose == FOR_CANCEL ? 504 : 503,
@@ -403,10 +430,10 @@
 	if (purpose == FOR_CANCEL)
 		cancel_send(s, c);
 	else
-		state_send(s, c, purpose);
+		call_read_row(s, c, purpose);
 }
 
-/* An answer of the store for a call. */
+/* Handles the store's answer to a request of a call. */
 void call_answer(struct sched *s, struct request *rq, struct answer *a)
 {
 	struct call *c;
@@ -419,11 +446,11 @@
 		return;
 	}
 	if (rq->purpose == FOR_SUBMIT_READ) {
-		submit_read_answer(s, c, a);
+		submit_check_answer(s, c, a);
 		return;
 	}
 	if (a->outcome != OUT_DONE) {
-		call_again(s, c, rq->purpose);
+		call_retry(s, c, rq->purpose);
 		return;
 	}
 	if (rq->purpose == FOR_CANCEL) {
@@ -434,7 +461,10 @@
 	state_answer(s, c, rq->purpose, a);
 }
 
-/* Give up what has no time left; its exchange ends by then as well. */
+/*
+ * Ends calls whose deadline has passed.  Their store requests have timed out by
+ * then.
+ */
 void call_tick(struct sched *s)
 {
 	struct call *c, *next;
