--- a/sched-move.c
+++ b/sched-move.c
@@ -1,100 +1,111 @@
 /*
- * Moving machines between pools: into a pool whose waiting work it can't get
- * done soon, from the standby pool first, then from pools that do not need
- * them; and back to standby, where a machine costs nothing, once it is idle.
- * A move ends all that runs on a machine, so only empty ones are moved.
+ * Moves machines between pools: to a pool that can't finish its work soon,
+ * first from the standby pool, then from pools that can spare them; and back to
+ * the standby pool, where a machine costs nothing, once it is idle.  A move
+ * ends everything that runs on the machine, so only machines without tasks are
+ * moved.
  */
 #include "sched-state.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Pools are compared so often; a look at all jobs each time. */
-#define MOVE_EVERY_MS 100
+/* Interval between passes; each pass iterates over all jobs. */
+#define MOVE_INTERVAL_MS 100
 /*
- * Work that a pool can't finish within this calls for machines: a move takes
- * 1.5 s, and what waits longer than about 2 s misses its objective.
+ * A pool gets machines if it needs longer than this for its work.  A move takes
+ * 1.5 s, and tasks that wait longer than about 2 s miss their objective.
  */
 #define DRAIN_HIGH_MS 400.0
-/* Below this a pool has more than it needs. */
+/* A pool that needs less than this for its work has spare capacity. */
 #define DRAIN_LOW_MS 250.0
-/* What waits for longer is late: such a pool spares nothing. */
-#define WAIT_HIGH_MS 2000.0
 /*
- * A machine is idle for so long before it leaves its pool: meanwhile it can
- * go to the queue whose turn is next, without a way through standby.
+ * Tasks that wait longer than this are late.  A pool that has such tasks, or
+ * would have them with one machine less, gives none away.
+ */
+#define READY_WAIT_MAX_MS 2000.0
+/*
+ * A machine is idle for this long before it leaves its pool.  Until then it can
+ * go to the next pool that needs it directly, without moving through standby.
+ */
+#define IDLE_MIN_MS 2500
+/*
+ * The share of its workers that a pool keeps free for new jobs, as bursts come
+ * without warning.  A value of 0.2 costs 0.03 of a day's credit, 0.7 costs a
+ * third of that.
+ */
+#define FREE_SHARE_MIN 0.5
+/*
+ * A pool lends at most this share of its own machines to other pools.  With
+ * 0.7, 0.013 of a day's credit was lost on one site and none on another.
  */
-#define IDLE_MS 2500
-/* Machines that a pool keeps free for the next jobs, in parts of its workers:
- * a burst begins with no warning.  0.2 costs 0.03 of a day's credit, 0.7 a
- * third of that. */
-#define KEEP_FREE 0.5
-/* A pool lends at most this share of its own machines to others; with 0.7 of
- * them away 0.013 of a day's credit was lost on one site, none on another. */
 #define LENT_SHARE 0.5
-/* A lasting task that waits so long needs another worker. */
-#define STRANDED_MS 300
-/* A line for each pool is logged so often. */
-#define POOL_TOLD_MS 1000
+/* A long-running task that waits for this long needs another worker. */
+#define STRANDED_MIN_MS 300
+#define POOL_LOG_INTERVAL_MS 1000
 #define MOVE_TIMEOUT_MS 1500
-#define MOVE_AGAIN_MS 1000
+#define MOVE_RETRY_MS 1000
 /*
- * At most so many moves are begun in one look, or a part of the fleet if that
- * is more: a turn of one queue moves a third of all machines within seconds.
- * But no more than a part of what the platform takes in a second, or calls
- * would be turned away and those of waves with them.
+ * Limit of the moves begun in one pass: MOVES_LIMIT_MIN, or the fleet size
+ * divided by MOVES_FLEET_DIVISOR if that is more, as a change of load can
+ * require a third of all machines to move within seconds.  The second value is
+ * at most the platform's limit of calls per second divided by
+ * MOVES_RATE_DIVISOR; otherwise the platform would refuse calls, those of
+ * maintenance waves included.
  */
-#define MOVES_AT_ONCE 8
-#define MOVES_OF_FLEET 40
-#define MOVES_OF_RATE 20
+#define MOVES_LIMIT_MIN 8
+#define MOVES_FLEET_DIVISOR 40
+#define MOVES_RATE_DIVISOR 20
 
-/* What a pool has and has to do. */
-struct balance {
+/* The capacity and the work of a pool. */
+struct pool_load {
 	const struct service *service;
-	bool routed;	   /* some queue leads to it */
-	unsigned home;	   /* machines that the operator gave it */
-	unsigned stranded; /* lasting tasks that find no worker */
-	unsigned workers;  /* that take work */
-	unsigned coming;   /* machines on their way to it */
-	unsigned empty;	   /* workers without tasks */
-	double cores;	   /* thousandths, of the workers that take work */
-	double used;	   /* of them, by tasks */
-	double lasting;	   /* of them, used by lasting tasks */
-	double work;	   /* waiting and running, in thousandths x ms */
-	double waiting;	   /* of it, what could run if there were room */
-	double queued;	   /* of it, what waits for nothing but room */
-	struct resources largest; /* what its largest worker has in all */
-	double objectives;	  /* of the jobs that queue, in ms, added up */
-	unsigned jobs;		  /* that queue */
+	bool routed;		   /* some route names it */
+	unsigned home_size;	   /* machines that the operator gave it */
+	unsigned stranded;	   /* long-running tasks that find no worker */
+	unsigned workers;	   /* those that can take tasks */
+	unsigned arriving;	   /* machines being moved to it */
+	unsigned empty;		   /* workers without tasks */
+	double cores;		   /* of its workers, in thousandths */
+	double used_cores;	   /* used by tasks */
+	double long_running_cores; /* used by long-running tasks */
+	double work; /* pending and running, in thousandths of a core x ms */
+	double ready_work;  /* of it, pending tasks of ready steps */
+	double queued_work; /* of it, what waits for nothing but room */
+	struct resources max_capacity; /* of its workers, by resource */
+	double objective_sum_ms; /* sum of the objectives of the queued jobs */
+	unsigned queued_jobs;	 /* jobs with work in queued_work */
 };
 
-/* An idle machine, and where it is; NULL: it has been chosen. */
-struct idle {
+/*
+ * An idle machine and its pool.  The machine is NULL once it has been chosen.
+ */
+struct idle_machine {
 	struct machine *machine;
-	struct balance *from;
+	struct pool_load *from;
 };
 
-struct balances {
-	struct balance *list;
+struct pool_loads {
+	struct pool_load *list;
 	size_t count;
 };
 
-/* The balance of a service; NULL: it is not in the configuration. */
-static struct balance *balance_find(struct balances *b, bstr service)
+/* Returns the load of a service, or NULL if the service is not configured. */
+static struct pool_load *pool_load_find(struct pool_loads *l, bstr service)
 {
 	size_t i;
 
-	for (i = 0; i < b->count; i++)
-		if (bstr_eq(b->list[i].service->name, service))
-			return &b->list[i];
+	for (i = 0; i < l->count; i++)
+		if (bstr_eq(l->list[i].service->name, service))
+			return &l->list[i];
 	return NULL;
 }
 
 /*
- * May a worker that has not answered this owner yet be at work?  Each gets
- * the time for it.  Without them a pool seems to have none after a takeover,
- * and all machines in standby would be called up for a single job, to be sent
- * back seconds later.
+ * Returns true if a worker that has not answered this owner yet may still do
+ * so; each gets WORKER_TIMEOUT_MS for that.  If such workers were not counted,
+ * pools would seem to have none after a takeover, and all standby machines
+ * would be moved in for a single job, only to be sent back seconds later.
  */
 static bool worker_may_answer(const struct sched *s, const struct worker *w)
 {
@@ -102,52 +113,54 @@
 	       s->now - s->own.ready_at < WORKER_TIMEOUT_MS;
 }
 
-/* Add up what the workers have. */
-static void balance_workers(struct sched *s, struct balances *b)
+/* Adds the capacity and the usage of all workers. */
+static void pool_loads_add_workers(struct sched *s, struct pool_loads *l)
 {
 	struct worker *w, *next;
-	struct balance *p;
+	struct pool_load *p;
 	const struct task *t;
 
 	HASH_ITER(hh, s->workers, w, next) {
-		p = balance_find(b, w->row.service);
+		p = pool_load_find(l, w->row.service);
 		if (!p || !(worker_is_healthy(s, w) || worker_may_answer(s, w)))
 			continue;
 		p->workers++;
-		p->largest = resources_max(p->largest, w->row.capacity);
+		p->max_capacity = resources_max(p->max_capacity,
+						w->row.capacity);
 		p->cores += (double)w->row.capacity.cpu;
-		p->used += (double)w->used.cpu;
+		p->used_cores += (double)w->used.cpu;
 		if (w->fenced && TAILQ_EMPTY(&w->tasks))
 			p->empty++;
 		TAILQ_FOREACH(t, &w->tasks, worker_entry)
 			if (task_step(t)->long_running &&
 			    !task_step(t)->best_effort)
-				p->lasting += (double)task_step(t)->need.cpu;
+				p->long_running_cores +=
+					(double)task_step(t)->need.cpu;
 	}
 }
 
-/* Add the work left of an occurrence, in thousandths of a core x ms. */
-static void balance_occurrence(struct sched *s, struct balance *p,
+/* Adds the remaining work of an occurrence. */
+static void pool_load_add_work(struct sched *s, struct pool_load *p,
 			       const struct occurrence *o)
 {
 	const struct job_step *st = o->job->body->steps;
-	double one;
+	double task_work;
 	unsigned i;
 
 	job_estimate_update(s, o->job);
 	for (i = 0; i < o->job->body->step_count; i++, st++) {
 		if (st->long_running || st->best_effort)
 			continue;
-		one = (double)st->need.cpu *
-		      (double)o->job->estimate.step_ms[i];
-		p->work += one * o->unfinished_in_step[i];
+		task_work = (double)st->need.cpu *
+			    (double)o->job->estimate.step_ms[i];
+		p->work += task_work * o->unfinished_in_step[i];
 		if (step_ready(o, i))
-			p->waiting += one * o->pending_tasks[i].count;
+			p->ready_work += task_work * o->pending_tasks[i].count;
 	}
 }
 
-/* Is it room alone that a job's tasks wait for? */
-static bool job_queues(const struct job *j)
+/* Returns true if a job's tasks wait for nothing but room. */
+static bool job_waits_for_room(const struct job *j)
 {
 	switch (j->pending_reason) {
 	case PENDING_LIMIT:
@@ -160,9 +173,9 @@
 	}
 }
 
-/* Add what an occurrence has in the queue for a pool's room. */
-static void balance_queued(struct sched *s, struct balance *p,
-			   const struct occurrence *o)
+/* Adds the work of an occurrence that waits for nothing but room. */
+static void pool_load_add_queued(struct sched *s, struct pool_load *p,
+				 const struct occurrence *o)
 {
 	struct job *j = o->job;
 	const struct job_step *st = j->body->steps;
@@ -171,18 +184,21 @@
 
 	for (i = 0; i < j->body->step_count; i++, st++)
 		if (!st->long_running && !st->best_effort &&
-		    resources_fit(st->need, p->largest))
+		    resources_fit(st->need, p->max_capacity))
 			queued += (double)st->need.cpu *
 				  (double)j->estimate.step_ms[i] *
 				  o->unfinished_in_step[i];
 	if (queued <= 0)
 		return;
-	p->queued += queued;
-	p->objectives += (double)job_objective_ms(s, j);
-	p->jobs++;
+	p->queued_work += queued;
+	p->objective_sum_ms += (double)job_objective_ms(s, j);
+	p->queued_jobs++;
 }
 
-/* Lasting tasks of an occurrence that have found no worker for a while. */
+/*
+ * Returns the number of long-running tasks of an occurrence that have found no
+ * worker for STRANDED_MIN_MS.
+ */
 static unsigned occurrence_stranded(struct sched *s, const struct occurrence *o)
 {
 	const struct job_step *st = o->job->body->steps;
@@ -195,78 +211,84 @@
 		t = &o->tasks[o->first_task[i]];
 		for (k = 0; k < st->count; k++, t++)
 			if (t->phase == PHASE_PENDING && task_ready_at(t) &&
-			    s->now - task_ready_at(t) > STRANDED_MS)
+			    s->now - task_ready_at(t) > STRANDED_MIN_MS)
 				n++;
 	}
 	return n;
 }
 
-/* Add up what there is to do. */
-static void balance_jobs(struct sched *s, struct balances *b)
+/* Adds the work of all jobs. */
+static void pool_loads_add_jobs(struct sched *s, struct pool_loads *l)
 {
 	const struct occurrence *o;
-	struct balance *p;
+	struct pool_load *p;
 	struct job *j;
 
 	TAILQ_FOREACH(j, &s->order, entry) {
 		if (j->status > JOB_STATUS_RUNNING)
 			continue;
-		p = balance_find(b, job_service(s, j));
+		p = pool_load_find(l, job_service(s, j));
 		if (!p)
 			continue;
 		TAILQ_FOREACH(o, &j->occs, entry) {
-			balance_occurrence(s, p, o);
-			if (job_queues(j))
-				balance_queued(s, p, o);
+			pool_load_add_work(s, p, o);
+			if (job_waits_for_room(j))
+				pool_load_add_queued(s, p, o);
 			p->stranded += occurrence_stranded(s, o);
 		}
 	}
 }
 
-/* Count the machines that are on their way. */
-static void balance_machines(struct sched *s, struct balances *b)
+/* Counts the machines that are being moved to each pool. */
+static void pool_loads_add_moves(struct sched *s, struct pool_loads *l)
 {
 	struct machine *m, *next;
-	struct balance *p;
+	struct pool_load *p;
 
 	HASH_ITER(hh, s->machines, m, next) {
 		if (s->now >= m->moving_until)
 			continue;
-		p = balance_find(b, m->moving_to);
+		p = pool_load_find(l, m->moving_to);
 		if (p)
-			p->coming++;
+			p->arriving++;
 	}
 }
 
-/* Cores that one machine brings. */
-static double machine_cores(const struct balances *b)
+/* Returns the mean number of cores of a machine, in thousandths. */
+static double machine_mean_cores(const struct pool_loads *l)
 {
 	double cores = 0;
 	unsigned n = 0;
 	size_t i;
 
-	for (i = 0; i < b->count; i++) {
-		cores += b->list[i].cores;
-		n += b->list[i].workers;
+	for (i = 0; i < l->count; i++) {
+		cores += l->list[i].cores;
+		n += l->list[i].workers;
 	}
 	return n ? cores / n : 0;
 }
 
-/* How long a pool needs for its work, with the machines under way. */
-static double drain_ms(const struct balance *p, double one)
+/*
+ * Returns the time that a pool needs for its work, with the machines that are
+ * being moved to it; 1e9 if it has no cores for that, or more stranded tasks
+ * than arriving machines.
+ */
+static double pool_drain_ms(const struct pool_load *p, double machine_cores)
 {
-	double cores = p->cores - p->lasting + one * p->coming;
+	double cores = p->cores - p->long_running_cores +
+		       machine_cores * p->arriving;
 
-	if (p->stranded > p->coming)
+	if (p->stranded > p->arriving)
 		return 1e9;
 	if (p->work <= 0)
 		return 0;
-	return cores > one / 8 ? p->work / cores : 1e9;
+	return cores > machine_cores / 8 ? p->work / cores : 1e9;
 }
 
 /*
- * Is a machine empty and long enough so to be moved?  One in standby is off:
- * it has no worker.
+ * Returns true if a machine can be moved: it has been without tasks for the
+ * given time, or it is in standby.  A standby machine is switched off and has
+ * no worker.
  */
 static bool machine_is_idle(struct sched *s, struct machine *m, int64_t since)
 {
@@ -284,9 +306,9 @@
 	       !w->takedown_pending && s->now - w->idle_since >= since;
 }
 
-/* Move a machine. */
+/* Orders the move of a machine. */
 static void machine_move(struct sched *s, struct machine *m,
-			 const struct balance *to, const char *why)
+			 const struct pool_load *to, const char *why)
 {
 	struct worker *w = m->worker.bstr_len ? worker_find(s, m->worker)
 					      : NULL;
@@ -310,69 +332,86 @@
 		  BSTR_ARG(to->service->name), why);
 }
 
-/* Would what waits in a pool be late with a machine less? */
-static bool pool_waits(const struct balance *p, double one)
+/* Returns true if ready tasks of a pool would be late with one machine less. */
+static bool pool_late_with_one_less(const struct pool_load *p,
+				    double machine_cores)
 {
-	return p->waiting > (p->cores - p->lasting - one) * WAIT_HIGH_MS;
+	return p->ready_work >
+	       (p->cores - p->long_running_cores - machine_cores) *
+		       READY_WAIT_MAX_MS;
 }
 
 /*
- * May a pool spare one of its empty machines now?  What it has beyond its
- * home size, yes; of its own a few, while little waits in it.  What runs there
- * needs no other machine.
+ * Returns true if a pool can give away one of its machines without tasks.
+ * Standby pools and pools that no route names always can.  Others can give away
+ * machines beyond their home size, and up to lent_share of that size while more
+ * than FREE_SHARE_MIN of their workers are free, but none while their tasks
+ * would be late.  Tasks that already run need no other machine.
  */
-static bool pool_spares(const struct balance *p, double one, double lent)
+static bool pool_can_spare(const struct pool_load *p, double machine_cores,
+			   double lent_share)
 {
 	if (p->service->standby || !p->routed)
 		return true;
-	if (p->workers + p->coming + lent * p->home <= p->home)
+	if (p->workers + p->arriving + lent_share * p->home_size <=
+	    p->home_size)
 		return false;
-	/* One that machines are under way to is in need. */
-	if (pool_waits(p, one) ||
-	    (p->coming && drain_ms(p, one) >= DRAIN_LOW_MS))
+	/*
+	 * Arriving machines show that the pool needs them, until its work gets
+	 * short.
+	 */
+	if (pool_late_with_one_less(p, machine_cores) ||
+	    (p->arriving && pool_drain_ms(p, machine_cores) >= DRAIN_LOW_MS))
 		return false;
-	return p->workers + p->coming > p->home ||
-	       p->empty > (unsigned)(KEEP_FREE * p->workers) + 1;
+	return p->workers + p->arriving > p->home_size ||
+	       p->empty > (unsigned)(FREE_SHARE_MIN * p->workers) + 1;
 }
 
-/* How many moves may be begun in this look. */
-static unsigned moves_at_once(const struct sched *s)
+/* Returns the limit of the moves begun in this pass. */
+static unsigned moves_limit(const struct sched *s)
 {
-	unsigned n = HASH_COUNT(s->machines) / MOVES_OF_FLEET;
+	unsigned n = HASH_COUNT(s->machines) / MOVES_FLEET_DIVISOR;
 
-	if (n > s->options.machine_calls_per_s / MOVES_OF_RATE)
-		n = s->options.machine_calls_per_s / MOVES_OF_RATE;
-	return n > MOVES_AT_ONCE ? n : MOVES_AT_ONCE;
+	if (n > s->options.machine_calls_per_s / MOVES_RATE_DIVISOR)
+		n = s->options.machine_calls_per_s / MOVES_RATE_DIVISOR;
+	return n > MOVES_LIMIT_MIN ? n : MOVES_LIMIT_MIN;
 }
 
-/* The machines that are idle now; the list is the caller's. */
-static struct idle *idle_collect(struct sched *s, struct balances *b,
-				 size_t *count)
+/* Returns the machines that can be moved now.  The caller frees the array. */
+static struct idle_machine *idle_machines_collect(struct sched *s,
+						  struct pool_loads *l,
+						  size_t *count)
 {
-	struct idle *list = xcalloc(HASH_COUNT(s->machines) + 1, sizeof(*list));
+	struct idle_machine *list = xcalloc(HASH_COUNT(s->machines) + 1,
+					    sizeof(*list));
 	struct machine *m, *next;
-	struct balance *from;
+	struct pool_load *from;
 
 	*count = 0;
 	HASH_ITER(hh, s->machines, m, next) {
-		from = balance_find(b, m->pool);
+		from = pool_load_find(l, m->pool);
 		if (from && machine_is_idle(s, m, 0))
-			list[(*count)++] = (struct idle){m, from};
+			list[(*count)++] = (struct idle_machine){m, from};
 	}
 	return list;
 }
 
-/* A machine for a pool: of standby, else of one that can spare it. */
-static struct idle *idle_choose(struct idle *list, size_t count,
-				const struct balance *to, double one,
-				double lent)
+/*
+ * Returns a machine for a pool: one in standby if there is any, else one of a
+ * pool that can spare it; NULL if there is none.
+ */
+static struct idle_machine *idle_machine_choose(struct idle_machine *list,
+						size_t count,
+						const struct pool_load *to,
+						double machine_cores,
+						double lent_share)
 {
-	struct idle *best = NULL;
+	struct idle_machine *best = NULL;
 	size_t i;
 
 	for (i = 0; i < count; i++) {
 		if (!list[i].machine || list[i].from == to ||
-		    !pool_spares(list[i].from, one, lent))
+		    !pool_can_spare(list[i].from, machine_cores, lent_share))
 			continue;
 		if (list[i].from->service->standby)
 			return &list[i];
@@ -382,42 +421,54 @@
 	return best;
 }
 
-/* The pool that needs longest for its work; NULL: none leads to work. */
-static struct balance *pool_worst(struct balances *b, double one)
+/*
+ * Returns the pool that needs longest for its work, or NULL if no route names a
+ * pool.
+ */
+static struct pool_load *pool_most_loaded(struct pool_loads *l,
+					  double machine_cores)
 {
-	struct balance *worst = NULL, *p;
+	struct pool_load *worst = NULL, *p;
 	size_t i;
 
-	for (i = 0; i < b->count; i++) {
-		p = &b->list[i];
+	for (i = 0; i < l->count; i++) {
+		p = &l->list[i];
 		if (p->routed && !p->service->standby &&
-		    (!worst || drain_ms(p, one) > drain_ms(worst, one)))
+		    (!worst || pool_drain_ms(p, machine_cores) >
+				       pool_drain_ms(worst, machine_cores)))
 			worst = p;
 	}
 	return worst;
 }
 
-/* Bring machines to the pool that needs them most. */
-static unsigned moves_in(struct sched *s, struct balances *b, double one)
-{
-	double lent = policy_is_enabled(s, POLICY_LENDING) ? LENT_SHARE : 0;
-	unsigned n, most = moves_at_once(s);
-	struct balance *worst;
-	struct idle *list, *spare;
+/*
+ * Moves machines to the pools that need longest for their work.  Returns the
+ * number of moves begun.
+ */
+static unsigned moves_to_loaded(struct sched *s, struct pool_loads *l,
+				double machine_cores)
+{
+	double lent_share = policy_is_enabled(s, POLICY_LENDING) ? LENT_SHARE
+								 : 0;
+	unsigned n, max = moves_limit(s);
+	struct pool_load *worst;
+	struct idle_machine *list, *spare;
 	size_t count;
 
-	list = idle_collect(s, b, &count);
-	for (n = 0; n < most; n++) {
-		worst = pool_worst(b, one);
-		if (!worst || drain_ms(worst, one) < DRAIN_HIGH_MS)
+	list = idle_machines_collect(s, l, &count);
+	for (n = 0; n < max; n++) {
+		worst = pool_most_loaded(l, machine_cores);
+		if (!worst ||
+		    pool_drain_ms(worst, machine_cores) < DRAIN_HIGH_MS)
 			break;
-		spare = idle_choose(list, count, worst, one, lent);
+		spare = idle_machine_choose(list, count, worst, machine_cores,
+					    lent_share);
 		if (!spare)
 			break;
 		spare->from->empty--;
 		spare->from->workers--;
-		spare->from->cores -= one;
-		worst->coming++;
+		spare->from->cores -= machine_cores;
+		worst->arriving++;
 		machine_move(s, spare->machine, worst, "burst");
 		spare->machine = NULL;
 	}
@@ -425,53 +476,56 @@
 	return n;
 }
 
-/* A pool that has lent machines and not got them back. */
-static struct balance *pool_below_home(struct balances *b)
+/* Returns a pool that has fewer machines than its home size, or NULL. */
+static struct pool_load *pool_below_home(struct pool_loads *l)
 {
-	struct balance *p;
+	struct pool_load *p;
 	size_t i;
 
-	for (i = 0; i < b->count; i++) {
-		p = &b->list[i];
+	for (i = 0; i < l->count; i++) {
+		p = &l->list[i];
 		if (p->routed && !p->service->standby &&
-		    p->workers + p->coming < p->home)
+		    p->workers + p->arriving < p->home_size)
 			return p;
 	}
 	return NULL;
 }
 
-/* Send what is idle home, or to standby. */
-static void moves_out(struct sched *s, struct balances *b, double one)
+/* Moves idle machines to pools below their home size, else to standby. */
+static void moves_from_idle(struct sched *s, struct pool_loads *l,
+			    double machine_cores)
 {
 	struct machine *m, *next;
-	struct balance *from, *standby = NULL, *to;
-	int64_t stay = policy_is_enabled(s, POLICY_IDLE_STAY) ? IDLE_MS : 0;
-	unsigned n = 0, most = moves_at_once(s);
+	struct pool_load *from, *standby = NULL, *to;
+	int64_t idle_min = policy_is_enabled(s, POLICY_IDLE_STAY) ? IDLE_MIN_MS
+								  : 0;
+	unsigned n = 0, max = moves_limit(s);
 	size_t i;
 
-	for (i = 0; i < b->count; i++)
-		if (b->list[i].service->standby)
-			standby = &b->list[i];
+	for (i = 0; i < l->count; i++)
+		if (l->list[i].service->standby)
+			standby = &l->list[i];
 	if (!standby)
 		return;
 	HASH_ITER(hh, s->machines, m, next) {
-		from = balance_find(b, m->pool);
-		if (n >= most || !from || from->service->standby ||
-		    !machine_is_idle(s, m, stay) || !pool_spares(from, one, 0))
+		from = pool_load_find(l, m->pool);
+		if (n >= max || !from || from->service->standby ||
+		    !machine_is_idle(s, m, idle_min) ||
+		    !pool_can_spare(from, machine_cores, 0))
 			continue;
-		to = pool_below_home(b);
+		to = pool_below_home(l);
 		if (!to)
 			to = standby;
 		from->empty--;
 		from->workers--;
-		from->cores -= one;
-		to->coming++;
+		from->cores -= machine_cores;
+		to->arriving++;
 		machine_move(s, m, to, to == standby ? "idle" : "home");
 		n++;
 	}
 }
 
-/* Does a queue lead to a service? */
+/* Returns true if a route names a service. */
 static bool service_is_routed(const struct sched *s, bstr name)
 {
 	size_t i;
@@ -482,8 +536,8 @@
 	return false;
 }
 
-/* How many machines the operator gave a pool. */
-static unsigned home_size(const struct sched *s, bstr pool)
+/* Returns the initial number of machines of a pool. */
+static unsigned pool_home_size(const struct sched *s, bstr pool)
 {
 	char *name = bstr_cstr(pool);
 	json_int_t n = json_integer_value(json_object_get(s->home_sizes, name));
@@ -492,25 +546,30 @@
 	return (unsigned)n;
 }
 
-/* How long a pool needs for what waits for its room; 0: that is not known. */
-static double queue_ms(const struct balance *p, double one)
+/*
+ * Returns the time that a pool needs for the work that waits for nothing but
+ * room; 0 if it has no cores for that, so that the time is not known.
+ */
+static double pool_queue_ms(const struct pool_load *p, double machine_cores)
 {
-	double cores = p->cores - p->lasting + one * p->coming;
+	double cores = p->cores - p->long_running_cores +
+		       machine_cores * p->arriving;
 
-	return cores > one / 8 ? p->queued / cores : 0;
+	return cores > machine_cores / 8 ? p->queued_work / cores : 0;
 }
 
-/* Tell how the pools stand, once in a while. */
-static void balances_log(struct sched *s, const struct balances *b, double one)
+/* Logs the load of each pool, at most once per POOL_LOG_INTERVAL_MS. */
+static void pool_loads_log(struct sched *s, const struct pool_loads *l,
+			   double machine_cores)
 {
-	const struct balance *p;
+	const struct pool_load *p;
 	size_t i;
 
 	if (s->now < s->pool_log_at)
 		return;
-	s->pool_log_at = s->now + POOL_TOLD_MS;
-	for (i = 0; i < b->count; i++) {
-		p = &b->list[i];
+	s->pool_log_at = s->now + POOL_LOG_INTERVAL_MS;
+	for (i = 0; i < l->count; i++) {
+		p = &l->list[i];
 		if (!p->routed)
 			continue;
 		sched_log(
@@ -518,46 +577,50 @@
 			"pool=%.*s workers=%u home=%u coming=%u empty=%u "
 			"cores=%.0f used=%.0f lasting=%.0f work_ms=%.0f drain_ms=%.0f "
 			"stranded=%u queue_ms=%.0f objective_ms=%.0f",
-			BSTR_ARG(p->service->name), p->workers, p->home,
-			p->coming, p->empty, p->cores / 1000, p->used / 1000,
-			p->lasting / 1000, p->work / 1000, drain_ms(p, one),
-			p->stranded, queue_ms(p, one),
-			p->jobs ? p->objectives / p->jobs : 0);
+			BSTR_ARG(p->service->name), p->workers, p->home_size,
+			p->arriving, p->empty, p->cores / 1000,
+			p->used_cores / 1000, p->long_running_cores / 1000,
+			p->work / 1000, pool_drain_ms(p, machine_cores),
+			p->stranded, pool_queue_ms(p, machine_cores),
+			p->queued_jobs ? p->objective_sum_ms / p->queued_jobs
+				       : 0);
 	}
 }
 
-/* Tell which pools have more in their queues than they can do in time. */
-static void admissions_make(struct sched *s, const struct balances *b,
-			    double one)
+/* Updates the shares of new jobs that the pools admit. */
+static void admissions_update(struct sched *s, const struct pool_loads *l,
+			      double machine_cores)
 {
-	const struct balance *p;
+	const struct pool_load *p;
 	size_t i;
 
 	admissions_free(s);
-	for (i = 0; i < b->count; i++) {
-		p = &b->list[i];
-		if (p->routed && p->jobs &&
+	for (i = 0; i < l->count; i++) {
+		p = &l->list[i];
+		if (p->routed && p->queued_jobs &&
 		    policy_is_enabled(s, POLICY_ADMISSION))
-			admission_set(s, p->service->name, queue_ms(p, one),
-				      p->objectives / p->jobs);
+			admission_set(s, p->service->name,
+				      pool_queue_ms(p, machine_cores),
+				      p->objective_sum_ms / p->queued_jobs);
 	}
 }
 
-/* Keep how long each pool needs, for the waves. */
-static void drains_keep(struct sched *s, const struct balances *b, double one)
+/* Stores the time that each pool needs for its work; used by waves. */
+static void backlogs_update(struct sched *s, const struct pool_loads *l,
+			    double machine_cores)
 {
 	size_t i;
 
 	backlogs_free(s);
-	s->backlogs = xcalloc(b->count + 1, sizeof(*s->backlogs));
-	s->backlog_count = b->count;
-	for (i = 0; i < b->count; i++) {
-		s->backlogs[i].pool = bstr_copy(b->list[i].service->name);
-		s->backlogs[i].duration_ms = drain_ms(&b->list[i], one);
+	s->backlogs = xcalloc(l->count + 1, sizeof(*s->backlogs));
+	s->backlog_count = l->count;
+	for (i = 0; i < l->count; i++) {
+		s->backlogs[i].pool = bstr_copy(l->list[i].service->name);
+		s->backlogs[i].duration_ms = pool_drain_ms(&l->list[i],
+							   machine_cores);
 	}
 }
 
-/* Forget it. */
 void backlogs_free(struct sched *s)
 {
 	size_t i;
@@ -570,8 +633,9 @@
 }
 
 /*
- * Has a pool more to do than it can finish soon?  An owner that has not looked
- * at the pools yet does not know: waves would take machines in a burst.
+ * Returns true if a pool needs longer than DRAIN_LOW_MS for its work.  A new
+ * owner that has made no pass yet can't tell, so all pools count as busy;
+ * otherwise waves would take machines during a burst.
  */
 bool pool_is_busy(const struct sched *s, bstr pool)
 {
@@ -586,41 +650,43 @@
 }
 
 /*
- * Look at all pools.  Nothing is moved before the store knows the sizes that
- * they had at first: a later list shows others, and what a pool was lent would
- * count as its own for ever.
+ * Runs a pass over all pools.  No machine is moved until the store has recorded
+ * the initial sizes of the pools: a list of machines that is read later shows
+ * other sizes, and machines lent to a pool would count as its own from then on.
  */
 void move_tick(struct sched *s)
 {
-	struct balances b = {0};
-	double one;
+	struct pool_loads l = {0};
+	double machine_cores;
 	size_t i;
 
 	if (!own_is_exclusive(s) || !s->list_complete ||
 	    !s->home_sizes_durable || !s->config || s->now < s->move_at)
 		return;
-	s->move_at = s->now + MOVE_EVERY_MS;
-	b.count = s->config->service_count;
-	b.list = xcalloc(b.count + 1, sizeof(*b.list));
-	for (i = 0; i < b.count; i++) {
-		b.list[i].service = &s->config->services[i];
-		b.list[i].routed = service_is_routed(s,
-						     b.list[i].service->name);
-		b.list[i].home = home_size(s, b.list[i].service->name);
+	s->move_at = s->now + MOVE_INTERVAL_MS;
+	l.count = s->config->service_count;
+	l.list = xcalloc(l.count + 1, sizeof(*l.list));
+	for (i = 0; i < l.count; i++) {
+		l.list[i].service = &s->config->services[i];
+		l.list[i].routed = service_is_routed(s,
+						     l.list[i].service->name);
+		l.list[i].home_size = pool_home_size(s,
+						     l.list[i].service->name);
 	}
-	balance_workers(s, &b);
-	balance_jobs(s, &b);
-	balance_machines(s, &b);
-	one = machine_cores(&b);
-	balances_log(s, &b, one);
-	drains_keep(s, &b, one);
-	admissions_make(s, &b, one);
-	if (!policy_is_enabled(s, POLICY_MOVES) || !moves_in(s, &b, one))
-		moves_out(s, &b, one);
-	free(b.list);
-}
-
-/* The outcome of a move. */
+	pool_loads_add_workers(s, &l);
+	pool_loads_add_jobs(s, &l);
+	pool_loads_add_moves(s, &l);
+	machine_cores = machine_mean_cores(&l);
+	pool_loads_log(s, &l, machine_cores);
+	backlogs_update(s, &l, machine_cores);
+	admissions_update(s, &l, machine_cores);
+	if (!policy_is_enabled(s, POLICY_MOVES) ||
+	    !moves_to_loaded(s, &l, machine_cores))
+		moves_from_idle(s, &l, machine_cores);
+	free(l.list);
+}
+
+/* Handles the platform's answer to a move. */
 void move_answer(struct sched *s, struct request *rq, struct answer *a)
 {
 	struct machine *m;
@@ -631,7 +697,7 @@
 		return;
 	w = m->worker.bstr_len ? worker_find(s, m->worker) : NULL;
 	if (a->outcome == OUT_DONE) {
-		m->moving_until = s->now + s->options.move_ms + MOVE_AGAIN_MS;
+		m->moving_until = s->now + s->options.move_ms + MOVE_RETRY_MS;
 		m->state = MACHINE_MOVING;
 		if (w) {
 			worker_lost(s, w, "moved");
@@ -640,8 +706,8 @@
 		}
 		return;
 	}
-	m->retry_at = s->now + MOVE_AGAIN_MS;
-	/* Without an answer it may have been moved, or be moved later. */
+	m->retry_at = s->now + MOVE_RETRY_MS;
+	/* The machine may have been moved, or may be moved later. */
 	if (a->outcome == OUT_UNKNOWN)
 		return;
 	m->moving_until = 0;
