--- a/sched-advice.c
+++ b/sched-advice.c
@@ -1,24 +1,32 @@
 /*
- * Advice on placement: for some queues only a service of the platform knows
- * which workers may run a step.  It is asked once a step, and its tickets go
- * with the starts while they are valid.
+ * Placement tickets.  For jobs of some routes, only the platform's advice
+ * service knows which workers may run a step.  It is asked once per step, and
+ * its tickets are sent with the starts while they are valid.
  */
 #include "sched-state.h"
 
 #include <stdlib.h>
 
-/* The service takes time for each worker named, so it is asked about these
- * many; a step finds room on fewer. */
-#define ADVICE_WORKERS 30
-/* It deals with one call of a VM at a time and turns further ones away when
- * 32 wait, from all VMs: so few of this one are under way. */
-#define ADVICE_CALLS 4
+/*
+ * The service takes time for each worker in a request.  Placing a step takes
+ * fewer workers than this.
+ */
+#define ADVICE_WORKERS_MAX 30
+/*
+ * The service handles one call of a VM at a time, and refuses calls when 32 are
+ * waiting, counting those of all VMs.  So each VM has at most this many in
+ * flight.
+ */
+#define ADVICE_CALLS_MAX 4
 #define ADVICE_TIMEOUT_MS 4000
-#define ADVICE_AGAIN_MS 200
-/* A ticket is not used in its last moments: the start takes its way. */
+#define ADVICE_RETRY_MS 200
+/*
+ * A ticket is not used this shortly before it expires, as the start takes time
+ * to reach the worker.
+ */
 #define TICKET_MARGIN_MS 100
 
-/* Free an occurrence's advice. */
+/* Frees the tickets of an occurrence. */
 void advice_free(struct occurrence *o)
 {
 	struct advice *a;
@@ -36,7 +44,7 @@
 	o->advice = NULL;
 }
 
-/* Does a job's queue need advice? */
+/* Returns true if the tasks of a job need tickets. */
 bool advice_is_needed(const struct sched *s, struct job *j)
 {
 	const struct route *r = job_route(s, j);
@@ -44,7 +52,10 @@
 	return r && r->needs_ticket;
 }
 
-/* The ticket of a step for a worker; empty: there is none that holds. */
+/*
+ * Returns the ticket for starting a step on a worker, or an empty string if
+ * there is no valid one.
+ */
 bstr advice_ticket(const struct sched *s, const struct occurrence *o,
 		   unsigned at, const struct worker *w)
 {
@@ -59,9 +70,9 @@
 	return BSTR_NONE;
 }
 
-/* Ask about a step, naming the workers that it might go to. */
-static void advice_send(struct sched *s, struct occurrence *o, unsigned at,
-			struct worker **workers, size_t count)
+/* Requests tickets for a step on the given workers. */
+static void advice_request(struct sched *s, struct occurrence *o, unsigned at,
+			   struct worker **workers, size_t count)
 {
 	struct request *rq;
 	struct ask *ask;
@@ -73,8 +84,8 @@
 	rq->occurrence = o->number;
 	rq->task = at;
 	ask->order.step = bstr_printf("%s.%u.%u", o->job->id, o->number, at);
-	if (count > ADVICE_WORKERS)
-		count = ADVICE_WORKERS;
+	if (count > ADVICE_WORKERS_MAX)
+		count = ADVICE_WORKERS_MAX;
 	ask->order.workers = xcalloc(count, sizeof(bstr));
 	for (i = 0; i < count; i++)
 		ask->order.workers[ask->order.worker_count++] = bstr_copy(
@@ -83,7 +94,7 @@
 	s->advice_calls_in_flight++;
 }
 
-/* Are there tickets for a step that hold?  If not they are asked for. */
+/* Returns true if there are valid tickets for a step; requests them if not. */
 bool advice_ready(struct sched *s, struct occurrence *o, unsigned at,
 		  struct worker **workers, size_t count)
 {
@@ -96,12 +107,15 @@
 	if (a->count && s->now < a->valid_until - TICKET_MARGIN_MS)
 		return true;
 	if (!a->in_flight && s->now >= a->retry_at && count &&
-	    s->advice_calls_in_flight < ADVICE_CALLS)
-		advice_send(s, o, at, workers, count);
+	    s->advice_calls_in_flight < ADVICE_CALLS_MAX)
+		advice_request(s, o, at, workers, count);
 	return false;
 }
 
-/* The step that an answer is about; NULL: it is not there any more. */
+/*
+ * Returns the advice of the step that an answer is for, or NULL if the step
+ * does not exist any more.
+ */
 static struct advice *advice_find(struct sched *s, const struct request *rq)
 {
 	struct job *j = sched_job_find(s, rq->job);
@@ -115,7 +129,7 @@
 	return NULL;
 }
 
-/* Advice has come. */
+/* Handles an answer of the advice service. */
 void advice_answer(struct sched *s, struct request *rq, struct answer *ans)
 {
 	struct advice *a = advice_find(s, rq);
@@ -128,7 +142,7 @@
 	a->in_flight = false;
 	s->place_due = true;
 	if (ans->outcome != OUT_DONE) {
-		a->retry_at = s->now + ADVICE_AGAIN_MS;
+		a->retry_at = s->now + ADVICE_RETRY_MS;
 		sched_log(s, LOG_ADVICE, "step=%s.%u.%u outcome=%d", rq->job,
 			  rq->occurrence, rq->task, ans->outcome);
 		return;
@@ -142,9 +156,12 @@
 	a->count = ans->ticket_count;
 	ans->tickets = NULL;
 	ans->ticket_count = 0;
-	/* Validity counts from the answer; what is on its way is older. */
+	/*
+	 * The validity counts from the time at which the service answered, so
+	 * this time is too late by the transit time of the answer.
+	 */
 	a->valid_until = s->now + ans->valid_ms;
-	a->retry_at = s->now + ADVICE_AGAIN_MS;
+	a->retry_at = s->now + ADVICE_RETRY_MS;
 	sched_log(s, LOG_ADVICE, "step=%s.%u.%u good=%zu valid_ms=%lld",
 		  rq->job, rq->occurrence, rq->task, a->count,
 		  (long long)ans->valid_ms);
--- a/sched-commit.c
+++ b/sched-commit.c
@@ -1,27 +1,28 @@
 /*
- * Making progress durable: the progress of many jobs goes into one
- * transaction, under the condition that this VM is still the owner.  A
- * worker's ends are acknowledged only after that, so that a successor finds
+ * Makes the progress of jobs durable.  A transaction writes the progress of
+ * many jobs, on condition that this VM is still the owner.  The ends that a
+ * worker has reported are acknowledged only after that, so a successor finds
  * either the progress or the ends.
  */
 #include "sched-state.h"
 
 /*
- * A row that each commit rewrites under the condition of its revision.  A
- * commit without an answer may be carried out seconds later: after a newer one
- * it would set the progress of its jobs back, and tasks whose ends were
- * acknowledged on the newer one's word would run again.  Its condition does
- * not hold any more then.  It is no job's id.
+ * The key of a row that each commit rewrites on condition of its revision.  A
+ * commit that got no answer may be carried out seconds later.  After a newer
+ * one it would reset the progress of its jobs, and tasks whose ends were
+ * acknowledged because of the newer commit would run again.  The condition
+ * makes such a late commit fail.  The key can't be a job id.
  */
 #define KEY_COMMIT "commit"
 
 /*
- * Put what was in a failed commit back at the front, in its order.  A job that
- * has changed again meanwhile keeps the older of its numbers: with the newer
- * one an end of before would count as durable while the job waits behind
- * others, and its task would run twice if the owner were lost then.
+ * Puts the jobs of a failed commit back at the front of the dirty queue, in
+ * their order.  A job that has changed again since keeps its older number.
+ * With the newer one, an end processed before would count as durable while the
+ * job is still waiting behind others; if the owner were lost then, its task
+ * would run twice.
  */
-static void commit_undo(struct sched *s)
+static void commit_requeue(struct sched *s)
 {
 	struct job *j;
 
@@ -33,8 +34,11 @@
 	}
 }
 
-/* A job that was written has changed again since: it has its place by that. */
-static void commit_once_more(struct sched *s, struct job *j)
+/*
+ * Puts a job that has changed since its commit was sent into the dirty queue,
+ * at the place that the number of that change gives.
+ */
+static void commit_requeue_changed(struct sched *s, struct job *j)
 {
 	struct job *before = TAILQ_LAST(&s->dirty, job_queue);
 
@@ -49,9 +53,9 @@
 }
 
 /*
- * Up to which number is everything durable?  While a commit is under way,
- * nothing of it is: an end acknowledged then would be lost with this owner
- * if the commit is not carried out, and its task would run twice.
+ * Returns the highest number up to which all changes are durable.  Changes in
+ * the commit in flight don't count: if an end were acknowledged now, and the
+ * commit then failed and this owner were lost, the task would run twice.
  */
 uint64_t commit_durable(const struct sched *s)
 {
@@ -63,7 +67,7 @@
 	return durable;
 }
 
-/* Begin a commit if something is dirty and none is under way. */
+/* Sends a commit if there are dirty jobs and none is in flight. */
 void commit_tick(struct sched *s)
 {
 	struct request *rq;
@@ -96,7 +100,7 @@
 	s->commit_at = s->now + COMMIT_INTERVAL_MS;
 }
 
-/* The row that commits rewrite, as it was read. */
+/* Handles the row that commits rewrite.  Returns false if r is another row. */
 bool commit_row_apply(struct sched *s, const struct row *r)
 {
 	if (!bstr_eq_str(r->key, KEY_COMMIT))
@@ -106,15 +110,15 @@
 	return true;
 }
 
-/* Have all that was in a failed commit written again. */
-static void commit_again(struct sched *s, int64_t at)
+/* Has the jobs of a failed commit written again, not before the given time. */
+static void commit_retry(struct sched *s, int64_t at)
 {
-	commit_undo(s);
+	commit_requeue(s);
 	s->commit_at = at;
 	sched_count(s, COUNT_RETRY_PLATFORM_UNKNOWN, 1);
 }
 
-/* The outcome of a commit. */
+/* Handles the outcome of a commit. */
 void commit_answer(struct sched *s, struct request *rq, struct answer *a)
 {
 	unsigned rows = 0;
@@ -127,13 +131,13 @@
 		if (tx_row_was_rewritten(s, a, TABLE_PROGRESS,
 					 bstr_lit(KEY_COMMIT),
 					 &s->commit_revision))
-			commit_again(s, s->now);
+			commit_retry(s, s->now);
 		else
 			own_lose(s, "replaced");
 		return;
 	}
 	if (a->outcome != OUT_DONE) {
-		commit_again(s, s->now + STORE_RETRY_MS);
+		commit_retry(s, s->now + STORE_RETRY_MS);
 		return;
 	}
 	if (a->revision > s->commit_revision)
@@ -143,7 +147,7 @@
 		j->commit_seq = 0;
 		rows++;
 		if (j->recommit_seq)
-			commit_once_more(s, j);
+			commit_requeue_changed(s, j);
 		job_mark_durable(s, j);
 		job_retire_if_done(s, j);
 	}
@@ -152,9 +156,10 @@
 }
 
 /*
- * The outcome of removing rows: a conflict tells of a new owner.  While the
- * jobs are read whole again, a page may be on its way that was read before the
- * rows went; the jobs stay known then, and their rows are removed once more.
+ * Handles the outcome of a removal of rows.  A conflict means that there is a
+ * new owner.  While the jobs table is being read again, a page may arrive that
+ * was read before the rows were removed.  In that case the jobs stay known as
+ * final, and their rows are removed once more.
  */
 void sweep_answer(struct sched *s, struct request *rq, struct answer *a)
 {
@@ -171,6 +176,7 @@
 		if (!r->removing)
 			break;
 		r->removing = false;
+		/* follows[3] is the jobs table. */
 		if (a->outcome == OUT_DONE && s->follows[3].complete)
 			job_unretire(s, r);
 	}
