--- a/sched-count.c
+++ b/sched-count.c
@@ -1,50 +1,55 @@
 /*
- * How many jobs of each queue wait: the owner counts them in its book and
- * tells the store with its beat, and any VM answers callers from one of the
- * two.  Either is as old as the owner's latest reading of the jobs, which is
- * told by the store's clock, so that every VM can reckon the age.
+ * The number of waiting jobs of each route.  The owner counts the jobs that it
+ * tracks and publishes the numbers in its heartbeat; every VM answers callers
+ * from one of the two.  The numbers are as old as the owner's latest reading of
+ * the jobs.  That time is given by the store's clock, so that every VM can
+ * compute their age.
  */
 #include "sched-state.h"
 #include "json-read.h"
 
 #include <stdlib.h>
 
-/* A count may be so old, by the callers' interface. */
+/* The callers' interface allows a count to be this old. */
 #define COUNT_AGE_MAX_MS 2000
 
-/* What a VM knows of a queue's waiting jobs. */
+/* The number of waiting jobs of a route, as this VM knows it. */
 struct known_count {
 	uint64_t waiting;
-	int64_t told_at; /* by the store's clock; 0: not known */
-	bool own;	 /* from this VM's book, not from a beat */
+	int64_t as_of;	   /* by the store's clock; 0: not known */
+	bool counted_here; /* counted by this VM, not read from a heartbeat */
 };
 
-/* The store's clock now, by its latest answer; 0: it has not told yet. */
+/*
+ * Returns the store's clock, extrapolated from its answers; 0 if it is not
+ * known yet.
+ */
 int64_t store_clock(const struct sched *s)
 {
 	return s->store_clock_known ? s->now + s->store_clock_offset : 0;
 }
 
 /*
- * Take the store's clock from an answer of it.  It showed this at some moment
- * between sending and now.  An answer that waited here while the VM stood
- * still must not set the clock back: old counts would seem new.
+ * Updates the offset of the store's clock from an answer.  The store read its
+ * clock at some time between the sending of the request and now.  An answer
+ * that was queued here while this VM was suspended must not set the clock back:
+ * old counts would then seem to be new.
  */
 void store_clock_update(struct sched *s, const struct answer *a)
 {
-	int64_t least = a->store_clock - s->now;
-	int64_t most = a->store_clock - a->sent_at;
+	int64_t min = a->store_clock - s->now;
+	int64_t max = a->store_clock - a->sent_at;
 
 	if (!a->store_clock)
 		return;
-	if (!s->store_clock_known || s->store_clock_offset > most)
-		s->store_clock_offset = most;
-	if (s->store_clock_offset < least)
-		s->store_clock_offset = least;
+	if (!s->store_clock_known || s->store_clock_offset > max)
+		s->store_clock_offset = max;
+	if (s->store_clock_offset < min)
+		s->store_clock_offset = min;
 	s->store_clock_known = true;
 }
 
-/* The waiting jobs by queue, for a beat. */
+/* Returns the number of waiting jobs by route, for a heartbeat. */
 json_t *counts_write(const struct sched *s)
 {
 	json_t *counts = json_object();
@@ -64,7 +69,7 @@
 	return counts;
 }
 
-/* Forget what was told. */
+/* Frees the counts read from a heartbeat. */
 void counts_free(struct sched *s)
 {
 	struct waiting_count *w, *next;
@@ -77,15 +82,15 @@
 	s->waiting_as_of = 0;
 }
 
-/* Take over the counts of a beat, of the jobs as they were at a time. */
-void counts_read(struct sched *s, const json_t *counts, int64_t told_at)
+/* Reads the counts from a heartbeat.  They are as of the given time. */
+void counts_read(struct sched *s, const json_t *counts, int64_t as_of)
 {
 	struct waiting_count *w;
 	const char *route;
 	json_t *v;
 
 	counts_free(s);
-	s->waiting_as_of = told_at;
+	s->waiting_as_of = as_of;
 	json_object_foreach((json_t *)counts, route, v) {
 		w = xcalloc(1, sizeof(*w));
 		w->route = bstr_new(route);
@@ -96,19 +101,24 @@
 }
 
 /*
- * Up to when does the owner's book have all jobs that were accepted?  One that
- * still reads them does not know: what it has read so far would be told as
- * all there is, and callers would hear that none waits.
+ * Returns the time up to which the owner's list of jobs has all accepted jobs.
+ * An owner that is still loading returns 0, not known: the number of jobs read
+ * so far would be taken for the total, and callers would be told that none
+ * waits.
  */
 int64_t job_list_as_of(const struct sched *s)
 {
+	/* follows[3] is the jobs table. */
 	return s->own.state == OWN_OWNER ? s->follows[3].current_as_of : 0;
 }
 
-/* What this VM knows of a queue: the owner's book, or its last beat. */
-static struct known_count count_known(const struct sched *s, bstr route)
+/*
+ * Returns the count of a route: by this VM's own list if it is the owner, else
+ * from the latest heartbeat.
+ */
+static struct known_count count_lookup(const struct sched *s, bstr route)
 {
-	struct known_count k = {.told_at = s->waiting_as_of};
+	struct known_count k = {.as_of = s->waiting_as_of};
 	struct waiting_count *w;
 	const struct job *j;
 
@@ -117,46 +127,47 @@
 		k.waiting = w ? w->count : 0;
 		return k;
 	}
-	k.own = true;
-	k.told_at = job_list_as_of(s);
+	k.counted_here = true;
+	k.as_of = job_list_as_of(s);
 	TAILQ_FOREACH(j, &s->order, entry)
 		k.waiting += job_waits(j) && bstr_eq(j->route, route);
 	return k;
 }
 
-/* How old is what is known?  -1: that is not known. */
-static int64_t count_age(const struct sched *s, int64_t told_at)
+/* Returns the age of a count, or -1 if it is not known. */
+static int64_t count_age_ms(const struct sched *s, int64_t as_of)
 {
 	int64_t now = store_clock(s);
 
-	return told_at && now ? now - told_at : -1;
+	return as_of && now ? now - as_of : -1;
 }
 
-/* The age of what this VM would tell a caller now. */
+/* Returns the age of the counts that callers would get now. */
 int64_t counts_age_ms(const struct sched *s)
 {
-	return count_age(s, s->own.state == OWN_OWNER ? job_list_as_of(s)
-						      : s->waiting_as_of);
+	return count_age_ms(s, s->own.state == OWN_OWNER ? job_list_as_of(s)
+							 : s->waiting_as_of);
 }
 
 /*
- * Answer how many jobs of a queue wait.  While nobody owns the scheduling, and
- * where beats or the feed of the jobs do not come, what is known grows old and
- * jobs are accepted elsewhere: a caller would be told that none waits while
- * many do.  Such a VM says that it can't tell; others can, or soon will.
+ * Answers the request for the number of waiting jobs of a route.  While there
+ * is no owner, or if heartbeats or the jobs feed don't arrive, the counts
+ * become outdated as other VMs accept jobs; a caller could be told that none
+ * waits while many do.  This VM then refuses the request.  Other VMs may have
+ * current counts, or this one will soon.
  */
 void count_receive(struct sched *s, const struct call_in *in,
 		   const struct route *r)
 {
-	struct known_count k = count_known(s, r->name);
-	int64_t age = count_age(s, k.told_at);
+	struct known_count k = count_lookup(s, r->name);
+	int64_t age = count_age_ms(s, k.as_of);
 	struct sched_effect *fx;
 
 	sched_log(s, LOG_COUNT_TOLD,
 		  "queue=%.*s waiting=%llu source=%s epoch=%llu age_ms=%lld",
 		  BSTR_ARG(r->name), (unsigned long long)k.waiting,
-		  k.own ? "book" : "beat", (unsigned long long)s->own.epoch,
-		  (long long)age);
+		  k.counted_here ? "book" : "beat",
+		  (unsigned long long)s->own.epoch, (long long)age);
 	if (age < 0 || age > COUNT_AGE_MAX_MS) {
 		call_refuse(s, in->id, 503, COUNT_REFUSED_NOT_FRESH,
 			    "count-not-fresh", "-");
