--- a/sched-follow.c
+++ b/sched-follow.c
@@ -1,6 +1,7 @@
 /*
- * Following tables of the store: read whole by pages, then by the feed of
- * changes; read whole again when the feed's history is gone.
+ * Keeps tables of the store up to date: reads them completely, page by page,
+ * and then follows their change feeds.  A table is read again if the feed's
+ * history has been discarded.
  */
 #include "sched-state.h"
 
@@ -8,66 +9,69 @@
 #include <string.h>
 
 /*
- * Workers write their rows every second or two, so their feed has always
- * something new: it is asked for what came in so long.  At 350 workers that
- * is at most 5 calls a second in place of one for each row, and nothing that a
- * worker says of itself there is more urgent.
+ * Pause between requests to the feed of worker rows.  Workers write their rows
+ * every second or two, so the feed always has changes.  At 350 workers the
+ * pause limits the rate to 5 calls a second instead of one per row.  Nothing
+ * that workers write there is more urgent.
  */
-#define WORKERS_FEED_APART_MS 200
+#define WORKERS_FEED_PAUSE_MS 200
 
 /*
- * An owner beats as often as a limit or a new worker wants it, and each beat
- * is sent to all VMs.  One that leaves the claim to larger ones asks for the
- * next after a pause that is shorter than the time between regular beats.
+ * Pause between requests to the feed of the owner table, on a VM that leaves
+ * the claim to larger VMs.  The owner sends extra heartbeats when a ceiling or
+ * a new worker needs it, and each one is sent to all VMs.  The pause is shorter
+ * than the interval of regular heartbeats.
  */
-#define OWNER_FEED_APART_MS 300
+#define OWNER_FEED_PAUSE_MS 300
 
 /*
- * So many parts are read at once.  The answer to an owner's beat comes behind
- * their pages, and the next beat waits for it: behind all sixteen of a long
- * book it would be too late.
+ * Limit of the parts of a table read at the same time.  The answer to an
+ * owner's heartbeat is queued behind their pages, and the next heartbeat waits
+ * for it.  Behind all 16 parts of a long job table it would be too late.
  */
-#define READS_AT_ONCE 4
+#define PARALLEL_READS_MAX 4
 
 /*
- * An answer of the jobs' feed is waited for twice as long as the last one was
- * late, and twice as long again after one that did not come though the store
- * answered others.  On an owner short of processor a long one takes seconds:
- * given up and asked for again each time, it would never come, and cancels be
- * read when their tasks have begun.  After an outage nothing is waited for
- * longer: what was asked in it is never answered.
+ * Upper bound of the timeout of the jobs feed beyond its wait.  The timeout is
+ * twice the delay of the last answer, and doubles after each request that got
+ * no answer although the store answered others.  On an owner short of processor
+ * time a long answer takes seconds.  With a fixed timeout it would be given up
+ * and requested again each time and never be received, and cancellations would
+ * be read only after their tasks have started.  An outage does not raise the
+ * timeout, as requests sent during one are never answered.
  */
-#define FEED_PATIENCE_MAX_MS 4000
+#define FEED_TIMEOUT_MAX_MS 4000
 
-/* How long beyond its wait is a feed's answer waited for? */
-static uint32_t feed_patience(const struct follow *f)
+/* Returns the current timeout of a feed beyond its wait. */
+static uint32_t feed_timeout(const struct follow *f)
 {
 	if (f->feed_timeout_ms < FEED_TIMEOUT_MS)
 		return FEED_TIMEOUT_MS;
-	return f->feed_timeout_ms < FEED_PATIENCE_MAX_MS ? f->feed_timeout_ms
-							 : FEED_PATIENCE_MAX_MS;
+	return f->feed_timeout_ms < FEED_TIMEOUT_MAX_MS ? f->feed_timeout_ms
+							: FEED_TIMEOUT_MAX_MS;
 }
 
-/* A feed's answer has come, or not: how long the next one is waited for. */
-static void feed_patience_take(struct sched *s, struct follow *f, bool came)
+/* Adapts the timeout of the jobs feed after an answer or a timeout. */
+static void feed_timeout_update(struct sched *s, struct follow *f,
+				bool answered)
 {
-	int64_t beyond = s->now - f->asked_at - f->wait_ms;
+	int64_t late_ms = s->now - f->asked_at - f->wait_ms;
 
 	if (f->table != TABLE_JOBS)
 		return;
-	if (came)
-		f->feed_timeout_ms = beyond > 0 ? 2 * (uint32_t)beyond : 0;
+	if (answered)
+		f->feed_timeout_ms = late_ms > 0 ? 2 * (uint32_t)late_ms : 0;
 	else if (s->store_ok_at > f->asked_at)
-		f->feed_timeout_ms = 2 * feed_patience(f);
+		f->feed_timeout_ms = 2 * feed_timeout(f);
 }
 
-/* How many parts of a table are read. */
+/* Returns the number of parts of a table to read. */
 static unsigned follow_parts(const struct follow *f)
 {
 	return f->parts ? f->parts : 1;
 }
 
-/* Have a table read whole again. */
+/* Starts the reading of a table anew. */
 void follow_restart(struct follow *f)
 {
 	unsigned i;
@@ -82,17 +86,20 @@
 	}
 }
 
-/* Ask for what has changed. */
-static void feed_ask(struct sched *s, struct follow *f)
+/* Sends a request to a table's feed. */
+static void feed_request(struct sched *s, struct follow *f)
 {
 	struct request *rq;
 	struct ask *ask;
 
-	/* Just after a whole reading it tells at once what came meanwhile. */
+	/*
+	 * The first request after a complete reading returns immediately with
+	 * the changes made since.
+	 */
 	uint32_t wait_ms = f->feed_answered ? f->wait_ms : 0;
 
 	rq = sched_ask(s, f->feed_purpose, ASK_FEED,
-		       s->now + wait_ms + feed_patience(f), &ask);
+		       s->now + wait_ms + feed_timeout(f), &ask);
 	f->asked_at = s->now;
 	rq->number = f->reading_serial;
 	ask->range.table = f->table;
@@ -102,8 +109,8 @@
 	sched_count(s, COUNT_TABLE_READS, 1);
 }
 
-/* Ask for the next page of a part. */
-static void page_ask(struct sched *s, struct follow *f, unsigned i)
+/* Requests the next page of a part of a table. */
+static void page_request(struct sched *s, struct follow *f, unsigned i)
 {
 	struct request *rq;
 	struct ask *ask;
@@ -120,40 +127,41 @@
 	sched_count(s, COUNT_TABLE_READS, 1);
 }
 
-/* Ask where nothing is under way. */
-static void follow_go(struct sched *s, struct follow *f)
+/* Sends the requests for a table that are needed and not in flight. */
+static void follow_request(struct sched *s, struct follow *f)
 {
-	unsigned i, open = 0;
+	unsigned i, in_flight = 0;
 
 	if (!f->wanted || s->now < f->retry_at)
 		return;
 	if (f->complete) {
 		if (!f->feed_in_flight && f->feed_purpose != PURPOSE_MAX)
-			feed_ask(s, f);
+			feed_request(s, f);
 		return;
 	}
 	for (i = 0; i < follow_parts(f); i++)
-		open += f->reads[i].in_flight;
-	for (i = 0; i < follow_parts(f) && open < READS_AT_ONCE; i++) {
+		in_flight += f->reads[i].in_flight;
+	for (i = 0; i < follow_parts(f) && in_flight < PARALLEL_READS_MAX;
+	     i++) {
 		if (f->reads[i].in_flight || f->reads[i].complete)
 			continue;
-		page_ask(s, f, i);
-		open++;
+		page_request(s, f, i);
+		in_flight++;
 	}
 }
 
-/* Ask wherever nothing is under way. */
+/* Sends the requests that are needed for all tables. */
 void follow_tick(struct sched *s)
 {
 	size_t i;
 
 	for (i = 0; i < NELEMS(s->follows); i++)
-		follow_go(s, &s->follows[i]);
-	follow_go(s, &s->progress);
-	follow_go(s, &s->notes);
+		follow_request(s, &s->follows[i]);
+	follow_request(s, &s->progress);
+	follow_request(s, &s->notes);
 }
 
-/* Hand a row to the file whose subject it is. */
+/* Passes a row to the file that handles it. */
 static void row_dispatch(struct sched *s, struct row *r)
 {
 	switch (r->table) {
@@ -184,7 +192,7 @@
 	}
 }
 
-/* Which table is a request for? */
+/* Returns the table that a request with this purpose is for. */
 static struct follow *follow_of(struct sched *s, enum purpose p)
 {
 	size_t i;
@@ -196,25 +204,28 @@
 	return p == FOR_NOTES_GET ? &s->notes : &s->progress;
 }
 
-/* Note where the next page starts: just after the last key of this one. */
-static void page_next(struct part_read *p, const struct answer *a)
+/* Sets the start of the next page, just after the last key of this page. */
+static void page_set_next(struct part_read *p, const struct answer *a)
 {
 	bstr last = a->rows[a->row_count - 1].key;
 	bstr next = {.bstr_len = last.bstr_len + 1};
 
 	next.bstr_val = xcalloc((size_t)last.bstr_len + 1, 1);
 	memcpy(next.bstr_val, last.bstr_val, last.bstr_len);
-	/* A byte 1 is above "just this key" and below every longer one used. */
+	/*
+	 * Byte 1 sorts after the key itself and before all longer keys in use.
+	 */
 	next.bstr_val[last.bstr_len] = 1;
 	bstr_free(&p->next_key);
 	p->next_key = next;
 }
 
 /*
- * If all parts have been read, go on with the feed, from the earliest first
- * page: a row that changed between two pages is then seen again.
+ * Completes the reading of a table if all its parts have been read.  The feed
+ * continues from the earliest of the first pages' revisions, so that a row that
+ * changed between two pages is received again.
  */
-static void follow_whole(struct sched *s, struct follow *f)
+static void follow_finish_reading(struct sched *s, struct follow *f)
 {
 	unsigned i;
 
@@ -237,65 +248,72 @@
 	own_table_loaded(s);
 }
 
-/* Take a page. */
-static void page_take(struct sched *s, struct follow *f, struct part_read *p,
-		      const struct answer *a)
+/* Advances the position in a part of a table after a page was processed. */
+static void page_finish(struct sched *s, struct follow *f, struct part_read *p,
+			const struct answer *a)
 {
 	s->own.load_progress_at = s->now;
 	if (!p->first_revision)
 		p->first_revision = a->revision;
 	if (a->more && a->row_count) {
-		page_next(p, a);
+		page_set_next(p, a);
 		return;
 	}
 	p->complete = true;
-	follow_whole(s, f);
+	follow_finish_reading(s, f);
 }
 
-/* Note how far the feed is. */
-static void feed_take(struct sched *s, struct follow *f, const struct answer *a)
+/* Advances the position of a feed after an answer was processed. */
+static void feed_finish(struct sched *s, struct follow *f,
+			const struct answer *a)
 {
 	f->feed_answered = true;
 	if (a->revision > f->revision)
 		f->revision = a->revision;
-	/* One that is as long as a page may be cut off: more follows. */
+	/*
+	 * An answer as long as a page may be truncated; then more changes
+	 * follow.
+	 */
 	if (a->row_count < PAGE_ROWS && !a->more)
 		f->current_as_of = a->store_clock;
 	if (f->table == TABLE_WORKERS)
-		f->retry_at = s->now + WORKERS_FEED_APART_MS;
+		f->retry_at = s->now + WORKERS_FEED_PAUSE_MS;
 	if (f->table == TABLE_OWNER && own_defers_claim(s))
-		f->retry_at = s->now + OWNER_FEED_APART_MS;
+		f->retry_at = s->now + OWNER_FEED_PAUSE_MS;
 }
 
-/* Take a page or a feed's answer. */
+/* Handles a page or an answer of a feed. */
 void follow_answer(struct sched *s, struct request *rq, struct answer *a)
 {
 	struct follow *f = follow_of(s, rq->purpose);
-	bool fed = rq->purpose == f->feed_purpose;
+	bool is_feed = rq->purpose == f->feed_purpose;
 	size_t i;
 
-	if (fed)
+	if (is_feed)
 		f->feed_in_flight = false;
 	/*
-	 * Also of a table that is not wanted now: this answer is dropped, and
-	 * an owner that wants it again has to ask, or it would read for ever.
+	 * The flag is also cleared for a table that is not wanted now.  The
+	 * answer is dropped, and if an owner wants the table again it has to
+	 * send a new request; otherwise the reading would never finish.
 	 */
-	if (!fed && rq->number == f->reading_serial)
+	if (!is_feed && rq->number == f->reading_serial)
 		f->reads[rq->occurrence].in_flight = false;
-	/* Of a reading that was begun anew meanwhile: that one goes on. */
+	/*
+	 * The answer belongs to an earlier reading; the current one continues.
+	 */
 	if (rq->number != f->reading_serial || !f->wanted) {
-		follow_go(s, f);
+		follow_request(s, f);
 		return;
 	}
 	if (a->outcome == OUT_COMPACTED) {
 		sched_log(s, LOG_HISTORY_GONE, "table=%d revision=%llu",
 			  f->table, (unsigned long long)f->revision);
 		follow_restart(f);
-		follow_go(s, f);
+		follow_request(s, f);
 		return;
 	}
-	if (fed)
-		feed_patience_take(s, f, a->outcome == OUT_DONE);
+	if (is_feed)
+		feed_timeout_update(s, f, a->outcome == OUT_DONE);
 	if (a->outcome != OUT_DONE) {
 		f->retry_at = s->now + STORE_RETRY_MS;
 		return;
@@ -304,12 +322,15 @@
 		row_dispatch(s, &a->rows[i]);
 	if (f->table == TABLE_OWNER)
 		own_reset_silence(s);
-	/* A row may have ended this VM's ownership, and with it the follow. */
+	/*
+	 * A row may have ended this VM's ownership and thereby restarted the
+	 * reading.
+	 */
 	if (rq->number != f->reading_serial)
 		return;
-	if (fed)
-		feed_take(s, f, a);
-	if (!fed)
-		page_take(s, f, &f->reads[rq->occurrence], a);
-	follow_go(s, f);
+	if (is_feed)
+		feed_finish(s, f, a);
+	if (!is_feed)
+		page_finish(s, f, &f->reads[rq->occurrence], a);
+	follow_request(s, f);
 }
