--- a/sched-learn.c
+++ b/sched-learn.c
@@ -1,6 +1,7 @@
 /*
- * Learning how long tasks take: declared times are off by a factor of two or
- * three either way, so what the tasks of a queue took counts for more.
+ * Learns the run times of tasks.  Run times declared in jobs are off by a
+ * factor of two or three either way, so the observed run times of a route's
+ * tasks weigh more.
  */
 #include "sched-state.h"
 
@@ -8,17 +9,19 @@
 #include <stdlib.h>
 
 /*
- * How much a declared time counts beside the queue's own, as powers of a
- * geometric mean.  With times that spread by 0.5 and declarations that are
- * off by 0.9 (standard deviations of logarithms) the best share is
- * 0.25 / (0.25 + 0.81).
+ * Weight of the declared run time in a weighted geometric mean with the learnt
+ * one.  If run times spread by 0.5 and declarations are off by 0.9 (standard
+ * deviations of logarithms), the best weight is 0.25 / (0.25 + 0.81).
  */
-#define DECLARED_SHARE 0.24
-/* Older runs fade, so that the mean follows a change within some hundred. */
-#define COUNT_MAX 300
+#define DECLARED_WEIGHT 0.24
+/*
+ * Limits the weight of older runs, so that the mean follows a change within a
+ * few hundred runs.
+ */
+#define WEIGHT_MAX 300
 
-/* The learnt time of a route. */
-static struct learnt_time *lesson_of(struct sched *s, bstr route)
+/* Returns the learnt run time of a route; creates it if needed. */
+static struct learnt_time *learnt_time_of(struct sched *s, bstr route)
 {
 	struct learnt_time *l;
 
@@ -31,34 +34,37 @@
 	return l;
 }
 
-/* A run has ended as done: it took from its start until now. */
+/* Learns from a run that has just completed its task. */
 void learn_run_time(struct sched *s, const struct task *t)
 {
-	struct learnt_time *l = lesson_of(s, t->occ->job->route);
+	struct learnt_time *l = learnt_time_of(s, t->occ->job->route);
 	double ms = (double)(s->now - t->started_at);
 
-	/* Lasting work has no time; a resumed run shows only its rest. */
+	/*
+	 * Long-running tasks have no run time.  A run that resumed from a
+	 * checkpoint took only part of it.
+	 */
 	if (task_step(t)->long_running || t->checkpoint.bstr_len || ms < 1)
 		return;
-	if (l->weight < COUNT_MAX)
+	if (l->weight < WEIGHT_MAX)
 		l->weight++;
 	l->mean_log_ms += (log(ms) - l->mean_log_ms) / l->weight;
 }
 
-/* How long a task of a step is expected to take. */
+/* Returns the expected run time of a task of a step. */
 int64_t step_expected_ms(struct sched *s, const struct job *j, unsigned at)
 {
 	const struct job_step *st = &j->body->steps[at];
 	double declared = st->estimated_ms ? st->estimated_ms : 1;
-	struct learnt_time *l = lesson_of(s, j->route);
+	struct learnt_time *l = learnt_time_of(s, j->route);
 
 	if (l->weight < 1 || !policy_is_enabled(s, POLICY_LEARNING))
 		return (int64_t)declared;
-	return (int64_t)exp(DECLARED_SHARE * log(declared) +
-			    (1 - DECLARED_SHARE) * l->mean_log_ms);
+	return (int64_t)exp(DECLARED_WEIGHT * log(declared) +
+			    (1 - DECLARED_WEIGHT) * l->mean_log_ms);
 }
 
-/* Free the lessons. */
+/* Frees the learnt run times. */
 void learnt_times_free(struct sched *s)
 {
 	struct learnt_time *l, *next;
--- a/sched-load.c
+++ b/sched-load.c
@@ -1,14 +1,16 @@
 /*
- * What the owner did in the last second, for whoever asks why work waited
- * beside free room: how often it looked at workers and at what waits, how much
- * it wrote, and what it has yet to write.
+ * Logs the activity of the owner each second, to show why tasks waited although
+ * workers had room: how often it polled workers and ran placement passes, how
+ * much it wrote, and what remains to be written.
  */
 #include "sched-state.h"
 
-/* A line is logged so often while there is something to tell. */
-#define LOAD_TOLD_MS 1000
+#define LOAD_LOG_INTERVAL_MS 1000
 
-/* A worker has answered a look; how long was it since the one before? */
+/*
+ * Counts the answer to a poll, and the time since the previous one if the
+ * worker has tasks.
+ */
 void load_add_poll(struct sched *s, const struct worker *w,
 		   const struct answer *a)
 {
@@ -22,7 +24,7 @@
 	}
 }
 
-/* A commit of so many rows has been answered. */
+/* Counts a commit that was carried out. */
 void load_add_commit(struct sched *s, unsigned rows, int64_t ms)
 {
 	s->load.commits++;
@@ -31,8 +33,8 @@
 		s->load.commit_ms_max = ms;
 }
 
-/* Jobs whose progress is to be written. */
-static unsigned dirty_jobs(const struct sched *s)
+/* Returns the number of jobs whose progress has to be written. */
+static unsigned dirty_job_count(const struct sched *s)
 {
 	const struct job *j;
 	unsigned n = 0;
@@ -42,7 +44,10 @@
 	return n;
 }
 
-/* Tell once in a while, and begin to count anew. */
+/*
+ * Logs the activity since the last line, if there was any, and resets the
+ * counts.
+ */
 void load_tick(struct sched *s)
 {
 	struct load *l = &s->load;
@@ -61,8 +66,8 @@
 					      ? l->poll_gap_ms / l->poll_gaps
 					      : 0),
 			  l->ends, l->commits, l->rows,
-			  (long long)l->commit_ms_max, dirty_jobs(s),
+			  (long long)l->commit_ms_max, dirty_job_count(s),
 			  l->starts_in_flight_max,
 			  s->start_window / START_WINDOW_UNIT);
-	*l = (struct load){.log_at = s->now + LOAD_TOLD_MS};
+	*l = (struct load){.log_at = s->now + LOAD_LOG_INTERVAL_MS};
 }
