--- a/sched-config.c
+++ b/sched-config.c
@@ -1,12 +1,10 @@
-/*
- * The operator's configuration in force here, and finding things in it.
- */
+/* The operator's configuration that this VM uses, and look-ups in it. */
 #include "sched-state.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* The order of routes: by name, so that one is found quickly. */
+/* Compares routes by name, for qsort and bsearch. */
 static int route_cmp(const void *a, const void *b)
 {
 	const struct route *x = a, *y = b;
@@ -15,9 +13,9 @@
 }
 
 /*
- * Put a configuration in force, never an older one: a page that was on its
- * way while the feed brought a newer row would set a route back otherwise,
- * and callers would see the old rules again.
+ * Adopts a configuration unless it is older than the current one.  A page that
+ * was read before the feed delivered a newer row could otherwise reset a route,
+ * and callers would get the old rules again.
  */
 void config_row_apply(struct sched *s, struct row *r)
 {
@@ -41,7 +39,10 @@
 		  s->config->tenant_count);
 }
 
-/* The route of a host with the longest prefix that a path begins with. */
+/*
+ * Returns the route with the longest prefix of the path among those of the
+ * host, or NULL.
+ */
 const struct route *route_find(const struct sched *s, bstr host, bstr path)
 {
 	const struct route *best = NULL, *r;
@@ -67,7 +68,10 @@
 	return best;
 }
 
-/* A route by its name; asked for each job that waits, of hundreds of routes. */
+/*
+ * Returns a route by name, or NULL.  A binary search, because this is called
+ * for each waiting job, and there are hundreds of routes.
+ */
 const struct route *route_named(const struct sched *s, bstr name)
 {
 	struct route key = {.name = name};
@@ -78,7 +82,7 @@
 		       sizeof(*s->config->routes), route_cmp);
 }
 
-/* Whose key is it? */
+/* Returns the organisation that has this key, or NULL. */
 const struct tenant *tenant_of_key(const struct sched *s, bstr key)
 {
 	const struct tenant *t;
@@ -95,7 +99,7 @@
 	return NULL;
 }
 
-/* An organisation by its name. */
+/* Returns an organisation by name, or NULL. */
 const struct tenant *tenant_named(const struct sched *s, bstr name)
 {
 	size_t i;
@@ -106,7 +110,7 @@
 	return NULL;
 }
 
-/* A service by its name. */
+/* Returns a service by name, or NULL. */
 const struct service *service_named(const struct sched *s, bstr name)
 {
 	size_t i;
--- a/sched-data.c
+++ b/sched-data.c
@@ -1,12 +1,9 @@
-/*
- * What events and effects of the scheduler hold: freeing it, and sums of
- * sizes.
- */
+/* Freeing the contents of events and effects, and computing with resources. */
 #include "scheduler.h"
 
 #include <stdlib.h>
 
-/* Free an array of strings. */
+/* Frees an array of strings. */
 static void bstrs_free(bstr *list, size_t count)
 {
 	size_t i;
@@ -16,7 +13,7 @@
 	free(list);
 }
 
-/* Free what a caller asked for. */
+/* Frees a job body; NULL is allowed. */
 void job_body_free(struct job_body *b)
 {
 	size_t i;
@@ -34,7 +31,7 @@
 	free(b);
 }
 
-/* Free a configuration. */
+/* Frees a configuration; NULL is allowed. */
 void fleet_config_free(struct fleet_config *c)
 {
 	size_t i;
@@ -59,7 +56,7 @@
 	free(c);
 }
 
-/* Free what a wave's row holds. */
+/* Frees the contents of an operator's row of a wave. */
 void wave_row_free(struct wave_row *w)
 {
 	bstrs_free(w->machines, w->machine_count);
@@ -67,7 +64,7 @@
 	w->machine_count = 0;
 }
 
-/* Free what a worker's row holds. */
+/* Frees the contents of a worker's row. */
 void worker_row_free(struct worker_row *w)
 {
 	bstr_free(&w->service);
@@ -78,7 +75,7 @@
 	w->label_count = 0;
 }
 
-/* Free what a row holds. */
+/* Frees the contents of a row. */
 static void row_free(struct row *r)
 {
 	bstr_free(&r->key);
@@ -99,7 +96,7 @@
 	}
 }
 
-/* Free what an answer holds. */
+/* Frees the contents of an answer. */
 static void answer_free(struct answer *a)
 {
 	size_t i;
@@ -132,7 +129,7 @@
 	bstr_free(&a->next_page);
 }
 
-/* Free an event with what it holds. */
+/* Frees an event and its contents. */
 void sched_event_free(struct sched_event *ev)
 {
 	switch (ev->kind) {
@@ -153,7 +150,7 @@
 	free(ev);
 }
 
-/* Free what a transaction holds. */
+/* Frees the contents of a transaction. */
 static void tx_free(struct tx *t)
 {
 	size_t i;
@@ -171,7 +168,7 @@
 	free(t->removes);
 }
 
-/* Free what an order holds. */
+/* Frees the contents of an order. */
 static void order_free(struct order *o)
 {
 	bstr_free(&o->worker);
@@ -188,7 +185,7 @@
 	bstrs_free(o->workers, o->worker_count);
 }
 
-/* Free an effect with what it holds. */
+/* Frees an effect and its contents. */
 void sched_effect_free(struct sched_effect *fx)
 {
 	if (fx->kind == EFFECT_LOG)
@@ -210,21 +207,21 @@
 	free(fx);
 }
 
-/* Does a need fit into what is free? */
+/* Returns true if need fits into room in every resource. */
 bool resources_fit(struct resources need, struct resources room)
 {
 	return need.cpu <= room.cpu && need.memory <= room.memory &&
 	       need.gpus <= room.gpus;
 }
 
-/* Add sizes. */
+/* Returns the sum, by resource. */
 struct resources resources_add(struct resources a, struct resources b)
 {
 	return (struct resources){a.cpu + b.cpu, a.memory + b.memory,
 				  a.gpus + b.gpus};
 }
 
-/* The larger of two sizes in each resource. */
+/* Returns the maximum, by resource. */
 struct resources resources_max(struct resources a, struct resources b)
 {
 	return (struct resources){a.cpu > b.cpu ? a.cpu : b.cpu,
@@ -232,7 +229,7 @@
 				  a.gpus > b.gpus ? a.gpus : b.gpus};
 }
 
-/* Subtract sizes. */
+/* Returns the difference a - b, by resource. */
 struct resources resources_sub(struct resources a, struct resources b)
 {
 	return (struct resources){a.cpu - b.cpu, a.memory - b.memory,
