--- a/sched-config.c
+++ b/sched-config.c
@@ -13,7 +13,7 @@
 }
 
 /*
- * Adopts a configuration unless it is older than the current one.  A page that
+ * Adopts a configuration if it is newer than the current one.  A page that
  * was read before the feed delivered a newer row could otherwise reset a route,
  * and callers would get the old rules again.
  */
