--- a/reduce-pool.c
+++ b/reduce-pool.c
@@ -1,18 +1,18 @@
+/*
+ * Changes to endpoint VMs' rows, requested by an operator, a wave or the owner
+ * of the VM's cell.  An edit reads the rows of the VM, of its pool and the
+ * head of the VM rows, checks the request against them, and writes them in
+ * one atomic commit that fails if one of them has changed meanwhile.
+ */
 #include "reduce.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/*
- * Changes of VMs' rows: an operator's, a wave's, or what the owner of a cell
- * has seen.  Each reads the VM, its pool's budget and the head, decides, and
- * commits all of it or nothing.
- */
 #define EDIT_TRIES 8
-#define EDIT_MS 8000
+#define EDIT_TIMEOUT_MS 8000
 #define EDIT_RETRY_MS 200
 
-/* Free an edit. */
 static void edit_free(struct state *st, struct edit *e)
 {
 	TAILQ_REMOVE(&st->edits, e, entry);
@@ -24,7 +24,6 @@
 	free(e);
 }
 
-/* Free all. */
 void edits_free(struct state *st)
 {
 	struct edit *e;
@@ -33,7 +32,7 @@
 		edit_free(st, e);
 }
 
-/* Answer the operator, if there is one, and forget the edit. */
+/* Report the result of an edit to whoever requested it, and free the edit. */
 static void edit_answer(struct state *st, struct edit *e, op_status status,
 			const char *reason, const char *detail, uint32_t retry)
 {
@@ -58,7 +57,7 @@
 	edit_free(st, e);
 }
 
-/* Read the rows that an edit depends on. */
+/* Read the rows that an edit depends on.  edit_read goes on from there. */
 static void edit_start(struct state *st, struct edit *e)
 {
 	const op_vm *o = &e->request.op_request_u.vm;
@@ -80,7 +79,7 @@
 	bstr_free(&name);
 }
 
-/* Make an edit. */
+/* Allocate an edit of a VM's row. */
 static struct edit *edit_new(struct state *st, enum edit_kind kind, bstr vm)
 {
 	struct edit *e = xcalloc(1, sizeof(*e));
@@ -88,12 +87,12 @@
 	e->kind = kind;
 	e->id = ++st->next_serial;
 	e->vm = bstr_copy(vm);
-	e->deadline = st->now + EDIT_MS;
+	e->deadline = st->now + EDIT_TIMEOUT_MS;
 	TAILQ_INSERT_TAIL(&st->edits, e, entry);
 	return e;
 }
 
-/* Take an operator's change of a VM. */
+/* Start an operator's change of a VM, or refuse it without the platform. */
 void edit_add(struct state *st, uint64_t call, const op_request *rq)
 {
 	struct edit *e;
@@ -110,8 +109,8 @@
 	edit_start(st, e);
 }
 
-/* Is an edit of this kind under way for a VM? */
-static bool edit_open(struct state *st, enum edit_kind kind, bstr vm)
+/* Returns true if an edit of this kind is in progress for a VM. */
+static bool edit_in_progress(struct state *st, enum edit_kind kind, bstr vm)
 {
 	struct edit *e;
 
@@ -121,13 +120,16 @@
 	return false;
 }
 
-/* Record what the owner of a VM's cell has seen; once at a time. */
+/*
+ * Record what the owner of a VM's cell has observed, unless an edit of this
+ * kind is in progress.
+ */
 void edit_vm(struct state *st, enum edit_kind kind, bstr vm, bstr boot)
 {
 	struct vm *v = vm_find(st, vm);
 	struct edit *e;
 
-	if (edit_open(st, kind, vm))
+	if (edit_in_progress(st, kind, vm))
 		return;
 	e = edit_new(st, kind, vm);
 	e->boot_id = bstr_copy(boot);
@@ -135,13 +137,16 @@
 	edit_start(st, e);
 }
 
-/* Drain a VM for a wave, or give it back. */
+/*
+ * Drain a VM for a wave or return it from the wave, unless an edit of this
+ * kind is in progress.
+ */
 void edit_wave(struct state *st, enum edit_kind kind, bstr vm, bstr wave,
 	       uint32_t deadline_ms)
 {
 	struct edit *e;
 
-	if (edit_open(st, kind, vm))
+	if (edit_in_progress(st, kind, vm))
 		return;
 	e = edit_new(st, kind, vm);
 	e->wave = bstr_copy(wave);
@@ -149,7 +154,7 @@
 	edit_start(st, e);
 }
 
-/* What an edit works on. */
+/* The rows of an edit, which of them to write, and the result. */
 struct edit_rows {
 	vm_row vm;
 	uint64_t vm_revision;
@@ -162,8 +167,11 @@
 	char *detail;
 };
 
-/* Decode the rows of an edit; a row that is not there is empty. */
-static bool rows_read(struct edit_rows *r, const ev_platform *ev)
+/*
+ * Decode the rows of an edit; a missing row is empty.  Returns false if they
+ * could not be read or decoded.
+ */
+static bool edit_rows_decode(struct edit_rows *r, const ev_platform *ev)
 {
 	const table_row *t = ev->rows.rows_val;
 
@@ -181,7 +189,7 @@
 					     &r->pool, sizeof(r->pool)));
 }
 
-static void rows_free(struct edit_rows *r)
+static void edit_rows_free(struct edit_rows *r)
 {
 	xdr_free(XDR_PROC(xdr_vm_row), (char *)&r->vm);
 	xdr_free(XDR_PROC(xdr_vms_head), (char *)&r->head);
@@ -189,7 +197,7 @@
 	free(r->detail);
 }
 
-/* The place of a VM among those that are out; -1 if it is not. */
+/* Returns the index of a VM in its pool's list of out VMs, or -1. */
 static int out_find(const pool_row *p, bstr vm)
 {
 	u_int i;
@@ -200,7 +208,7 @@
 	return -1;
 }
 
-/* Count a VM as out; one that is out already is so once. */
+/* Add a VM to its pool's out VMs; if it is listed, update the reason. */
 static void out_add(struct edit_rows *r, bstr vm, out_reason reason)
 {
 	pool_row *p = &r->pool;
@@ -220,7 +228,7 @@
 	r->pool_write = true;
 }
 
-/* Is a VM out by a failure that has not ended? */
+/* Returns true if a VM is out because its worker failed. */
 static bool out_failed(const pool_row *p, bstr vm)
 {
 	int i = out_find(p, vm);
@@ -228,7 +236,7 @@
 	return i >= 0 && p->out_vms.out_vms_val[i].reason == OUT_FAILED;
 }
 
-/* Count a VM as back. */
+/* Remove a VM from its pool's out VMs. */
 static void out_remove(struct edit_rows *r, bstr vm)
 {
 	pool_row *p = &r->pool;
@@ -242,6 +250,7 @@
 	r->pool_write = true;
 }
 
+/* Set the result of a refused edit.  Takes ownership of detail. */
 static op_status edit_refuse(struct edit_rows *r, op_status status,
 			     const char *reason, char *detail)
 {
@@ -250,7 +259,7 @@
 	return status;
 }
 
-/* May a VM of a pool be in a data centre? */
+/* Returns true if a pool includes a data centre. */
 static bool pool_in_dc(const struct pool *p, bstr dc)
 {
 	size_t i;
@@ -297,8 +306,9 @@
 }
 
 /*
- * Begin to empty a VM, to take it out or to move it.  It takes a place in
- * its pool's availability budget first; what has failed counts before it.
+ * Begin to drain a VM, to take it out or to move it to another pool.  The VM
+ * must fit into its pool's availability budget, unless it counts as out
+ * already because it has failed.
  */
 static op_status edit_drain(struct state *st, const op_vm *o, bool move,
 			    struct edit_rows *r)
@@ -348,14 +358,15 @@
 }
 
 /*
- * Put a VM back to work.  One that has failed stays counted as out until its
- * worker answers, or the budget would be spent twice.
+ * Make a VM active again.  One that has failed stays counted as out until its
+ * worker answers; otherwise another VM could use its part of the budget while
+ * it is still down.
  */
 static op_status edit_return(struct edit_rows *r)
 {
 	if (r->vm.state == VM_ACTIVE)
 		return edit_refuse(r, OP_CONFLICT, "active",
-				   xstrdup("it is at work already"));
+				   xstrdup("the VM is active already"));
 	r->vm.state = VM_ACTIVE;
 	bstr_free(&r->vm.target_pool);
 	if (!out_failed(&r->pool, r->vm.vm))
@@ -366,9 +377,9 @@
 }
 
 /*
- * An operator gives a VM back.  A wave may have asked for its reboot, which
- * would come upon the work that it is given then; so it has to be taken out
- * of the wave first.
+ * Return a VM for an operator.  While a wave has it out, the platform may
+ * already have been asked to reboot it, which would kill the tasks that it is
+ * given on its return.  It has to be taken out of the wave first.
  */
 static op_status edit_operator_return(struct edit_rows *r)
 {
@@ -382,7 +393,7 @@
 	return edit_return(r);
 }
 
-/* A worker that was counted as failed answers again. */
+/* Apply that a worker which was counted as failed answers again. */
 static op_status edit_recovered(struct edit_rows *r)
 {
 	r->reason = "recovered";
@@ -396,21 +407,23 @@
 }
 
 /*
- * The most VMs that are at work in one rack of a pool, but for one VM.  Who
- * is out is told by the pool's row, not by our view of the VMs' rows: that
- * may be a second old, and a rack would look emptier than it is.
+ * Returns the largest number of available VMs in one rack of a pool, not
+ * counting the VM except.  The pool's row tells which VMs are out: this VM's
+ * copy of the VM rows may be a second old, and would make a rack look emptier
+ * than it is.
  */
-static uint32_t worst_rack(struct state *st, const vm_row *but,
-			   const pool_row *p)
+static uint32_t largest_rack(struct state *st, const vm_row *except,
+			     const pool_row *p)
 {
 	struct vm **list = xcalloc(HASH_COUNT(st->vms) + 1,
 				   sizeof(struct vm *));
 	struct vm *v, *next;
-	uint32_t n = 0, in_rack, most = 0, i, k;
+	uint32_t n = 0, in_rack, max = 0, i, k;
 
 	HASH_ITER(hh, st->vms, v, next) {
-		if (bstr_eq(v->row.pool, but->pool) &&
-		    v->row.state == VM_ACTIVE && !bstr_eq(v->row.vm, but->vm) &&
+		if (bstr_eq(v->row.pool, except->pool) &&
+		    v->row.state == VM_ACTIVE &&
+		    !bstr_eq(v->row.vm, except->vm) &&
 		    out_find(p, v->row.vm) < 0)
 			list[n++] = v;
 	}
@@ -420,33 +433,33 @@
 			in_rack += bstr_eq(list[k]->row.rack,
 					   list[i]->row.rack) &&
 				   bstr_eq(list[k]->row.dc, list[i]->row.dc);
-		if (in_rack > most)
-			most = in_rack;
+		if (in_rack > max)
+			max = in_rack;
 	}
 	free(list);
-	return most;
+	return max;
 }
 
 /*
- * Drain a VM for a wave.  A wave keeps room in the budget for the loss of
- * the worst rack while its VMs are out.  Where the budget is too small to
- * survive a rack at all, that can't be kept: one VM at a time then, and only
- * while no other is out.  What has failed can't be emptied: it waits until
- * it is back.
+ * Drain a VM for a wave.  While its VMs are out, a wave keeps enough of the
+ * budget free for the loss of the largest rack.  If the budget is too small
+ * for the loss of a rack at all, the wave drains one VM at a time, and only
+ * while no other VM is out.  A failed VM can't be drained, so it waits until
+ * it has recovered.
  */
 static op_status edit_wave_drain(struct state *st, struct edit *e,
 				 struct edit_rows *r)
 {
 	struct pool *p = config_find_pool(st->config, r->vm.pool);
 	uint32_t out = r->pool.out_vms.out_vms_len;
-	uint32_t worst = worst_rack(st, &r->vm, &r->pool);
+	uint32_t largest = largest_rack(st, &r->vm, &r->pool);
 	uint32_t budget = p ? p->budget : 0;
 	bool room;
 
-	/* Which VMs are in the pool must be known as of this very moment. */
+	/* The copy of the VM rows must match the head that was just read. */
 	if (r->head.generation != st->vms_generation)
 		return edit_refuse(r, OP_UNAVAILABLE, "stale", NULL);
-	room = budget > worst ? out + 1 + worst <= budget : budget && !out;
+	room = budget > largest ? out + 1 + largest <= budget : budget && !out;
 
 	if (r->vm.state != VM_ACTIVE || bstr_eq(r->vm.wave, e->wave) ||
 	    wave_tracks_vm(st, r->vm.wave, e->vm))
@@ -454,7 +467,7 @@
 	if (out_failed(&r->pool, e->vm))
 		return edit_refuse(r, OP_CONFLICT, "failed",
 				   xasprintf("%.*s has failed; it is drained "
-					     "when it is back",
+					     "when it has recovered",
 					     BSTR_ARG(e->vm)));
 	if (st->wave_policy != WAVE_ROOM_FOR_RACK)
 		room = out < budget;
@@ -463,7 +476,7 @@
 			r, OP_REFUSED, "availability-budget",
 			xasprintf("%u VMs of pool %.*s are out and a rack of "
 				  "%u may fail; its budget is %u",
-				  out, BSTR_ARG(r->vm.pool), worst, budget));
+				  out, BSTR_ARG(r->vm.pool), largest, budget));
 	r->vm.state = VM_DRAINING;
 	r->vm.deadline_ms = e->deadline_ms;
 	bstr_set(&r->vm.wave, e->wave);
@@ -474,8 +487,9 @@
 }
 
 /*
- * A VM that a wave had rebooted is back: to work.  Its row goes on naming
- * the wave, so that whoever runs the wave next knows that it is done.
+ * Return a VM to work after its reboot by a wave.  Its row continues to name
+ * the wave, so that the entry VM that runs the wave next knows that it is
+ * done.
  */
 static op_status edit_rebooted(struct edit *e, struct edit_rows *r)
 {
@@ -487,8 +501,8 @@
 }
 
 /*
- * A cancelled wave gives back what it still empties.  Of what is empty the
- * reboot may be under way; that comes back after it.
+ * Return a VM that a cancelled wave was still draining.  One that is drained
+ * already may be rebooting; it returns after the reboot.
  */
 static op_status edit_wave_return(struct edit *e, struct edit_rows *r)
 {
@@ -498,7 +512,7 @@
 	return edit_return(r);
 }
 
-/* Take a VM out of the fleet; it must be empty, or dead. */
+/* Remove a VM from the fleet.  It must be out, or have failed. */
 static op_status edit_remove_vm(struct edit_rows *r)
 {
 	if (r->vm.state != VM_OUT && !out_failed(&r->pool, r->vm.vm))
@@ -511,9 +525,10 @@
 }
 
 /*
- * A drained VM is empty: it is out, or in its new pool.  It was empty under
- * the row that was seen; one that has changed since may have let it be given
- * work again, even if it drains once more.
+ * Complete the drain of an empty VM: it is out, or active in its new pool.
+ * The VM was seen empty under a certain revision of its row.  If the row has
+ * changed since, the VM may have been given tasks in between, even if it is
+ * draining again.
  */
 static op_status edit_drained(struct edit *e, struct edit_rows *r)
 {
@@ -535,7 +550,7 @@
 	return OP_OK;
 }
 
-/* Apply an edit to the rows as they are. */
+/* Apply an edit to the rows that were read. */
 static op_status edit_apply(struct state *st, struct edit *e,
 			    struct edit_rows *r)
 {
@@ -580,8 +595,8 @@
 	}
 }
 
-/* Note a VM's change in the head, so that everybody reads its row. */
-static void head_note(vms_head *h, bstr vm)
+/* Add a VM to the head's recent changes, so that all VMs read its row. */
+static void head_add_change(vms_head *h, bstr vm)
 {
 	vm_change *list = h->recent.recent_val;
 	u_int n = h->recent.recent_len;
@@ -597,7 +612,10 @@
 		bstr_free(&list[--h->recent.recent_len].vm);
 }
 
-/* Commit an edit: the VM, its pool's budget and the head, or nothing. */
+/*
+ * Commit an edit atomically: the rows of the VM and its pool, and the head if
+ * the VM's row changes.
+ */
 static void edit_commit(struct state *st, struct edit *e, struct edit_rows *r)
 {
 	bstr vm = bstr_printf(VM_PREFIX "%.*s", BSTR_ARG(e->vm));
@@ -611,7 +629,7 @@
 		commit_put(&c, pool, XDR_PROC(xdr_pool_row), &r->pool);
 	if (r->vm_write || r->vm_remove) {
 		commit_check(&c, bstr_lit(VMS_HEAD_KEY), r->head_revision);
-		head_note(&r->head, e->vm);
+		head_add_change(&r->head, e->vm);
 		commit_put(&c, bstr_lit(VMS_HEAD_KEY), XDR_PROC(xdr_vms_head),
 			   &r->head);
 	}
@@ -625,7 +643,7 @@
 	bstr_free(&vm);
 }
 
-/* Find an edit by the name of its request. */
+/* Find an edit by the name of its request; NULL if it has ended. */
 static struct edit *edit_find(struct state *st, bstr name)
 {
 	struct edit *e;
@@ -638,11 +656,11 @@
 }
 
 /*
- * Try an edit again from the start, or give it up.  What was not asked for
- * by an operator is only held back for a while and then dropped: who saw
- * cause for it asks again, if there still is cause.
+ * Have an edit retried from the start after a delay, or give it up.  An edit
+ * that no operator requested is dropped after the delay instead: whoever
+ * requested it does so again if there still is reason to.
  */
-static void edit_again(struct state *st, struct edit *e)
+static void edit_retry(struct state *st, struct edit *e)
 {
 	e->in_flight = false;
 	e->retry_at = st->now + EDIT_RETRY_MS +
@@ -652,7 +670,7 @@
 			    "nothing was changed", RETRY_AFTER_MS * 2);
 }
 
-/* The rows of an edit were read. */
+/* Handle the rows of an edit: check it against them and commit it. */
 void edit_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct edit *e = edit_find(st, rq->name);
@@ -662,22 +680,22 @@
 
 	if (!e)
 		return;
-	if (!rows_read(&r, ev)) {
-		rows_free(&r);
-		edit_again(st, e);
+	if (!edit_rows_decode(&r, ev)) {
+		edit_rows_free(&r);
+		edit_retry(st, e);
 		return;
 	}
-	/* Our view of its pool was old: read that pool's row instead. */
+	/* The VM has moved to another pool: read that pool's row instead. */
 	if (r.vm_revision && !bstr_eq(r.vm.pool, e->pool)) {
 		vm_row_apply(st, &ev->rows.rows_val[0]);
-		rows_free(&r);
-		edit_again(st, e);
+		edit_rows_free(&r);
+		edit_retry(st, e);
 		return;
 	}
-	/* It may have been given work since, by an owner after us. */
+	/* It may have been given tasks since, by a later owner of the cell. */
 	if (e->kind == EDIT_DRAINED && !worker_is_empty(st, e->vm)) {
-		rows_free(&r);
-		edit_again(st, e);
+		edit_rows_free(&r);
+		edit_retry(st, e);
 		return;
 	}
 	status = edit_apply(st, e, &r);
@@ -689,10 +707,10 @@
 		edit_commit(st, e, &r);
 	} else
 		edit_answer(st, e, OP_OK, "unchanged", "", 0);
-	rows_free(&r);
+	edit_rows_free(&r);
 }
 
-/* An edit's commit has its outcome. */
+/* Handle the outcome of an edit's commit. */
 void edit_committed(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct edit *e = edit_find(st, rq->name);
@@ -706,7 +724,7 @@
 		edit_answer(st, e, OP_OK, e->reason, "", 0);
 		break;
 	case PLATFORM_CONFLICT:
-		edit_again(st, e);
+		edit_retry(st, e);
 		break;
 	case PLATFORM_REFUSED:
 		edit_answer(st, e, OP_UNAVAILABLE, "platform-unavailable",
@@ -721,7 +739,7 @@
 	}
 }
 
-/* Start again what is due. */
+/* Restart the edits that are due, and give up those past their deadline. */
 void edits_tick(struct state *st)
 {
 	struct edit *e, *next;
--- a/reduce-queue.c
+++ b/reduce-queue.c
@@ -1,35 +1,41 @@
+/*
+ * The scheduler of a cell: which queued task starts next, on which worker,
+ * and which running task is preempted for it.  Teams share the slots by
+ * weighted fair sharing.
+ */
 #include "reduce.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Declared or learnt run time from which work counts as long. */
-#define LONG_MS 5000
+/* A task with at least this estimated run time is long. */
+#define LONG_TASK_MS 5000
 /*
- * Long work that has waited so long goes before short work of its team, but
- * one at a time: behind a backlog of long work all of it is old, and short
- * work would wait for the whole backlog.
+ * A long task that has been queued for this long goes before the short tasks
+ * of its team, but only one per this interval: in a backlog every long task
+ * is that old, and short tasks would wait for the whole backlog.
  */
-#define AGE_MS 20000
-/* One in so many slots is kept for short work while such work comes. */
-#define QUICK_PART 8
-/* Without any for so long, long work has those slots too. */
-#define LEND_MS 10000
-/* Short work that has waited so long gets them back. */
-#define RECLAIM_MS 500
-/* One in so many slots may be in the course of being freed. */
-#define FREEING_PART 4
-/* A task is asked for a checkpoint at most so often. */
-#define YIELDS_MAX 3
+#define LONG_AGING_MS 20000
+/* 1/RESERVED_DIVISOR of the slots is reserved for short and urgent tasks. */
+#define RESERVED_DIVISOR 8
+/* Long tasks may use the reserved slots after this long without such tasks. */
+#define RESERVED_IDLE_MS 10000
+/* A short task that has been queued for this long reclaims such a slot. */
+#define RECLAIM_WAIT_MS 500
+/* About 1/PREEMPTING_DIVISOR of the slots may be under preemption at once. */
+#define PREEMPTING_DIVISOR 4
+/* A task is preempted at most this often. */
+#define PREEMPTIONS_MAX 3
 /*
- * Teams whose use of their shares differs so much are levelled, one slot at
- * a time, when the lower one has waited.
+ * If the weighted usage of two teams differs by at least this factor, and a
+ * task of the lower one has been queued for REBALANCE_WAIT_MS, one slot per
+ * REBALANCE_INTERVAL_MS is moved to the lower one.
  */
-#define LEVEL_FAR 1.25
-#define LEVEL_MS 250
-#define LEVEL_WAIT_MS 2000
+#define REBALANCE_RATIO 1.25
+#define REBALANCE_INTERVAL_MS 250
+#define REBALANCE_WAIT_MS 2000
 
-/* The name under which run times are learnt. */
+/* Returns the key under which the run times of tasks like this are averaged. */
 static bstr run_time_name(const struct task *t)
 {
 	return bstr_printf("%.*s/%.*s/%.*s", BSTR_ARG(t->spec.team),
@@ -37,8 +43,9 @@
 }
 
 /*
- * Learn how long work under a label runs.  Declared run times are far off;
- * a moving mean of what was seen is closer after a few tasks.
+ * Update the mean run time of tasks with the same team, pool and label.
+ * Declared run times are far off; a moving average of observed ones is closer
+ * after a few tasks.
  */
 void run_time_observe(struct state *st, const struct task *t, uint32_t ran_ms)
 {
@@ -60,7 +67,10 @@
 	bstr_free(&name);
 }
 
-/* Urgent as asked; short or long as learnt, or else as declared. */
+/*
+ * Returns the class of a task.  Urgent is requested; short or long is decided
+ * by the observed mean run time, or the declared one if none was observed.
+ */
 static enum task_class task_classify(struct state *st, const struct task *t)
 {
 	struct run_time *r;
@@ -69,17 +79,17 @@
 
 	if (t->spec.urgent)
 		return CLASS_URGENT;
-	if (t->preemptions) /* only long work is asked to */
+	if (t->preemptions) /* only long tasks are preempted */
 		return CLASS_LONG;
 	name = run_time_name(t);
 	HASH_FIND_BSTR(st->run_times, name, r);
 	bstr_free(&name);
 	if (r)
 		ms = r->mean_ms;
-	return ms >= LONG_MS ? CLASS_LONG : CLASS_SHORT;
+	return ms >= LONG_TASK_MS ? CLASS_LONG : CLASS_SHORT;
 }
 
-/* Put a task at the end of its queue; one that ran before, at the head. */
+/* Append a task to its queue; put one that may have run before at the head. */
 void queue_add(struct state *st, struct cell *c, struct task *t)
 {
 	struct task_list *q;
@@ -97,7 +107,7 @@
 	c->dirty = true;
 }
 
-/* Take a task out of its queue. */
+/* Remove a task from its queue. */
 void queue_remove(struct cell *c, struct task *t)
 {
 	TAILQ_REMOVE(&t->team->queue[t->class], t, entry);
@@ -105,27 +115,29 @@
 	c->queued--;
 }
 
-/* Of two tasks the one that came first; either may be NULL. */
+/* Returns the task that was queued first; either may be NULL. */
 static struct task *task_earlier(struct task *a, struct task *b)
 {
 	return !a || (b && b->queued_at < a->queued_at) ? b : a;
 }
 
 /*
- * May long work take another slot?  Some are kept for short work, which
- * would else wait until long work ends; they are lent out while none comes.
+ * Returns true if another long task may start.  Some slots are reserved for
+ * short and urgent tasks, which would otherwise wait for long ones to end.
+ * While none of them arrive, long tasks may use the reserved slots.
  */
-static bool long_may_start(const struct state *st, const struct cell *c)
+static bool long_can_start(const struct state *st, const struct cell *c)
 {
-	unsigned kept = (c->slots + QUICK_PART - 1) / QUICK_PART;
+	unsigned reserved = (c->slots + RESERVED_DIVISOR - 1) /
+			    RESERVED_DIVISOR;
 
-	return st->now - c->last_quick_at > LEND_MS ||
-	       c->long_running + kept < c->slots;
+	return st->now - c->last_quick_at > RESERVED_IDLE_MS ||
+	       c->long_running + reserved < c->slots;
 }
 
 /*
- * The first of a team's tasks of a class.  What has been learnt since it was
- * queued may have put it into another class: it goes there first.
+ * Returns a team's first queued task of a class, or NULL.  Tasks at the head
+ * whose class has changed with the observed run times are requeued first.
  */
 static struct task *team_head(struct state *st, struct cell *c,
 			      struct cell_team *team, enum task_class k)
@@ -140,7 +152,10 @@
 	return t;
 }
 
-/* A team's next task: urgent, then aged long, then short, then long. */
+/*
+ * Returns a team's next task, or NULL: urgent before aged long, before short,
+ * before other long tasks.
+ */
 static struct task *team_next(struct state *st, struct cell *c,
 			      struct cell_team *team)
 {
@@ -149,26 +164,28 @@
 
 	team_head(st, c, team, CLASS_LONG);
 	s = team_head(st, c, team, CLASS_SHORT);
-	l = TAILQ_FIRST(&team->queue[CLASS_LONG]); /* it may be new there */
+	/* Looking for a short task may have requeued one as long. */
+	l = TAILQ_FIRST(&team->queue[CLASS_LONG]);
 
 	if (st->queue_policy != QUEUE_SHARES)
 		return task_earlier(u, task_earlier(s, l));
 	if (u)
 		return u;
-	if (l && !long_may_start(st, c))
+	if (l && !long_can_start(st, c))
 		l = NULL;
-	if (l && (!s || (st->now - l->queued_at >= AGE_MS &&
-			 st->now - team->last_long_at >= AGE_MS)))
+	if (l && (!s || (st->now - l->queued_at >= LONG_AGING_MS &&
+			 st->now - team->last_long_at >= LONG_AGING_MS)))
 		return l;
 	return s;
 }
 
 /*
- * How far a team is above its share here: what it runs over its weight.
- * The team that is lowest goes next, so that in a full cell each comes to
- * its share, and what one does not use goes to the others.
+ * Returns a team's usage of this cell, with one more task, divided by its
+ * share.  The team with the lowest weighted usage goes next, so that in a full
+ * cell each team gets its share, and the others use what one leaves unused.
  */
-static double team_level(struct state *st, const struct cell_team *team)
+static double team_weighted_usage(struct state *st,
+				  const struct cell_team *team)
 {
 	const struct team *t = config_find_team(st->config, team->team);
 	double share = t && t->share ? t->share : 0.01;
@@ -178,12 +195,15 @@
 	return (team->running + 1) / share;
 }
 
-/* Is there room for a task on a worker, once another has left it? */
+/*
+ * Returns true if a worker has a slot and the resources for a task, if freed
+ * (NULL: none) were no longer on it.
+ */
 static bool worker_fits(struct state *st, const struct worker *w,
-			const struct task *t, const struct task *left)
+			const struct task *t, const struct task *freed)
 {
-	static const struct task nothing;
-	const job_spec *free_of = left ? &left->spec : &nothing.spec;
+	static const struct task no_task;
+	const job_spec *freed_spec = freed ? &freed->spec : &no_task.spec;
 	const struct vm *v = vm_find(st, w->vm);
 	const vm_row *r;
 
@@ -192,24 +212,23 @@
 	if (!boot_recorded(w))
 		return false;
 	r = &v->row;
-	if (w->task_count + w->unconfirmed_count >= r->slots + !!left)
+	if (w->task_count + w->unconfirmed_count >= r->slots + !!freed)
 		return false;
-	if (r->cpu_milli &&
-	    w->cpu_used + t->spec.cpu_milli > r->cpu_milli + free_of->cpu_milli)
+	if (r->cpu_milli && w->cpu_used + t->spec.cpu_milli >
+				    r->cpu_milli + freed_spec->cpu_milli)
 		return false;
 	if (r->memory_mb && w->memory_used + t->spec.memory_mb >
-				    r->memory_mb + free_of->memory_mb)
+				    r->memory_mb + freed_spec->memory_mb)
 		return false;
 	return w->accelerators_used + t->spec.accelerators <=
-	       r->accelerators + free_of->accelerators;
+	       r->accelerators + freed_spec->accelerators;
 }
 
 /*
- * Is there a usable worker beside one?  A task that failed on a suspect
- * worker avoids it while there is; if there is none, waiting would have no
- * end.
+ * Returns true if there is a usable worker other than vm's.  A task that failed
+ * on a suspect worker avoids it only if so; else it would wait for ever.
  */
-static bool worker_beside(struct state *st, struct cell *c, bstr vm)
+static bool other_worker_usable(struct state *st, struct cell *c, bstr vm)
 {
 	struct worker *w, *next;
 
@@ -220,15 +239,15 @@
 	return false;
 }
 
-/* The usable worker with the fewest tasks that has room. */
+/* Returns the usable worker with the fewest tasks that has room, or NULL. */
 static struct worker *worker_choose(struct state *st, struct cell *c,
 				    const struct task *t)
 {
 	struct worker *w, *next, *best = NULL;
-	bool other = worker_beside(st, c, t->avoid_vm);
+	bool avoid = other_worker_usable(st, c, t->avoid_vm);
 
 	HASH_ITER(hh, c->workers, w, next) {
-		if (other && bstr_eq(w->vm, t->avoid_vm))
+		if (avoid && bstr_eq(w->vm, t->avoid_vm))
 			continue;
 		if (worker_usable(st, w) && worker_fits(st, w, t, NULL) &&
 		    (!best || w->task_count < best->task_count))
@@ -237,7 +256,7 @@
 	return best;
 }
 
-/* Put a task on a worker; its start goes with the next command. */
+/* Place a task on a worker.  Its start is sent with the next command. */
 static void task_start_on(struct state *st, struct cell *c, struct task *t,
 			  struct worker *w)
 {
@@ -260,42 +279,44 @@
 }
 
 /*
- * The team that goes next: one with urgent work first, then the lowest
- * level.  Teams that were found blocked in this pass are left out.
+ * Returns the team that goes next, or NULL: one with urgent tasks first, then
+ * the one with the lowest weighted usage.  Teams that were found blocked in
+ * this pass are skipped.
  */
 static struct cell_team *team_choose(struct state *st, struct cell *c)
 {
 	struct cell_team *t, *next, *best = NULL;
 	bool urgent, best_urgent = false;
-	double level, least = 0;
+	double usage, lowest = 0;
 
 	HASH_ITER(hh, c->teams, t, next) {
 		if (!t->queued || t->blocked)
 			continue;
 		urgent = !TAILQ_EMPTY(&t->queue[CLASS_URGENT]) &&
 			 st->queue_policy == QUEUE_SHARES;
-		level = st->queue_policy == QUEUE_FIFO
+		usage = st->queue_policy == QUEUE_FIFO
 				? (double)team_next(st, c, t)->queued_at
-				: team_level(st, t);
+				: team_weighted_usage(st, t);
 		if (best && (urgent < best_urgent ||
-			     (urgent == best_urgent && level >= least)))
+			     (urgent == best_urgent && usage >= lowest)))
 			continue;
 		best = t;
 		best_urgent = urgent;
-		least = level;
+		lowest = usage;
 	}
 	return best;
 }
 
 /*
- * A task taken for short has run for too long for that: it is long work from
- * now on, and what is declared like it will be taken for long too.
+ * Reclassify a short task as long once it has run for that long, and record
+ * the run time, so that its label's other tasks are classified as long too.
  */
-static void task_find_long(struct state *st, struct cell *c, struct task *t)
+static void task_reclassify_long(struct state *st, struct cell *c,
+				 struct task *t)
 {
 	int64_t ran = st->now - t->started_at;
 
-	if (t->class != CLASS_SHORT || t->adopted || ran < LONG_MS)
+	if (t->class != CLASS_SHORT || t->adopted || ran < LONG_TASK_MS)
 		return;
 	t->class = CLASS_LONG;
 	c->long_running++;
@@ -303,16 +324,16 @@
 }
 
 /*
- * The task that gives up its slot for one that waits: long, not asked too
- * often, repeatable in case its progress is lost, of the team that is
- * furthest above its share; of these the one that has run least.
+ * Returns the task to preempt for a waiting one, or NULL.  It must be long, not
+ * preempted too often, and repeatable in case its progress is lost.  Of these,
+ * choose from the team with the highest weighted usage the latest started.
  */
 static struct task *victim_choose(struct state *st, struct cell *c,
-				  const struct task *wait)
+				  const struct task *waiting)
 {
 	struct task *t, *best = NULL;
 	struct worker *w, *next;
-	double level, most = 0;
+	double usage, highest = 0;
 
 	HASH_ITER(hh, c->workers, w, next) {
 		if (!worker_usable(st, w))
@@ -321,24 +342,24 @@
 			if (t->phase != TASK_ON_WORKER ||
 			    t->checkpoint_requested || t->stopping ||
 			    t->adopted || !t->spec.may_repeat ||
-			    t->preemptions >= YIELDS_MAX ||
+			    t->preemptions >= PREEMPTIONS_MAX ||
 			    t->class != CLASS_LONG ||
-			    !worker_fits(st, w, wait, t))
+			    !worker_fits(st, w, waiting, t))
 				continue;
-			level = team_level(st, t->team);
-			if (best && (level < most ||
-				     (level == most &&
+			usage = team_weighted_usage(st, t->team);
+			if (best && (usage < highest ||
+				     (usage == highest &&
 				      t->started_at <= best->started_at)))
 				continue;
 			best = t;
-			most = level;
+			highest = usage;
 		}
 	}
 	return best;
 }
 
-/* Ask a task for a checkpoint, and its slot. */
-static void task_yield(struct state *st, struct task *t)
+/* Preempt a task: request a checkpoint, after which its slot is free. */
+static void task_preempt(struct state *st, struct task *t)
 {
 	t->checkpoint_requested = true;
 	t->preemptions++;
@@ -346,97 +367,106 @@
 	effect_count(st, COUNT_RETRY_TASK_YIELDED, 1);
 }
 
-/* Tasks that have been asked to give up their slots, and long ones in all. */
-static unsigned cell_freeing(struct state *st, struct cell *c, unsigned *held)
+/*
+ * Returns the number of tasks under preemption, and set long_running to the
+ * number of running long tasks that are not.
+ */
+static unsigned cell_count_preempting(struct state *st, struct cell *c,
+				      unsigned *long_running)
 {
 	struct worker *w, *next;
 	unsigned n = 0;
 	struct task *t;
 
-	*held = 0;
+	*long_running = 0;
 	HASH_ITER(hh, c->workers, w, next) {
 		TAILQ_FOREACH(t, &w->tasks, worker_entry) {
 			if (t->phase != TASK_ON_WORKER)
 				continue;
-			task_find_long(st, c, t);
+			task_reclassify_long(st, c, t);
 			n += t->checkpoint_requested;
-			*held += !t->checkpoint_requested &&
-				 t->class == CLASS_LONG;
+			*long_running += !t->checkpoint_requested &&
+					 t->class == CLASS_LONG;
 		}
 	}
 	return n;
 }
 
 /*
- * Free slots for the urgent work, and for the short work that has waited,
- * of a team: as many as wait, less what is being freed.  Short work gets
- * back only the slots that were kept for it and lent out.
+ * Preempt tasks for a team's urgent tasks, and for its short tasks that have
+ * waited: as many as wait, less those under preemption already.  Short tasks
+ * reclaim only reserved slots that long tasks use.  The counts are running
+ * totals over all teams.
  */
 static void team_reclaim(struct state *st, struct cell *c,
-			 struct cell_team *team, unsigned *waits,
-			 unsigned *freeing, unsigned *held)
+			 struct cell_team *team, unsigned *waiting,
+			 unsigned *preempting, unsigned *long_running)
 {
-	unsigned kept = (c->slots + QUICK_PART - 1) / QUICK_PART;
-	unsigned most = c->slots / FREEING_PART + 1, n = 0;
-	uint32_t may = allowance_available(st, c, team);
+	unsigned reserved = (c->slots + RESERVED_DIVISOR - 1) /
+			    RESERVED_DIVISOR;
+	unsigned max = c->slots / PREEMPTING_DIVISOR + 1, n = 0;
+	uint32_t available = allowance_available(st, c, team);
 	enum task_class k;
-	struct task *t, *v;
+	struct task *t, *victim;
 
 	for (k = CLASS_URGENT; k <= CLASS_SHORT; k++) {
 		TAILQ_FOREACH(t, &team->queue[k], entry) {
 			if (task_classify(st, t) != k)
 				continue;
-			if (++n > may || *freeing >= most)
+			if (++n > available || *preempting >= max)
 				return;
 			if (k == CLASS_SHORT &&
-			    (st->now - t->queued_at < RECLAIM_MS ||
-			     *held + kept <= c->slots))
+			    (st->now - t->queued_at < RECLAIM_WAIT_MS ||
+			     *long_running + reserved <= c->slots))
 				return;
-			if (++*waits <= *freeing)
-				continue; /* a slot for it is on its way */
-			v = victim_choose(st, c, t);
-			if (!v)
+			if (++*waiting <= *preempting)
+				continue; /* a slot is being freed for it */
+			victim = victim_choose(st, c, t);
+			if (!victim)
 				return;
-			++*freeing;
-			--*held;
-			task_yield(st, v);
+			++*preempting;
+			--*long_running;
+			task_preempt(st, victim);
 		}
 	}
 }
 
 /*
- * Let the team furthest above its share give a slot to the one furthest
- * below, if they are far apart: long work holds its slots for so long that
- * a team which came later would have to wait for its share until it ends.
- * Not between teams that are near each other, or the same slot would go
- * back and forth.
+ * Preempt a task of the team with the highest weighted usage for the waiting
+ * team with the lowest, if the two differ enough.  Long tasks hold their slots
+ * for so long that a team which came later would otherwise wait for its share
+ * until they end.  Teams that are close to each other are left alone, as the
+ * same slot would go back and forth between them.
  */
-static void cell_level(struct state *st, struct cell *c)
+static void cell_rebalance(struct state *st, struct cell *c)
 {
-	struct cell_team *t, *next, *low = NULL;
-	struct task *wait, *v;
+	struct cell_team *t, *next, *lowest = NULL;
+	struct task *waiting, *victim;
 
 	if (st->now < c->rebalance_at)
 		return;
 	HASH_ITER(hh, c->teams, t, next) {
 		if (t->queued && allowance_available(st, c, t) &&
-		    (!low || team_level(st, t) < team_level(st, low)))
-			low = t;
+		    (!lowest || team_weighted_usage(st, t) <
+					team_weighted_usage(st, lowest)))
+			lowest = t;
 	}
-	wait = low ? team_next(st, c, low) : NULL;
-	if (!wait || st->now - wait->queued_at < LEVEL_WAIT_MS)
+	waiting = lowest ? team_next(st, c, lowest) : NULL;
+	if (!waiting || st->now - waiting->queued_at < REBALANCE_WAIT_MS)
 		return;
-	v = victim_choose(st, c, wait);
-	if (!v || team_level(st, v->team) < LEVEL_FAR * team_level(st, low))
+	victim = victim_choose(st, c, waiting);
+	if (!victim ||
+	    team_weighted_usage(st, victim->team) <
+		    REBALANCE_RATIO * team_weighted_usage(st, lowest))
 		return;
-	c->rebalance_at = st->now + LEVEL_MS;
-	task_yield(st, v);
+	c->rebalance_at = st->now + REBALANCE_INTERVAL_MS;
+	task_preempt(st, victim);
 }
 
-/* Free slots for what should not wait, if there is any. */
-static void cell_reclaim(struct state *st, struct cell *c)
+/* Preempt tasks for those that should not wait for a slot, if there are any. */
+static void cell_preempt(struct state *st, struct cell *c)
 {
-	unsigned waits = 0, freeing = 0, held = 0;
+	unsigned waiting = 0, preempting = 0, long_running = 0;
 	struct cell_team *team, *next;
 	bool counted = false;
 
@@ -447,15 +477,16 @@
 		    TAILQ_EMPTY(&team->queue[CLASS_SHORT]))
 			continue;
 		if (!counted)
-			freeing = cell_freeing(st, c, &held);
+			preempting = cell_count_preempting(st, c,
+							   &long_running);
 		counted = true;
-		team_reclaim(st, c, team, &waits, &freeing, &held);
+		team_reclaim(st, c, team, &waiting, &preempting, &long_running);
 	}
-	if (c->queued && !freeing)
-		cell_level(st, c);
+	if (c->queued && !preempting)
+		cell_rebalance(st, c);
 }
 
-/* Slots of the workers that take work. */
+/* Returns the number of slots of all usable workers. */
 static unsigned cell_slots_usable(struct state *st, struct cell *c)
 {
 	struct worker *w, *next;
@@ -468,7 +499,7 @@
 	return n;
 }
 
-/* Start what can be started. */
+/* Run a scheduling pass: start all tasks that can start, preempt, send. */
 void cell_schedule(struct state *st, struct cell *c)
 {
 	struct cell_team *team, *tn;
@@ -488,16 +519,20 @@
 		else
 			team->blocked = true;
 	}
-	cell_reclaim(st, c);
+	cell_preempt(st, c);
 	HASH_ITER(hh, c->workers, w, wn)
 		worker_flush(st, w);
 }
 
-/* Workers that could take work, and slots free on them. */
-static unsigned cell_room(struct state *st, struct cell *c, unsigned *usable)
+/*
+ * Returns the number of free slots on usable workers, and set usable to the
+ * number of these workers.
+ */
+static unsigned cell_free_slots(struct state *st, struct cell *c,
+				unsigned *usable)
 {
 	struct worker *w, *next;
-	unsigned room = 0;
+	unsigned free_slots = 0;
 	struct vm *v;
 
 	*usable = 0;
@@ -507,21 +542,21 @@
 			continue;
 		++*usable;
 		if (w->task_count + w->unconfirmed_count < v->row.slots)
-			room += v->row.slots - w->task_count -
-				w->unconfirmed_count;
+			free_slots += v->row.slots - w->task_count -
+				      w->unconfirmed_count;
 	}
-	return room;
+	return free_slots;
 }
 
 /*
- * Why is a queued task not started?  Names the gate that holds it, with the
- * figures behind it and what would free it.
+ * Returns the reason why a queued task is not started.  Sets detail to the
+ * numbers behind it and what would let the task start.
  */
 const char *task_hold_reason(struct state *st, struct cell *c, struct task *t,
 			     bstr *detail)
 {
 	const struct team *team = config_find_team(st->config, t->team->team);
-	unsigned usable, room = cell_room(st, c, &usable);
+	unsigned usable, free_slots = cell_free_slots(st, c, &usable);
 	uint32_t used = team_used(t->team);
 
 	if (!HASH_COUNT(c->workers)) {
@@ -531,7 +566,7 @@
 	}
 	if (!usable) {
 		*detail = bstr_printf(
-			"none of the %u VMs takes work: silent, draining, "
+			"none of the %u VMs accepts tasks: silent, draining, "
 			"leaving or set aside; see 'vm show'",
 			HASH_COUNT(c->workers));
 		return "no-usable-worker";
@@ -539,7 +574,7 @@
 	if (!team || !team->limit || used >= team->limit) {
 		*detail = bstr_printf(
 			"the team runs %u here, its upper limit is %u; "
-			"freed when one ends or by 'team limit'",
+			"wait for one to end or raise it with 'team limit'",
 			used, team ? team->limit : 0);
 		return "upper-limit";
 	}
@@ -551,17 +586,17 @@
 			used, t->team->allowance, team->limit);
 		return "allowance";
 	}
-	if (!room) {
+	if (!free_slots) {
 		*detail = bstr_printf(
-			"all slots of %u workers are taken; %u tasks run, %u "
-			"wait; freed when one ends",
+			"all slots of %u workers are in use; %u tasks run, %u "
+			"wait; a slot is freed when one ends",
 			usable, c->running, c->queued);
 		return "no-free-slot";
 	}
 	*detail = bstr_printf(
 		"%u slots are free, but none on a VM with %u mCPU, %u MB and "
 		"%u accelerators left",
-		room, t->spec.cpu_milli, t->spec.memory_mb,
+		free_slots, t->spec.cpu_milli, t->spec.memory_mb,
 		t->spec.accelerators);
 	return "no-fit";
 }
--- a/reduce-worker.c
+++ b/reduce-worker.c
@@ -139,7 +139,7 @@
 }
 
 /*
- * Return the task lease to grant in an exchange.  A silent worker is granted
+ * Returns the task lease to grant in an exchange.  A silent worker is granted
  * only the rest of its latest lease: with full renewals that it receives but
  * does not answer its tasks would never expire, and would never count as lost.
  */
@@ -634,7 +634,7 @@
 }
 
 /*
- * Return the worker of an endpoint VM, or NULL if this VM does not actively
+ * Returns the worker of an endpoint VM, or NULL if this VM does not actively
  * own its cell.
  */
 static struct worker *worker_of_vm(struct state *st, bstr vm)
--- a/reduce.c
+++ b/reduce.c
@@ -78,7 +78,7 @@
 }
 
 /*
- * Return the next number of the seeded generator (splitmix64), less than
+ * Returns the next number of the seeded generator (splitmix64), less than
  * below; 0 means no bound.
  */
 uint64_t state_random(struct state *st, uint64_t below)
