--- a/reduce-member.c
+++ b/reduce-member.c
@@ -1,13 +1,17 @@
+/*
+ * Membership of entry VMs.  Each VM renews a lease in its own member row,
+ * scans the rows of the others and pings them.
+ */
 #include "reduce.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 #define MEMBER_PREFIX "member/"
-/* Allowance for clocks that run at different speeds, and for late scans. */
+/* Added to a lease for differences in clock speed and for late scans. */
 #define LEASE_MARGIN_MS 1000
 
-/* Find a member; this VM itself is not in the list. */
+/* Find a member; NULL if there is none, or it is this VM itself. */
 struct member *member_find(struct state *st, bstr vm)
 {
 	struct member *m;
@@ -16,13 +20,13 @@
 	return m;
 }
 
-/* Does its lease hold, as far as the rows tell? */
+/* Returns true if a member's row shows a valid lease and no planned stop. */
 bool member_alive(const struct member *m)
 {
 	return m->listed && !m->lease_expired && !m->leaving;
 }
 
-/* Has it answered a ping lately? */
+/* Returns true if a member is alive and has answered a recent ping. */
 bool member_reachable(const struct state *st, const struct member *m)
 {
 	return member_alive(m) &&
@@ -30,10 +34,11 @@
 }
 
 /*
- * Has a VM answered us, or had no time to yet?  One that has not may be long
- * gone, though its row's age does not tell that yet.
+ * Returns true if a member is alive and has answered this VM, or has had no
+ * time to yet.  One that has not answered may have been gone for long while
+ * its lease still seems valid here.
  */
-static bool member_answers(const struct state *st, const struct member *m)
+static bool member_responsive(const struct state *st, const struct member *m)
 {
 	return member_alive(m) &&
 	       (m->ponged_at >= 0 ||
@@ -41,15 +46,16 @@
 }
 
 /*
- * Our own lease.  It counts from when the renewal was sent, others count
- * from when they read it, so it always ends here before it ends for them.
+ * Returns true if this VM's own lease is valid.  It counts from when the
+ * renewal was sent, and other VMs count from when they read the row, so it
+ * always expires here before it does for them.
  */
 bool lease_valid(const struct state *st)
 {
 	return st->now < st->lease_until;
 }
 
-/* Send a message to a peer, or to ourselves without the network. */
+/* Send a message to a peer, or deliver it locally if it is for this VM. */
 void peer_send(struct state *st, bstr to, const peer_message *m)
 {
 	struct local_message *lm;
@@ -65,7 +71,7 @@
 	}
 	p = member_find(st, to);
 	if (!p)
-		return; /* the sender's own deadline deals with it */
+		return; /* the sender retries or gives up at its deadline */
 	fx = effect_add(st, FX_PEER);
 	fx->effect_u.peer.to = bstr_copy(to);
 	fx->effect_u.peer.address = bstr_copy(p->address);
@@ -75,14 +81,15 @@
 }
 
 /*
- * The VM whose hash with a unit is the highest below a bound, and that hash;
- * empty: there is none.  Only those that have answered us count if answering is
- * set. A cell is owned in its own data centre.
+ * Returns the VM whose hash with a unit is the highest below a bound, empty if
+ * there is none, and sets the bound to that hash.  If responsive is set, only
+ * members that have answered this VM are considered.  A cell is owned in its
+ * own data centre.
  */
 static bstr unit_best_below(struct state *st, const struct unit *u,
-			    bool answering, uint64_t *bound)
+			    bool responsive, uint64_t *bound)
 {
-	uint64_t h, most = 0, below = *bound;
+	uint64_t h, highest = 0, below = *bound;
 	struct member *m, *next;
 	bstr best = BSTR_NONE;
 
@@ -91,26 +98,27 @@
 		h = hash64(u->name, st->vm);
 		if (h < below) {
 			best = st->vm;
-			most = h;
+			highest = h;
 		}
 	}
 	HASH_ITER(hh, st->members, m, next) {
-		if (!(answering ? member_answers(st, m) : member_alive(m)) ||
+		if (!(responsive ? member_responsive(st, m)
+				 : member_alive(m)) ||
 		    (u->kind == UNIT_CELL && !bstr_eq(u->id.dc, m->dc)))
 			continue;
 		h = hash64(u->name, m->vm);
-		if (h < below && (!best.bstr_len || h > most)) {
+		if (h < below && (!best.bstr_len || h > highest)) {
 			best = m->vm;
-			most = h;
+			highest = h;
 		}
 	}
-	*bound = most;
+	*bound = highest;
 	return best;
 }
 
 /*
- * Choose the owner of a unit by rendezvous hashing: every VM comes to the
- * same answer from the same list, and one VM's end moves only what it had.
+ * Choose the owner of a unit by rendezvous hashing: all VMs with the same list
+ * of members choose the same, and if one leaves, only its units move.
  */
 bstr unit_choose(struct state *st, const struct unit *u)
 {
@@ -118,9 +126,9 @@
 }
 
 /*
- * The VM that would own a unit if so many better ones were not there: until
- * they have been there for a while it is the one that does.  Empty: there are
- * not so many.
+ * Returns the VM that should own a unit if the first skipped VMs of its
+ * preference order were absent; empty if there are no more.  It may still own
+ * the unit if the better ones have only just joined.
  */
 bstr unit_choose_next(struct state *st, const struct unit *u, unsigned skipped)
 {
@@ -133,10 +141,11 @@
 }
 
 /*
- * Is this VM the best of those that have answered it?  A better one in the list
- * may be long gone: a VM that has just joined takes it for alive for a whole
- * lease, while the others know better and hand its units over to the one that
- * joined.  They would have no owner meanwhile.
+ * Returns true if this VM is the best owner among the members that have
+ * answered it.  A better one in the list may be long gone: a VM that has just
+ * joined considers it alive for a whole lease, while the others know that it
+ * is gone and hand units over to the VM that joined.  If that one waited for
+ * the lease to expire, the units would have no owner meanwhile.
  */
 bool unit_is_fallback_owner(struct state *st, const struct unit *u)
 {
@@ -145,7 +154,7 @@
 	return bstr_eq(unit_best_below(st, u, true, &bound), st->vm);
 }
 
-/* Write our own row with the next number. */
+/* Renew our lease: write our own member row with the next seq. */
 static void member_renew(struct state *st)
 {
 	member_row row = {st->vm,	   st->dc,	     st->address,
@@ -155,7 +164,7 @@
 
 	commit_check(&c, key, st->member_revision);
 	commit_put(&c, key, XDR_PROC(xdr_member_row), &row);
-	/* A renewal that is older than a lease is worth nothing. */
+	/* A renewal older than the lease is useless, so it is given up. */
 	st->member_request = table_commit(st, REQ_MEMBER_RENEW, st->vm, &c,
 					  st->now +
 						  (int64_t)st->member_lease_ms);
@@ -164,10 +173,11 @@
 }
 
 /*
- * A renewal lost on its row's version.  Before our first renewal the row is
- * left from an earlier process of this name: replace it.  Afterwards, a row
- * that is gone was cleaned away while we were paused: join anew.  Another
- * incarnation in it means that a new process bears our name: end.
+ * Handle a renewal that failed because its row had another revision.  Before
+ * our first renewal, the row is that of an earlier process of this VM:
+ * replace it.  Later, a missing row was removed while we were paused: join
+ * again.  Another incarnation in the row means that a newer process runs
+ * under our name: exit.
  */
 static void member_conflict(struct state *st, const ev_platform *ev)
 {
@@ -184,7 +194,7 @@
 	}
 	if (r && r->revision && !ours && st->member_revision) {
 		effect_log(st, LOG_STOPPED,
-			   "another process bears the name %.*s",
+			   "another process uses the name %.*s",
 			   BSTR_ARG(st->vm));
 		st->stopped = true;
 		effect_add(st, FX_EXIT);
@@ -195,7 +205,7 @@
 	st->renew_at = st->now;
 }
 
-/* A renewal came to its end. */
+/* Handle the outcome of a renewal. */
 void member_renewed(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	int64_t until = rq->sent_at + st->member_lease_ms;
@@ -207,7 +217,8 @@
 		return;
 	}
 	if (ev->outcome != PLATFORM_OK) {
-		/* The row may be at either version: read it. */
+		/* The renewal may or may not have taken effect: read the row.
+		 */
 		key = bstr_printf(MEMBER_PREFIX "%.*s", BSTR_ARG(st->vm));
 		table_read(st, REQ_MEMBER_READ, st->vm, &key, 1);
 		bstr_free(&key);
@@ -215,14 +226,14 @@
 	}
 	st->member_revision = ev->rows.rows_len ? ev->rows.rows_val[0].revision
 						: st->member_revision + 1;
-	/* A lapse, however short, may have let others take over. */
+	/* While the lease was expired, others may have taken units over. */
 	if (!lease_valid(st))
 		units_mark_unverified(st);
 	if (until > st->lease_until)
 		st->lease_until = until;
 }
 
-/* Our own row was read after an uncertain renewal. */
+/* Handle the read of our own row after an uncertain renewal. */
 void member_read(struct state *st, const ev_platform *ev)
 {
 	st->renew_at = st->now;
@@ -232,9 +243,9 @@
 }
 
 /*
- * This process was paused, or its clock has jumped: how long others have not
- * renewed must be measured anew.  Counted across a jump, a live owner's
- * lease would seem to have ended, and its units would be taken from it.
+ * Restart the expiry of all members' leases after this process was paused or
+ * its clock jumped.  Counted across the gap, the lease of a live owner would
+ * seem to have expired, and its units would be taken from it.
  */
 void members_paused(struct state *st)
 {
@@ -244,8 +255,9 @@
 		m->seen_at = st->now;
 }
 
-/* Take a row into the list. */
-static void member_listed(struct state *st, const table_row *r, int64_t sent_at)
+/* Add or update a member from its row, as read by a scan sent at sent_at. */
+static void member_row_apply(struct state *st, const table_row *r,
+			     int64_t sent_at)
 {
 	struct member *m;
 	member_row row;
@@ -292,7 +304,6 @@
 	xdr_free(XDR_PROC(xdr_member_row), (char *)&row);
 }
 
-/* Forget a member. */
 static void member_free(struct state *st, struct member *m)
 {
 	HASH_DEL(st->members, m);
@@ -302,7 +313,6 @@
 	free(m);
 }
 
-/* Forget all. */
 void member_free_all(struct state *st)
 {
 	struct member *m, *next;
@@ -312,11 +322,12 @@
 }
 
 /*
- * Take away the row of a VM that is long gone.  It must stay while others
- * may still vouch for each other without the platform: they count on
- * hearing every VM that has a row.
+ * Remove the row of a member whose lease expired long ago.  Until then the row
+ * must stay, because without the platform the VMs prove to each other that the
+ * configuration is fresh, and need to hear from every VM that has a row.  Each
+ * VM attempts the removal in one of 32 scans on average.
  */
-static void member_clean(struct state *st, struct member *m)
+static void member_remove_expired(struct state *st, struct member *m)
 {
 	fx_commit c = {0};
 	bstr key;
@@ -332,7 +343,7 @@
 	bstr_free(&key);
 }
 
-/* The list of member rows came. */
+/* Handle a scan of all member rows; a member without a row is removed. */
 void member_scanned(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct member *m, *next;
@@ -344,7 +355,7 @@
 	HASH_ITER(hh, st->members, m, next)
 		m->listed = false;
 	for (i = 0; i < ev->rows.rows_len; i++)
-		member_listed(st, &ev->rows.rows_val[i], rq->sent_at);
+		member_row_apply(st, &ev->rows.rows_val[i], rq->sent_at);
 	HASH_ITER(hh, st->members, m, next) {
 		if (!m->listed) {
 			effect_log(st, LOG_MEMBER_GONE, "%.*s has left",
@@ -353,14 +364,14 @@
 			continue;
 		}
 		n += member_alive(m);
-		member_clean(st, m);
+		member_remove_expired(st, m);
 	}
 	st->scanned_at = st->now;
 	effect_count(st, COUNT_MEMBERS, n);
 }
 
-/* What we tell peers about ourselves. */
-static pm_ping member_words(struct state *st, uint64_t seq)
+/* Returns the content of a ping or its answer from this VM. */
+static pm_ping member_ping_content(struct state *st, uint64_t seq)
 {
 	pm_ping p = {.seq = seq, .incarnation = st->incarnation};
 
@@ -371,7 +382,7 @@
 	return p;
 }
 
-/* Ping every member, the ones taken as gone too: they may be back. */
+/* Ping every member, also those with an expired lease: they may be back. */
 void member_ping_all(struct state *st)
 {
 	peer_message msg = {.kind = PM_PING};
@@ -380,20 +391,20 @@
 	HASH_ITER(hh, st->members, m, next) {
 		m->ping_seq = ++st->ping_seq;
 		m->ping_at = st->now;
-		msg.peer_message_u.ping = member_words(st, m->ping_seq);
+		msg.peer_message_u.ping = member_ping_content(st, m->ping_seq);
 		peer_send(st, m->vm, &msg);
 	}
 	st->ping_at = st->now + st->ping_ms;
 }
 
-/* A peer's ping, or its answer to ours. */
+/* Handle a peer's ping, or its answer (pong) to ours. */
 void member_ping(struct state *st, bstr from, const pm_ping *p, bool pong)
 {
 	struct member *m = member_find(st, from);
 	peer_message msg = {.kind = PM_PONG};
 
 	if (!m) {
-		st->scan_at = st->now; /* one that has just joined */
+		st->scan_at = st->now; /* the peer has just joined */
 		return;
 	}
 	m->heard_at = st->now;
@@ -401,7 +412,7 @@
 	if (st->config && p->config_revision > st->config->revision)
 		st->heads_poll_at = st->now;
 	if (!pong) {
-		msg.peer_message_u.ping = member_words(st, p->seq);
+		msg.peer_message_u.ping = member_ping_content(st, p->seq);
 		peer_send(st, from, &msg);
 		return;
 	}
@@ -414,7 +425,10 @@
 		m->proof_at = m->ping_at - p->proof_age_ms;
 }
 
-/* A peer ends in good order: its units need no lease to run out. */
+/*
+ * Handle a peer's announcement of its planned stop: other VMs are chosen for
+ * its units without waiting for its lease to expire.
+ */
 void member_leaving(struct state *st, bstr from)
 {
 	struct member *m = member_find(st, from);
@@ -423,7 +437,7 @@
 		m->leaving = true;
 }
 
-/* Renew, scan and ping when due. */
+/* Renew our lease, scan the member rows and ping the peers when due. */
 void member_tick(struct state *st)
 {
 	if (!st->member_request && st->now >= st->renew_at)
--- a/reduce-own.c
+++ b/reduce-own.c
@@ -1,11 +1,16 @@
+/*
+ * Ownership of units (cells and shards).  A VM claims a unit by writing its
+ * name and the next epoch to the unit's row, and releases it by removing its
+ * name.  Rendezvous hashing over the live members decides who should own it.
+ */
 #include "reduce.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 #define UNIT_RETRY_MS 300
-/* How long another VM must be the better owner before we hand over. */
-#define UNIT_UNWANTED_MS 1000
+/* Hand a unit over once another VM has been its better owner for this long. */
+#define UNIT_HANDOVER_MS 1000
 
 /* Find a unit by the key of its row. */
 struct unit *unit_find(struct state *st, bstr name)
@@ -16,7 +21,7 @@
 	return u;
 }
 
-/* The unit of a cell; NULL if the configuration has none. */
+/* Find the unit of a cell; NULL if no configuration has named it. */
 struct unit *unit_of_cell(struct state *st, const cell_id *id)
 {
 	bstr name = bstr_printf("cell/%.*s/%.*s", BSTR_ARG(id->pool),
@@ -27,7 +32,7 @@
 	return u;
 }
 
-/* The unit of a shard. */
+/* Find the unit of a shard; NULL before there is a configuration. */
 struct unit *unit_of_shard(struct state *st, uint32_t index)
 {
 	bstr name = bstr_printf("shard/%u", index);
@@ -37,14 +42,17 @@
 	return u;
 }
 
-/* May this VM decide for the unit now? */
+/*
+ * Returns true if this VM owns a unit and may act on it: its ownership does not
+ * have to be verified first.
+ */
 bool unit_is_active(const struct state *st, const struct unit *u)
 {
 	(void)st;
 	return u && u->state == UNIT_OWNED && !u->unverified;
 }
 
-/* Make a unit, idle; takes name. */
+/* Allocate an idle unit.  Takes ownership of name. */
 static struct unit *unit_new(struct state *st, enum unit_kind kind, bstr name)
 {
 	struct unit *u = xcalloc(1, sizeof(*u));
@@ -56,8 +64,8 @@
 	return u;
 }
 
-/* Free what an owner has of a unit. */
-static void unit_free_body(struct state *st, struct unit *u)
+/* Free the cell or shard state that a unit's owner keeps. */
+static void unit_free_content(struct state *st, struct unit *u)
 {
 	if (u->cell)
 		cell_free(st, u->cell);
@@ -67,13 +75,12 @@
 	u->shard = NULL;
 }
 
-/* Free all units. */
 void units_free(struct state *st)
 {
 	struct unit *u, *next;
 
 	HASH_ITER(hh, st->units, u, next) {
-		unit_free_body(st, u);
+		unit_free_content(st, u);
 		HASH_DEL(st->units, u); /* NOLINT(clang-analyzer-core.*) */
 		bstr_free(&u->name);
 		bstr_free(&u->id.pool);
@@ -83,7 +90,10 @@
 	}
 }
 
-/* Give a unit up without touching its row. */
+/*
+ * Give up a unit without writing its row, and read the row again after a
+ * random delay.
+ */
 void unit_drop(struct state *st, struct unit *u, const char *why)
 {
 	if (u->state == UNIT_OWNED || u->state == UNIT_RELEASING) {
@@ -92,7 +102,7 @@
 			   why);
 		effect_count(st, COUNT_RETRY_OWNER_CHANGED, 1);
 	}
-	unit_free_body(st, u);
+	unit_free_content(st, u);
 	u->state = UNIT_IDLE;
 	u->row_unread = true;
 	u->unverified = false;
@@ -102,7 +112,10 @@
 		      (int64_t)state_random(st, UNIT_RETRY_MS);
 }
 
-/* What is owned may have been taken over: ask before acting again. */
+/*
+ * Have the rows of all units read before this VM acts on them again, because
+ * other VMs may have taken them over.
+ */
 void units_mark_unverified(struct state *st)
 {
 	struct unit *u, *next;
@@ -111,16 +124,17 @@
 		u->unverified = u->state != UNIT_IDLE;
 }
 
-/* Read a unit's row. */
-static void unit_ask(struct state *st, struct unit *u)
+/* Request a unit's row. */
+static void unit_request_row(struct state *st, struct unit *u)
 {
 	table_read(st, REQ_UNIT_READ, u->name, &u->name, 1);
 }
 
 /*
- * The commit holds only while the owner that is replaced has not renewed.
- * One that was cut off may be back since our last scan: it has read its
- * units as its own and decides for them, so they must not be taken from it.
+ * Let a commit fail if the owner that is replaced has renewed its lease.  An
+ * owner that was cut off may be back since our last scan: it has found its
+ * name in its units' rows and acts on them again, so they must not be taken
+ * from it.
  */
 static void unit_check_owner(struct state *st, fx_commit *c, bstr owner)
 {
@@ -134,7 +148,7 @@
 	bstr_free(&key);
 }
 
-/* Write a unit's row over the version that was read, of an owner. */
+/* Replace a unit's row, whose owner is from, at the revision last read. */
 static void unit_write(struct state *st, struct unit *u, enum request_kind kind,
 		       bstr from, bstr owner, uint64_t epoch)
 {
@@ -149,9 +163,10 @@
 }
 
 /*
- * May the owner that a row names be replaced?  An owner whose lease holds
- * hands over by itself.  A name that is in no member row may belong to a VM
- * that joined since our last scan: it is believed gone the second time.
+ * Returns true if the owner that a row names can be replaced.  An owner with a
+ * valid lease hands over by itself.  An owner without a member row may have
+ * joined since our last scan, so it counts as gone only when it is seen for
+ * the second time.
  */
 static bool unit_owner_gone(struct state *st, struct unit *u, bstr owner)
 {
@@ -159,7 +174,7 @@
 
 	if (!owner.bstr_len || bstr_eq(owner, st->vm))
 		return true;
-	/* One that is leaving hands over itself, until its lease ends. */
+	/* Until its lease expires, a leaving owner hands over by itself. */
 	if (m)
 		return m->lease_expired;
 	if (bstr_eq(u->unknown_owner, owner))
@@ -169,9 +184,9 @@
 	return false;
 }
 
-/* The row of a unit we have was read: is it still ours? */
-static void unit_checked(struct state *st, struct unit *u, const table_row *r,
-			 const unit_row *row)
+/* Verify that a unit is still ours from its row; drop it if it is not. */
+static void unit_verify(struct state *st, struct unit *u, const table_row *r,
+			const unit_row *row)
 {
 	u->verifying = false;
 	if (r->revision && bstr_eq(row->owner, st->vm) &&
@@ -182,11 +197,12 @@
 }
 
 /*
- * The row of a unit that we don't have was read.  It may name us all the
- * same, if we dropped the unit or our release got no answer: we are alive,
- * so nobody would take it over, and it would stay without an owner.
+ * Handle the row of a unit that this VM does not own: claim the unit if this
+ * VM should own it.  The row may still name this VM, if it dropped the unit or
+ * its release got no answer.  As its lease is valid, no other VM would take
+ * the unit over, and it would remain unserved; so release it.
  */
-static void unit_found(struct state *st, struct unit *u, bstr owner)
+static void unit_claim_or_release(struct state *st, struct unit *u, bstr owner)
 {
 	u->row_unread = false;
 	if (bstr_eq(unit_choose(st, u), st->vm) ||
@@ -201,7 +217,7 @@
 	}
 }
 
-/* A unit's row was read. */
+/* Handle the read of a unit's row. */
 void unit_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct unit *u = unit_find(st, rq->name);
@@ -224,25 +240,25 @@
 		u->epoch = row.epoch;
 		u->state = UNIT_IDLE;
 		u->retry_at = st->now + UNIT_RETRY_MS;
-		unit_found(st, u, row.owner);
+		unit_claim_or_release(st, u, row.owner);
 	} else if (u->verifying) {
-		unit_checked(st, u, r, &row);
+		unit_verify(st, u, r, &row);
 	}
 	xdr_free(XDR_PROC(xdr_unit_row), (char *)&row);
 }
 
-/* A shard's journal has been read, or a cell needs none. */
+/* Become the owner of a unit: its journal is loaded, or it is a cell. */
 void unit_loaded(struct state *st, struct unit *u)
 {
 	u->state = UNIT_OWNED;
-	/* The claim may have taken longer than our lease lasted. */
+	/* Our lease may have expired before the claim was confirmed. */
 	u->unverified = !lease_valid(st);
 	effect_log(st, LOG_OWNED, "%.*s epoch %llu", BSTR_ARG(u->name),
 		   (unsigned long long)u->epoch);
 	effect_count(st, COUNT_TAKEOVERS, 1);
 }
 
-/* Our claim on a unit has an outcome. */
+/* Handle the outcome of a claim. */
 void unit_claimed(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct unit *u = unit_find(st, rq->name);
@@ -265,7 +281,7 @@
 	}
 }
 
-/* Our release has an outcome; whatever it is, we let go. */
+/* Handle the outcome of a release: drop the unit whatever it is. */
 void unit_released(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct unit *u = unit_find(st, rq->name);
@@ -276,9 +292,9 @@
 }
 
 /*
- * Hand a unit over.  A shard's records must be durable first; a cell's
- * tasks are found on the workers by the next owner, queued ones are asked
- * after by their homes.
+ * Release a unit.  A shard's records must be durable first.  The next owner of
+ * a cell learns of started tasks from the workers, and the homes of queued
+ * ones query it.
  */
 static void unit_release(struct state *st, struct unit *u)
 {
@@ -288,8 +304,11 @@
 	unit_write(st, u, REQ_UNIT_RELEASE, st->vm, BSTR_NONE, u->epoch);
 }
 
-/* Should another VM have this unit, and has it been so for a while? */
-static bool unit_unwanted(struct state *st, struct unit *u)
+/*
+ * Returns true if an owned unit should be handed over: it is not configured,
+ * this VM is stopping, or another VM has been its better owner for a while.
+ */
+static bool unit_handover_due(struct state *st, struct unit *u)
 {
 	bstr best;
 
@@ -303,11 +322,11 @@
 	}
 	if (!u->handover_wanted_at)
 		u->handover_wanted_at = st->now;
-	return st->now - u->handover_wanted_at >= UNIT_UNWANTED_MS;
+	return st->now - u->handover_wanted_at >= UNIT_HANDOVER_MS;
 }
 
-/* Move one unit on. */
-static void unit_step(struct state *st, struct unit *u)
+/* Start the next step of a unit that is idle or owned, if one is due. */
+static void unit_advance(struct state *st, struct unit *u)
 {
 	switch (u->state) {
 	case UNIT_IDLE:
@@ -317,16 +336,16 @@
 		     !unit_is_fallback_owner(st, u)))
 			return;
 		u->state = UNIT_READING;
-		unit_ask(st, u);
+		unit_request_row(st, u);
 		return;
 	case UNIT_OWNED:
 		if (!lease_valid(st))
 			return;
 		if (u->unverified) {
 			if (!u->verifying)
-				unit_ask(st, u);
+				unit_request_row(st, u);
 			u->verifying = true;
-		} else if (unit_unwanted(st, u)) {
+		} else if (unit_handover_due(st, u)) {
 			unit_release(st, u);
 		}
 		return;
@@ -338,7 +357,7 @@
 	}
 }
 
-/* Make the units that the configuration names; mark those it does not. */
+/* Create the configured units, and mark those that no longer are. */
 static void units_configure(struct state *st)
 {
 	struct unit *u, *un;
@@ -374,7 +393,7 @@
 	}
 }
 
-/* Acquire, check and hand over. */
+/* Acquire, verify and hand over units, and report how many are owned. */
 void units_tick(struct state *st)
 {
 	uint64_t cells = 0, shards = 0;
@@ -387,7 +406,7 @@
 		st->units_revision = st->config->revision;
 	}
 	HASH_ITER(hh, st->units, u, next) {
-		unit_step(st, u);
+		unit_advance(st, u);
 		cells += u->kind == UNIT_CELL && u->state == UNIT_OWNED;
 		shards += u->kind == UNIT_SHARD && u->state == UNIT_OWNED;
 	}
--- a/reduce-wave.c
+++ b/reduce-wave.c
@@ -1,26 +1,32 @@
+/*
+ * Maintenance waves.  A wave's row lists its VMs with the step that each has
+ * reached.  One entry VM runs the wave, chosen like the owner of a unit.  If
+ * two run it for a while, the revision checks of the commits let only one of
+ * them make each step.  The owner of a VM's cell drains, reboots and returns
+ * the VM.
+ */
 #include "reduce.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/*
- * Maintenance waves.  A wave's row lists its VMs with how far each is.  One
- * entry VM runs it, chosen like the owner of a unit; should two take turns,
- * the versions of the rows let only one of them make each step.  The rest of
- * the work is done where a VM's cell is owned: emptying, reboot, return.
- */
 #define WAVE_PREFIX "wave/"
 #define WAVES_POLL_MS 2000
 #define WAVE_CHANGE_MS 5000
+/* Delay before the next drain after one that the budget did not allow. */
 #define WAVE_REFUSED_MS 2000
+/* Delay before the next drain after one that failed for another reason. */
 #define WAVE_NEXT_MS 200
-/* Beyond the deadline of its drain, or of a reboot, a VM blocks the wave. */
+/*
+ * A VM is reported as late if it is still draining this long after the
+ * deadline of its drain, or has been out for longer than a reboot takes.
+ */
 #define WAVE_LATE_MS 30000
 #define WAVE_REBOOT_MS 300000
 
-static const char *const wave_words[] = {"planned", "running", "paused",
-					 "cancelled", "finished"};
-static const char *const step_words[] = {"waiting", "draining", "rebooting",
+static const char *const wave_state_names[] = {"planned", "running", "paused",
+					       "cancelled", "finished"};
+static const char *const step_names[] = {"waiting", "draining", "rebooting",
 					 "done", "skipped"};
 
 static void wave_free(struct state *st, struct wave *w)
@@ -38,7 +44,6 @@
 	free(c);
 }
 
-/* Free all. */
 void waves_free(struct state *st)
 {
 	struct wave *w, *next;
@@ -50,7 +55,6 @@
 		wave_change_free(st, c);
 }
 
-/* Find a wave. */
 static struct wave *wave_find(struct state *st, bstr name)
 {
 	struct wave *w;
@@ -59,8 +63,8 @@
 	return w;
 }
 
-/* How many VMs a wave is through with. */
-static unsigned wave_done(const wave_row *row)
+/* Returns the number of VMs of a wave that are done or skipped. */
+static unsigned wave_count_done(const wave_row *row)
 {
 	unsigned n = 0;
 	u_int i;
@@ -70,8 +74,8 @@
 	return n;
 }
 
-/* Take a row into the list. */
-static void wave_take(struct state *st, const table_row *r)
+/* Add or update a wave from its row. */
+static void wave_row_apply(struct state *st, const table_row *r)
 {
 	struct wave *w;
 	wave_row row;
@@ -95,12 +99,12 @@
 		w->started_at = 0;
 	} else if (!w->started_at) {
 		w->started_at = st->now;
-		w->done_at_start = wave_done(&row);
+		w->done_at_start = wave_count_done(&row);
 	}
 	HASH_ADD_BSTR(st->waves, row.wave, w);
 }
 
-/* The list of waves was read. */
+/* Handle a scan of all waves' rows; a wave without a row is removed. */
 void waves_scanned(struct state *st, const ev_platform *ev)
 {
 	struct wave *w, *next;
@@ -112,14 +116,14 @@
 	HASH_ITER(hh, st->waves, w, next)
 		w->marked = w->in_flight;
 	for (i = 0; i < ev->rows.rows_len; i++)
-		wave_take(st, &ev->rows.rows_val[i]);
+		wave_row_apply(st, &ev->rows.rows_val[i]);
 	HASH_ITER(hh, st->waves, w, next) {
 		if (!w->marked)
 			wave_free(st, w);
 	}
 }
 
-/* Write a wave's row. */
+/* Write a wave's row, provided that it is at a revision (0: is new). */
 static void wave_write(struct state *st, enum request_kind kind, bstr name,
 		       const wave_row *row, uint64_t revision)
 {
@@ -132,7 +136,10 @@
 	bstr_free(&key);
 }
 
-/* A step's commit has its outcome: take what it wrote, or read again. */
+/*
+ * Handle the outcome of a wave's step: apply what the commit wrote.  The row is
+ * read again in any case.
+ */
 void wave_committed(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct wave *w = wave_find(st, rq->name);
@@ -145,13 +152,13 @@
 	if (ev->outcome != PLATFORM_OK || !w)
 		return;
 	r = (table_row){x->key, row_version(ev, x->key), x->value};
-	wave_take(st, &r);
+	wave_row_apply(st, &r);
 }
 
 /*
- * A drain was accepted, or refused: then say why, and try again later.  If
- * it is the VM that can't be drained now, and not the budget, the next one
- * is tried soon.
+ * Handle the result of a drain.  If it was refused, record the reason and retry
+ * later.  If the VM itself can't be drained now (OP_CONFLICT), the search goes
+ * on soon with the next one.
  */
 void wave_drained(struct state *st, bstr wave, bstr vm, op_status status,
 		  const char *detail)
@@ -181,8 +188,9 @@
 }
 
 /*
- * Has a wave still to note what became of a VM?  If another one drained it
- * before that, it would look as if it had been taken away.
+ * Returns true if a wave has not yet recorded that a VM is done or skipped.  If
+ * another wave drained the VM before that, this wave would record it as taken
+ * away.
  */
 bool wave_tracks_vm(struct state *st, bstr wave, bstr vm)
 {
@@ -196,12 +204,12 @@
 }
 
 /*
- * How far a VM of a wave has come, by its row, which goes on naming the wave
- * when the VM is back from its reboot.  If another wave or an operator has
- * it now, its boot id tells whether it was rebooted before that.
+ * Returns the step that a VM of a wave has reached, as its row shows.  The row
+ * continues to name the wave after the VM's reboot.  If another wave or an
+ * operator has the VM now, its boot id tells whether it was rebooted before.
  */
-static wave_step wave_look(struct state *st, const struct wave *w,
-			   const wave_vm *v)
+static wave_step wave_vm_step(struct state *st, const struct wave *w,
+			      const wave_vm *v)
 {
 	static const wave_step by_state[] = {[VM_ACTIVE] = STEP_DONE,
 					     [VM_DRAINING] = STEP_DRAINING,
@@ -222,10 +230,12 @@
 }
 
 /*
- * Bring a wave's row up to its VMs' rows.  True if something changed; the
- * boot id is noted once the VM is empty, to tell a reboot from a return.
+ * Update a wave's row from its VMs' rows.  Returns true if it has changed.  The
+ * boot id of a VM is recorded when it is drained, to tell a reboot from an
+ * operator's return.
  */
-static bool wave_follow(struct state *st, const struct wave *w, wave_row *row)
+static bool wave_update_row(struct state *st, const struct wave *w,
+			    wave_row *row)
 {
 	bool changed = false, open = false;
 	wave_step at;
@@ -234,7 +244,7 @@
 	for (i = 0; i < row->vms.vms_len; i++) {
 		wave_vm *v = &row->vms.vms_val[i];
 
-		at = wave_look(st, w, v);
+		at = wave_vm_step(st, w, v);
 		if (at == STEP_REBOOTING && at != v->step)
 			bstr_set(&v->boot, vm_find(st, v->vm)->row.boot);
 		changed = changed || at != v->step;
@@ -245,7 +255,7 @@
 		row->state = WAVE_FINISHED;
 		changed = true;
 	}
-	/* In the row, so that every entry VM can tell an operator. */
+	/* Stored in the row, so that every entry VM can show it. */
 	if (row->state != WAVE_RUNNING)
 		bstr_free(&row->blocked_reason);
 	else if (!bstr_eq(row->blocked_reason, w->blocked)) {
@@ -255,7 +265,7 @@
 	return changed;
 }
 
-/* Ask for the next drain. */
+/* Start the drain of the next waiting VM, unless delayed. */
 static void wave_drain_next(struct state *st, struct wave *w)
 {
 	u_int i, n = w->row.vms.vms_len;
@@ -266,7 +276,7 @@
 		const wave_vm *v = &w->row.vms.vms_val[(w->next_index + i) % n];
 		struct vm *vm = vm_find(st, v->vm);
 
-		if (wave_look(st, w, v) != STEP_WAITING || !vm ||
+		if (wave_vm_step(st, w, v) != STEP_WAITING || !vm ||
 		    vm->row.state != VM_ACTIVE)
 			continue;
 		edit_wave(st, EDIT_WAVE_DRAIN, v->vm, w->row.wave,
@@ -275,41 +285,44 @@
 	}
 }
 
-/* Give back what a cancelled wave was still emptying. */
-static void wave_give_back(struct state *st, struct wave *w)
+/* Return the VMs that a cancelled wave is still draining. */
+static void wave_return_draining(struct state *st, struct wave *w)
 {
 	u_int i;
 
 	for (i = 0; i < w->row.vms.vms_len; i++) {
 		const wave_vm *v = &w->row.vms.vms_val[i];
 
-		if (wave_look(st, w, v) == STEP_DRAINING)
+		if (wave_vm_step(st, w, v) == STEP_DRAINING)
 			edit_wave(st, EDIT_WAVE_RETURN, v->vm, w->row.wave, 0);
 	}
 }
 
-/* Does this VM run the wave? */
-static bool wave_mine(struct state *st, const struct wave *w)
+/* Returns true if this entry VM runs the wave. */
+static bool wave_runs_here(struct state *st, const struct wave *w)
 {
 	struct unit as_unit = {.name = w->row.wave, .kind = UNIT_SHARD};
 
 	return bstr_eq(unit_choose(st, &as_unit), st->vm);
 }
 
-/* Move a wave on by what can be done now. */
-static void wave_run(struct state *st, struct wave *w)
+/*
+ * Advance a wave: record the progress of its VMs; if there is none, drain or
+ * return VMs.
+ */
+static void wave_advance(struct state *st, struct wave *w)
 {
 	wave_row row;
 
-	if (w->in_flight || !wave_mine(st, w) || w->row.state == WAVE_PLANNED ||
-	    w->row.state == WAVE_FINISHED)
+	if (w->in_flight || !wave_runs_here(st, w) ||
+	    w->row.state == WAVE_PLANNED || w->row.state == WAVE_FINISHED)
 		return;
 	xdr_copy(XDR_PROC(xdr_wave_row), &row, &w->row, sizeof(row));
 	/*
-	 * VMs' rows that are older than the wave's would show a VM that is
-	 * being drained as one that was given back, and it would be passed.
+	 * VM rows older than the wave's row would show a VM that is being
+	 * drained as one that was returned, and the wave would skip it.
 	 */
-	if (st->vms_current_at > w->read_at && wave_follow(st, w, &row)) {
+	if (st->vms_current_at > w->read_at && wave_update_row(st, w, &row)) {
 		w->in_flight = true;
 		wave_write(st, REQ_WAVE_COMMIT, w->row.wave, &row, w->revision);
 		if (row.state == WAVE_FINISHED)
@@ -318,12 +331,12 @@
 	} else if (w->row.state == WAVE_RUNNING) {
 		wave_drain_next(st, w);
 	} else if (w->row.state == WAVE_CANCELLED) {
-		wave_give_back(st, w);
+		wave_return_draining(st, w);
 	}
 	xdr_free(XDR_PROC(xdr_wave_row), (char *)&row);
 }
 
-/* Read the rows, and run what is ours to run. */
+/* Scan the waves when due, expire requests, and run this VM's waves. */
 void waves_tick(struct state *st)
 {
 	struct wave_change *c, *cn;
@@ -347,11 +360,11 @@
 	if (!lease_valid(st) || !st->vms_known || st->stopping)
 		return;
 	HASH_ITER(hh, st->waves, w, next)
-		wave_run(st, w);
+		wave_advance(st, w);
 }
 
-/* Order VMs by data centre, rack and name: a rack is emptied as a whole. */
-static int vm_order(const void *a, const void *b)
+/* Compare VMs by data centre, rack and name, so that racks drain in turn. */
+static int vm_compare_rack(const void *a, const void *b)
 {
 	const struct vm *x = *(struct vm *const *)a;
 	const struct vm *y = *(struct vm *const *)b;
@@ -362,15 +375,15 @@
 	return c ? c : bstr_cmp(x->row.vm, y->row.vm);
 }
 
-/* Order VMs by name alone. */
-static int vm_name_order(const void *a, const void *b)
+/* Compare VMs by name only. */
+static int vm_compare_name(const void *a, const void *b)
 {
 	return bstr_cmp((*(struct vm *const *)a)->row.vm,
 			(*(struct vm *const *)b)->row.vm);
 }
 
-/* The VMs of a pool in the order in which a wave takes them. */
-static void wave_list(struct state *st, wave_row *row)
+/* Fill in the VMs of a wave's pool, in the order in which to drain them. */
+static void wave_list_vms(struct state *st, wave_row *row)
 {
 	struct vm **list, *v, *next;
 	u_int n = 0, i;
@@ -382,8 +395,8 @@
 	}
 	if (n)
 		qsort(list, n, sizeof(struct vm *),
-		      st->wave_policy == WAVE_BY_NAME ? vm_name_order
-						      : vm_order);
+		      st->wave_policy == WAVE_BY_NAME ? vm_compare_name
+						      : vm_compare_rack);
 	row->vms.vms_val = xcalloc(n, sizeof(wave_vm));
 	row->vms.vms_len = n;
 	for (i = 0; i < n; i++)
@@ -391,7 +404,10 @@
 	free(list);
 }
 
-/* The state that an operator's request leads to, from the one it is in. */
+/*
+ * Set the state that an operator's request leads to.  Returns false if the
+ * request is not allowed in the current state.
+ */
 static bool wave_next_state(op_kind kind, wave_state from, wave_state *to)
 {
 	switch (kind) {
@@ -412,7 +428,7 @@
 	}
 }
 
-/* Answer an operator's change of a wave and forget it. */
+/* Answer an operator's request to change a wave, and free the request. */
 static void wave_answer(struct state *st, struct wave_change *c,
 			op_status status, const char *reason,
 			const char *detail, json_t *body)
@@ -422,7 +438,7 @@
 	wave_change_free(st, c);
 }
 
-/* Plan a wave whose name is free. */
+/* Create a planned wave with the current VMs of its pool. */
 static void wave_plan(struct state *st, struct wave_change *c, bstr id)
 {
 	const op_wave *o = &c->request.op_request_u.wave;
@@ -431,7 +447,7 @@
 	row.wave = bstr_copy(o->wave);
 	row.pool = bstr_copy(o->pool);
 	row.deadline_ms = o->deadline_ms;
-	wave_list(st, &row);
+	wave_list_vms(st, &row);
 	if (row.vms.vms_len)
 		wave_write(st, REQ_WAVE_CHANGE, id, &row, 0);
 	else
@@ -440,7 +456,7 @@
 	xdr_free(XDR_PROC(xdr_wave_row), (char *)&row);
 }
 
-/* Find an operator's change by the name of its request. */
+/* Find an operator's change by the name of its request; NULL if it ended. */
 static struct wave_change *wave_change_find(struct state *st, bstr name)
 {
 	struct wave_change *c;
@@ -452,7 +468,7 @@
 	return NULL;
 }
 
-/* The row that an operator wants to change was read. */
+/* Handle the read of the row that an operator wants to create or change. */
 void wave_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct wave_change *c = wave_change_find(st, rq->name);
@@ -489,7 +505,7 @@
 	}
 }
 
-/* An operator's change of a wave has its outcome. */
+/* Handle the outcome of an operator's change of a wave. */
 void wave_changed(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct wave_change *c = wave_change_find(st, rq->name);
@@ -510,8 +526,8 @@
 		break;
 	case PLATFORM_CONFLICT:
 		wave_answer(st, c, OP_CONFLICT, "raced",
-			    "the wave moved on meanwhile: look, then ask "
-			    "again",
+			    "the wave has changed meanwhile: check it with "
+			    "'wave show', then retry",
 			    NULL);
 		break;
 	case PLATFORM_REFUSED:
@@ -527,7 +543,7 @@
 	}
 }
 
-/* An operator's change of a wave. */
+/* Handle an operator's request to create or change a wave. */
 void op_wave_change(struct state *st, uint64_t call, const op_request *rq)
 {
 	const op_wave *o = &rq->op_request_u.wave;
@@ -557,19 +573,22 @@
 	bstr_free(&key);
 }
 
-/* Does a VM of a wave take longer than it should? */
+/* Returns true if the drain or the reboot of a VM takes too long. */
 static bool wave_late(struct state *st, const struct wave *w, const wave_vm *x,
 		      wave_step at)
 {
 	const struct vm *vm = vm_find(st, x->vm);
-	int64_t most = at == STEP_DRAINING ? w->row.deadline_ms + WAVE_LATE_MS
-					   : WAVE_REBOOT_MS;
+	int64_t max = at == STEP_DRAINING ? w->row.deadline_ms + WAVE_LATE_MS
+					  : WAVE_REBOOT_MS;
 
 	return vm && (at == STEP_DRAINING || at == STEP_REBOOTING) &&
-	       st->now - vm->state_since > most;
+	       st->now - vm->state_since > max;
 }
 
-/* A wave in figures: how far it is, what blocks it, when it may end. */
+/*
+ * Returns a wave's progress, what blocks it and the estimated time to its end;
+ * with steps also the step of each VM.
+ */
 static json_t *wave_json(struct state *st, const struct wave *w, bool steps)
 {
 	unsigned n[5] = {0}, done, left;
@@ -579,12 +598,12 @@
 
 	for (i = 0; i < w->row.vms.vms_len; i++) {
 		const wave_vm *x = &w->row.vms.vms_val[i];
-		wave_step at = wave_look(st, w, x);
+		wave_step at = wave_vm_step(st, w, x);
 
 		n[at]++;
 		v = json_object();
 		json_set_str(v, "vm", x->vm);
-		json_object_set_new(v, "step", json_string(step_words[at]));
+		json_object_set_new(v, "step", json_string(step_names[at]));
 		json_array_append_new(list, v);
 		if (wave_late(st, w, x, at))
 			json_array_append_new(late, bstr_to_json(x->vm));
@@ -593,14 +612,15 @@
 	left = w->row.vms.vms_len - done;
 	json_set_str(o, "wave", w->row.wave);
 	json_set_str(o, "pool", w->row.pool);
-	json_object_set_new(o, "state", json_string(wave_words[w->row.state]));
+	json_object_set_new(o, "state",
+			    json_string(wave_state_names[w->row.state]));
 	json_set_int(o, "done", n[STEP_DONE]);
 	json_set_int(o, "skipped", n[STEP_SKIPPED]);
 	json_set_int(o, "out", n[STEP_DRAINING] + n[STEP_REBOOTING]);
 	json_set_int(o, "waiting", n[STEP_WAITING]);
 	json_set_str(o, "blocked", w->row.blocked_reason);
 	json_object_set_new(o, "late", late);
-	/* From what was done since this VM has seen it run. */
+	/* Estimated from the progress since this VM first saw it running. */
 	if (w->row.state == WAVE_RUNNING && w->started_at &&
 	    done > w->done_at_start)
 		json_set_int(o, "expected_ms",
@@ -613,7 +633,7 @@
 	return o;
 }
 
-/* Show one wave with its VMs, or all in a line each. */
+/* Show one wave with its VMs, or a summary of all waves. */
 void op_wave_show(struct state *st, uint64_t call, const op_request *rq)
 {
 	bstr name = rq->op_request_u.wave.wave;
