--- a/reduce-table.c
+++ b/reduce-table.c
@@ -1,12 +1,17 @@
+/*
+ * Requests to the platform: reads, scans, objects, and commits with checks.
+ * Commits are retried with the same transaction id until their outcome is
+ * certain.
+ */
 #include "reduce.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 #define RESEND_FIRST_MS 100
-#define RESEND_MOST_MS 3000
+#define RESEND_MAX_MS 3000
 
-/* Register a request; its id goes with the effect. */
+/* Register a request; the caller puts its id into the effect. */
 struct request *request_new(struct state *st, enum request_kind kind, bstr name)
 {
 	struct request *rq = xcalloc(1, sizeof(*rq));
@@ -19,7 +24,7 @@
 	return rq;
 }
 
-/* Find a request; NULL if it has been answered or given up. */
+/* Find an outstanding request; NULL if it was answered or given up. */
 struct request *request_find(struct state *st, uint64_t id)
 {
 	struct request *rq;
@@ -28,7 +33,7 @@
 	return rq;
 }
 
-/* Forget a request; an answer that still comes is dropped as late. */
+/* Free a request.  An answer that still arrives is dropped as late. */
 void request_free(struct state *st, struct request *rq)
 {
 	HASH_DEL(st->requests, rq);
@@ -37,13 +42,13 @@
 	free(rq);
 }
 
-/* The name of a request that is for something with a number. */
+/* Returns the request name for an object that is identified by a number. */
 bstr request_name(uint64_t number)
 {
 	return bstr_printf("%llu", (unsigned long long)number);
 }
 
-/* The number in such a name. */
+/* Returns the number in a name made by request_name. */
 uint64_t request_number(bstr name)
 {
 	char *s = bstr_cstr(name);
@@ -82,7 +87,7 @@
 	return rq->id;
 }
 
-/* Get an object. */
+/* Fetch an object. */
 uint64_t object_get(struct state *st, enum request_kind kind, bstr name,
 		    bstr object)
 {
@@ -94,7 +99,7 @@
 	return rq->id;
 }
 
-/* Put an object; objects never change, so a repeated put is harmless. */
+/* Store an object.  Objects never change, so a repeated put is harmless. */
 uint64_t object_put(struct state *st, enum request_kind kind, bstr name,
 		    bstr object, bstr body)
 {
@@ -107,7 +112,7 @@
 	return rq->id;
 }
 
-/* The commit holds only while a row is at a version. */
+/* Let a commit succeed only if a row is at a revision (0: does not exist). */
 void commit_check(fx_commit *c, bstr key, uint64_t revision)
 {
 	u_int n = c->checks.checks_len++;
@@ -120,7 +125,7 @@
 	k->revision = revision;
 }
 
-/* Append a write. */
+/* Append an empty write of a row to a commit. */
 static table_write *commit_write(fx_commit *c, bstr key)
 {
 	u_int n = c->writes.writes_len++;
@@ -134,25 +139,25 @@
 	return w;
 }
 
-/* The commit writes an encoded value to a row. */
+/* Add the write of an encoded value to a commit. */
 void commit_put(fx_commit *c, bstr key, xdrproc_t proc, const void *value)
 {
 	commit_write(c, key)->value = xdr_encode(proc, value);
 }
 
-/* The commit writes bytes to a row. */
+/* Add the write of a byte string to a commit. */
 void commit_put_bytes(fx_commit *c, bstr key, bstr value)
 {
 	commit_write(c, key)->value = bstr_copy(value);
 }
 
-/* The commit removes a row. */
+/* Add the removal of a row to a commit. */
 void commit_remove(fx_commit *c, bstr key)
 {
 	commit_write(c, key)->remove = TRUE;
 }
 
-/* Send a commit, for the first time or again. */
+/* Send or resend a commit. */
 static void commit_send(struct state *st, struct request *rq)
 {
 	effect *fx = effect_add(st, FX_COMMIT);
@@ -164,7 +169,7 @@
 		 sizeof(rq->commit));
 }
 
-/* Send a commit and keep it until its outcome is certain. */
+/* Send a commit, and keep it for retries until its outcome is certain. */
 uint64_t table_commit(struct state *st, enum request_kind kind, bstr name,
 		      fx_commit *c, int64_t give_up_at)
 {
@@ -181,7 +186,7 @@
 	return rq->id;
 }
 
-/* Find a row of an answer. */
+/* Find a row in an answer; NULL if it is not included. */
 const table_row *row_find(const ev_platform *ev, bstr key)
 {
 	u_int i;
@@ -192,7 +197,7 @@
 	return NULL;
 }
 
-/* The version of a row in an answer, 0 if it is not there. */
+/* Returns the revision of a row in an answer, 0 if it is not included. */
 uint64_t row_version(const ev_platform *ev, bstr key)
 {
 	const table_row *r = row_find(ev, key);
@@ -200,7 +205,7 @@
 	return r ? r->revision : 0;
 }
 
-/* Hand a final outcome to whoever asked. */
+/* Dispatch the final outcome of a request to its handler. */
 static void request_finish(struct state *st, struct request *rq,
 			   const ev_platform *ev)
 {
@@ -297,8 +302,8 @@
 	}
 }
 
-/* Remember whether the platform answers, and say when that changes. */
-static void platform_seen(struct state *st, bool answered)
+/* Record whether the platform answers, and log when that changes. */
+static void platform_record_answer(struct state *st, bool answered)
 {
 	if (answered)
 		st->platform_answered_at = st->now;
@@ -312,28 +317,30 @@
 }
 
 /*
- * Plan the next try of a commit.  Backoff doubles up to a bound and half of
- * it is drawn at random, so that VMs which were all cut off together don't
- * come back together; the platform's own word goes first.
+ * Schedule the next attempt of a commit with exponential backoff.  Half of the
+ * delay is random, so that VMs that were cut off at the same time don't retry
+ * at the same time.  A longer retry hint of the platform takes precedence.
  */
-static void commit_delay(struct state *st, struct request *rq,
-			 const ev_platform *ev)
+static void commit_schedule_resend(struct state *st, struct request *rq,
+				   const ev_platform *ev)
 {
 	unsigned shift = rq->tries < 6 ? rq->tries : 6;
-	uint64_t span = (uint64_t)RESEND_FIRST_MS << shift;
-
-	if (span > RESEND_MOST_MS)
-		span = RESEND_MOST_MS;
-	span = span / 2 + state_random(st, span / 2 + 1);
-	if (ev->retry_after_ms > span)
-		span = ev->retry_after_ms;
-	rq->resend_at = st->now + (int64_t)span;
+	uint64_t delay = (uint64_t)RESEND_FIRST_MS << shift;
+
+	if (delay > RESEND_MAX_MS)
+		delay = RESEND_MAX_MS;
+	delay = delay / 2 + state_random(st, delay / 2 + 1);
+	if (ev->retry_after_ms > delay)
+		delay = ev->retry_after_ms;
+	rq->resend_at = st->now + (int64_t)delay;
 }
 
 /*
- * A commit has an outcome.  Refused or unknown ones are tried again with
- * the same id until certain or given up; an unknown try leaves a mark that
- * lasts, because that try may still take effect after a later refusal.
+ * Handle the outcome of an attempt of a commit.  Returns true if it is final:
+ * certain, or given up.  Otherwise the commit is resent with the same
+ * transaction id.  An attempt with an unknown outcome marks the commit as
+ * uncertain for good, because it may still take effect after a later attempt
+ * was refused.
  */
 static bool commit_outcome(struct state *st, struct request *rq,
 			   const ev_platform *ev)
@@ -354,35 +361,35 @@
 		effect_count(st, COUNT_RETRY_PLATFORM_UNKNOWN, 1);
 		break;
 	}
-	commit_delay(st, rq, ev);
+	commit_schedule_resend(st, rq, ev);
 	return rq->give_up_at && rq->resend_at >= rq->give_up_at;
 }
 
-/* An answer of the platform, or word that there is none. */
+/* Handle the platform's answer to a request, or that there was none. */
 void platform_event(struct state *st, const ev_platform *ev)
 {
 	struct request *rq = request_find(st, ev->req);
-	ev_platform last;
+	ev_platform final;
 
-	platform_seen(st, ev->outcome == PLATFORM_OK ||
-				  ev->outcome == PLATFORM_CONFLICT ||
-				  ev->outcome == PLATFORM_NOT_FOUND ||
-				  ev->retry_after_ms);
+	platform_record_answer(st, ev->outcome == PLATFORM_OK ||
+					   ev->outcome == PLATFORM_CONFLICT ||
+					   ev->outcome == PLATFORM_NOT_FOUND ||
+					   ev->retry_after_ms);
 	if (!rq) {
 		effect_count(st, COUNT_DROPPED_LATE, 1);
 		return;
 	}
 	if (rq->is_commit && !commit_outcome(st, rq, ev))
 		return;
-	last = *ev;
-	/* A refusal says nothing about an earlier try that went unanswered. */
+	final = *ev;
+	/* A refusal says nothing about an earlier attempt without an answer. */
 	if (rq->uncertain && ev->outcome == PLATFORM_REFUSED)
-		last.outcome = PLATFORM_UNKNOWN;
-	request_finish(st, rq, &last);
+		final.outcome = PLATFORM_UNKNOWN;
+	request_finish(st, rq, &final);
 	request_free(st, rq);
 }
 
-/* Send again the commits that are due. */
+/* Resend the commits that are due. */
 void requests_tick(struct state *st)
 {
 	struct request *rq, *next;
--- a/reduce-vm.c
+++ b/reduce-vm.c
@@ -1,18 +1,20 @@
+/*
+ * Copies of the endpoint VMs' rows and of the platform's list of VMs.  The
+ * row vms/head counts the changes of VM rows and names the latest ones, so a
+ * poll reads one row while nothing changes, and a few rows otherwise.
+ */
 #include "reduce.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 /*
- * The VMs, as their rows and the platform's list tell.  vms/head counts the
- * changes and names the latest, so that a poll reads one row while nothing
- * moves, and a few when something does.
+ * A VM that is absent from the platform's list for this long is gone.  The
+ * list lags behind, so a shorter absence says nothing.
  */
-
-/* Absent from the platform's lagging list for so long: it is gone. */
 #define ABSENT_MS 15000
 
-/* Find a VM's row. */
+/* Find an endpoint VM; NULL if it has no row. */
 struct vm *vm_find(struct state *st, bstr name)
 {
 	struct vm *v;
@@ -28,7 +30,7 @@
 	free(v);
 }
 
-/* Free all rows and the platform's list. */
+/* Free the copies of the VM rows and of the platform's list. */
 void vms_free(struct state *st)
 {
 	struct listed *l, *ln;
@@ -43,7 +45,7 @@
 	}
 }
 
-/* Take one row: newer than what we hold, or gone. */
+/* Update the copy of a VM's row, unless the copy is as new; drop a gone VM. */
 void vm_row_apply(struct state *st, const table_row *r)
 {
 	bstr name = bstr_ref(r->key.bstr_val + sizeof(VM_PREFIX) - 1,
@@ -70,7 +72,7 @@
 		HASH_DEL(st->vms, v);
 		xdr_free(XDR_PROC(xdr_vm_row), (char *)&v->row);
 	}
-	/* The state is no pointer: it outlasts the free. */
+	/* xdr_free frees only what the row points to; state is still valid. */
 	if (!v->revision || v->row.state != row.state)
 		v->state_since = st->now;
 	v->row = row;
@@ -79,7 +81,7 @@
 	HASH_ADD_BSTR(st->vms, row.vm, v);
 }
 
-/* What we have committed ourselves need not be read again. */
+/* Apply the VM rows that this VM's own commit wrote, without reading them. */
 void vms_apply_committed(struct state *st, const struct request *rq,
 			 const ev_platform *ev)
 {
@@ -98,8 +100,8 @@
 	}
 }
 
-/* The rows are as new as the head that was being read up to. */
-static void vms_reached(struct state *st, const struct request *rq)
+/* Record that the copies match the head that the completed read covers. */
+static void vms_set_current(struct state *st, const struct request *rq)
 {
 	st->vms_revision = st->vms_target;
 	st->vms_generation = st->vms_target_generation;
@@ -107,26 +109,26 @@
 	st->vms_current_at = rq->sent_at;
 }
 
-/* Read all rows. */
+/* Read all VM rows. */
 static void vms_scan(struct state *st)
 {
 	st->vms_request = table_scan(st, REQ_VMS_SCAN, st->vm,
 				     bstr_lit(VM_PREFIX));
 }
 
-/* Is a VM among the changes before the one at an index? */
-static bool change_named(const vms_head *h, size_t before)
+/* Returns true if a change's VM has an entry before it in the recent list. */
+static bool change_is_repeated(const vms_head *h, size_t index)
 {
 	size_t i;
 
-	for (i = 0; i < before; i++)
+	for (i = 0; i < index; i++)
 		if (bstr_eq(h->recent.recent_val[i].vm,
-			    h->recent.recent_val[before].vm))
+			    h->recent.recent_val[index].vm))
 			return true;
 	return false;
 }
 
-/* Read the rows that changed since the generation we hold, each once. */
+/* Read the rows that changed after the generation of our copies, each once. */
 static void vms_read_recent(struct state *st, const vms_head *h)
 {
 	bstr keys[HEAD_RECENT_MAX] = {BSTR_NONE};
@@ -135,7 +137,8 @@
 	for (i = 0; i < h->recent.recent_len && n < HEAD_RECENT_MAX; i++) {
 		const vm_change *c = &h->recent.recent_val[i];
 
-		if (c->generation > st->vms_generation && !change_named(h, i))
+		if (c->generation > st->vms_generation &&
+		    !change_is_repeated(h, i))
 			keys[n++] = bstr_printf(VM_PREFIX "%.*s",
 						BSTR_ARG(c->vm));
 	}
@@ -144,12 +147,15 @@
 		bstr_free(&keys[i]);
 }
 
-/* The VMs' head was read: if it has moved, read what changed. */
+/*
+ * Handle the read of the head: if it has changed, read the changed rows, or
+ * all if the head no longer names all changes since our copies.
+ */
 void vms_head_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	const table_row *r = row_find(ev, bstr_lit(VMS_HEAD_KEY));
 	vms_head h = {0};
-	uint64_t first = 0;
+	uint64_t oldest = 0;
 
 	if (!r || st->vms_request)
 		return;
@@ -163,17 +169,18 @@
 	st->vms_target = r->revision;
 	st->vms_target_generation = h.generation;
 	if (h.recent.recent_len)
-		first = h.recent.recent_val[h.recent.recent_len - 1].generation;
+		oldest =
+			h.recent.recent_val[h.recent.recent_len - 1].generation;
 	if (!r->revision)
-		vms_reached(st, rq);
-	else if (st->vms_known && first <= st->vms_generation + 1)
+		vms_set_current(st, rq);
+	else if (st->vms_known && oldest <= st->vms_generation + 1)
 		vms_read_recent(st, &h);
 	else
 		vms_scan(st);
 	xdr_free(XDR_PROC(xdr_vms_head), (char *)&h);
 }
 
-/* The changed rows were read. */
+/* Handle the read of the changed rows. */
 void vms_rows_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	u_int i;
@@ -183,10 +190,10 @@
 		return;
 	for (i = 0; i < ev->rows.rows_len; i++)
 		vm_row_apply(st, &ev->rows.rows_val[i]);
-	vms_reached(st, rq);
+	vms_set_current(st, rq);
 }
 
-/* All rows were read: what is not among them is gone. */
+/* Handle a scan of all rows; a VM without a row is removed. */
 void vms_scanned(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct vm *v, *next;
@@ -203,10 +210,13 @@
 		if (!v->marked)
 			vm_free(st, v);
 	}
-	vms_reached(st, rq);
+	vms_set_current(st, rq);
 }
 
-/* The platform's list came; it lags, and says only what it says. */
+/*
+ * Handle the platform's list of VMs.  It lags behind, so it only marks VMs as
+ * leaving or absent.
+ */
 void vms_listed(struct state *st, const ev_platform *ev)
 {
 	struct listed *l, *next;
@@ -236,7 +246,7 @@
 	}
 }
 
-/* Does the platform's list say that a VM is leaving? */
+/* Returns true if the platform's list has a VM as leaving, or lost it. */
 bool vm_leaving(struct state *st, bstr name)
 {
 	struct listed *l;
@@ -245,7 +255,7 @@
 	return l && (l->leaving || l->absent_at);
 }
 
-/* Has a VM that was in the list been out of it for long? */
+/* Returns true if a VM that was in the list is absent for ABSENT_MS. */
 bool vm_absent(struct state *st, bstr name)
 {
 	struct listed *l;
@@ -254,7 +264,7 @@
 	return l && l->absent_at && st->now - l->absent_at >= ABSENT_MS;
 }
 
-/* Poll the list. */
+/* Poll the platform's list of VMs when due. */
 void vms_tick(struct state *st)
 {
 	struct request *rq;
--- a/reduce-wait.c
+++ b/reduce-wait.c
@@ -1,11 +1,15 @@
+/* Callers that wait for a job, and the answers to them. */
 #include "reduce.h"
 
 #include <stdlib.h>
 
-/* A last answer may be so late at its deadline, while it is written. */
-#define SETTLE_MS 1000
+/*
+ * A final answer may be this late after the caller's deadline, while the end
+ * of the job is made durable.
+ */
+#define FINAL_GRACE_MS 1000
 
-/* Nothing more is owed to a waiter. */
+/* Remove a waiter from a job and free it. */
 void waiter_free(struct job *j, struct waiter *w)
 {
 	TAILQ_REMOVE(&j->waiters, w, entry);
@@ -13,7 +17,7 @@
 	free(w);
 }
 
-/* Let go of all who wait. */
+/* Remove all waiters of a job. */
 void waiters_free(struct job *j)
 {
 	struct waiter *w;
@@ -22,7 +26,7 @@
 		waiter_free(j, w);
 }
 
-/* The HTTP status that goes with a job's state. */
+/* Returns the HTTP status for a job's state; submit: of a submission. */
 static uint32_t job_http(const job_view *v, bool submit)
 {
 	if (v->state == JOB_QUEUED || v->state == JOB_RUNNING)
@@ -34,7 +38,7 @@
 	return bstr_eq_str(v->reason, "cancelled") ? 200 : 503;
 }
 
-/* Refuse a waiter, for want of the platform's word. */
+/* Answer a waiter with 503, because the platform has not confirmed a write. */
 void waiter_refuse(struct state *st, struct job *j, struct waiter *w,
 		   const char *detail, uint32_t retry)
 {
@@ -43,7 +47,7 @@
 	waiter_free(j, w);
 }
 
-/* Refuse a waiter whose job's claim may be written or not. */
+/* Refuse a waiter whose job's claim may or may not have been written. */
 void waiter_refuse_claim(struct state *st, struct job *j, struct waiter *w)
 {
 	waiter_refuse(st, j, w,
@@ -52,7 +56,7 @@
 		      RETRY_AFTER_MS * 3);
 }
 
-/* Answer one waiter with the job as it is. */
+/* Answer a waiter with the current state of its job, and remove it. */
 static void job_answer(struct state *st, struct job *j, struct waiter *w)
 {
 	caller_answer a = {.http = job_http(&j->view, w->submit)};
@@ -64,7 +68,7 @@
 			      RETRY_AFTER_MS);
 		return;
 	}
-	/* Accepted is what is durable: a claim that is not may be lost. */
+	/* Until its claim is durable, a job can be lost: it is not accepted. */
 	if (j->shard && !j->record_segment && !job_is_final(j)) {
 		waiter_refuse_claim(st, j, w);
 		return;
@@ -80,14 +84,17 @@
 	waiter_free(j, w);
 }
 
-/* Is there what a waiter asked for? */
+/* Returns true if the job has reached what a waiter waits for. */
 static bool waiter_due(const struct job *j, const struct waiter *w)
 {
 	return job_final_ready(j) || (!w->until_final && !job_is_final(j) &&
 				      j->phase != PHASE_CLAIMING);
 }
 
-/* Answer now if the answer is there, else when it is, or at a deadline. */
+/*
+ * Add a waiter to a job.  It is answered at once if the answer is available,
+ * otherwise when it becomes available or at the deadline.
+ */
 void job_wait(struct state *st, struct job *j, bstr vm, uint64_t call,
 	      int64_t deadline, bool until_final, bool submit)
 {
@@ -103,15 +110,15 @@
 		job_answer(st, j, w);
 }
 
-/* Answer those whose moment has come. */
+/* Answer the waiters whose answer is available or whose deadline has passed. */
 void job_answer_due(struct state *st, struct job *j)
 {
 	struct waiter *w, *next;
-	int64_t late = job_is_final(j) ? SETTLE_MS : 0;
+	int64_t grace_ms = job_is_final(j) ? FINAL_GRACE_MS : 0;
 
 	for (w = TAILQ_FIRST(&j->waiters); w; w = next) {
 		next = TAILQ_NEXT(w, entry);
-		if (waiter_due(j, w) || st->now >= w->deadline + late)
+		if (waiter_due(j, w) || st->now >= w->deadline + grace_ms)
 			job_answer(st, j, w);
 	}
 }
--- a/reduce-why.c
+++ b/reduce-why.c
@@ -1,18 +1,20 @@
+/* Operators' requests for why a job or a team's tasks wait. */
 #include "reduce.h"
 
 #include <stdlib.h>
 
-#define QUESTION_MS 2000
+/* How long to wait for the cell's answer before replying without it. */
+#define QUESTION_TIMEOUT_MS 2000
 
-static const char *const state_words[] = {"queued", "running", "done",
+static const char *const state_names[] = {"queued", "running", "done",
 					  "failed", "not-run", "unknown"};
 
-/* Answer "why JOB" from what its home knows. */
+/* Answer a "why JOB" request with the job's state as its home knows it. */
 static void why_answer(struct state *st, bstr asker, uint64_t call,
 		       const struct job *j)
 {
-	static const char *const phases[] = {"claiming", "no-cell", "at-cell",
-					     "final", "final"};
+	static const char *const phase_names[] = {"claiming", "no-cell",
+						  "at-cell", "final", "final"};
 	const job_view *v = &j->view;
 	json_t *o = json_object();
 	bstr cell;
@@ -20,8 +22,8 @@
 	json_set_str(o, "job", j->id);
 	json_set_str(o, "team", j->spec.team);
 	json_set_str(o, "pool", j->spec.pool);
-	json_object_set_new(o, "state", json_string(state_words[v->state]));
-	json_object_set_new(o, "phase", json_string(phases[j->phase]));
+	json_object_set_new(o, "state", json_string(state_names[v->state]));
+	json_object_set_new(o, "phase", json_string(phase_names[j->phase]));
 	json_set_str(o, "gate", v->reason);
 	json_set_str(o, "detail", v->detail);
 	json_set_str(o, "worker", v->worker);
@@ -35,7 +37,7 @@
 	op_answer_to(st, asker, call, OP_OK, "", "", 0, o);
 }
 
-/* A question waits for the cell's fresh word. */
+/* Add a question about a job, and have its cell queried for the state. */
 static void question_add(struct state *st, uint64_t call, struct job *j)
 {
 	struct question *q = xcalloc(1, sizeof(*q));
@@ -43,9 +45,9 @@
 	q->call = call;
 	q->forwarded_by = bstr_copy(st->forwarded_by);
 	q->job = bstr_copy(j->id);
-	q->deadline = st->now + QUESTION_MS;
+	q->deadline = st->now + QUESTION_TIMEOUT_MS;
 	TAILQ_INSERT_TAIL(&st->questions, q, entry);
-	j->check_at = st->now; /* asks the cell at the next tick */
+	j->check_at = st->now; /* queries the cell at the next tick */
 	effect_wake(st, st->now);
 }
 
@@ -57,7 +59,6 @@
 	free(q);
 }
 
-/* Free all questions. */
 void questions_free(struct state *st)
 {
 	struct question *q;
@@ -66,7 +67,7 @@
 		question_free(st, q);
 }
 
-/* A job's home has heard from its cell: answer who asked. */
+/* Answer the questions about a job whose cell has reported its state. */
 void op_why_job_answer(struct state *st, const struct job *j)
 {
 	struct question *q, *next;
@@ -80,7 +81,7 @@
 	}
 }
 
-/* Questions whose cell did not answer in time get what is known. */
+/* Answer the questions whose cell did not answer in time with what is known. */
 void questions_tick(struct state *st)
 {
 	struct question *q, *next;
@@ -96,20 +97,24 @@
 		else
 			op_answer_to(st, q->forwarded_by, q->call, OP_NOT_FOUND,
 				     "job-unknown",
-				     "its home has moved: ask again", 0, NULL);
+				     "the job's home has moved; retry", 0,
+				     NULL);
 		question_free(st, q);
 	}
 }
 
-/* Why has this job not run?  Only its home knows. */
+/*
+ * Handle a "why JOB" request; only the job's home can answer it.  If a cell
+ * has the job, the answer waits for the cell's current state of it.
+ */
 void op_why_job(struct state *st, uint64_t call, const op_request *rq)
 {
 	struct job *j = job_find(st, rq->op_request_u.name);
 
 	if (!j)
 		op_answer(st, call, OP_NOT_FOUND, "job-unknown",
-			  "no such job is known: it was never accepted, or "
-			  "its answer is no longer kept",
+			  "no such job: it was never accepted, or its result "
+			  "is no longer kept",
 			  0, NULL);
 	else if (j->phase == PHASE_DISPATCHED)
 		question_add(st, call, j);
@@ -117,7 +122,7 @@
 		why_answer(st, st->forwarded_by, call, j);
 }
 
-/* The gate of a team's first queued task in a cell. */
+/* Returns a team's figures in a cell, and why its first queued task waits. */
 static json_t *why_cell(struct state *st, struct cell *c, struct cell_team *t)
 {
 	struct task *first = NULL;
@@ -141,7 +146,7 @@
 	return o;
 }
 
-/* Why does this team's work wait?  A row for each cell of this VM. */
+/* Handle a "why TEAM" request: an entry for each cell that this VM owns. */
 void op_why_team(struct state *st, uint64_t call, const op_request *rq)
 {
 	bstr name = rq->op_request_u.name;
--- a/reduce.c
+++ b/reduce.c
@@ -317,9 +317,8 @@
 
 /*
  * Exit once all units are released and all callers and operators answered;
- * the lease is renewed until then.
- * At the deadline of the stop, exit regardless; the peers then take over the
- * remaining units as after a crash.
+ * the lease is renewed until then.  At the deadline of the stop, exit
+ * regardless; the peers then take over the remaining units as after a crash.
  */
 static void reduce_stop_check(struct state *st)
 {
