--- a/reduce-member.c
+++ b/reduce-member.c
@@ -217,8 +217,7 @@
 		return;
 	}
 	if (ev->outcome != PLATFORM_OK) {
-		/* The renewal may or may not have taken effect: read the row.
-		 */
+		/* The renewal may have taken effect or not: read the row. */
 		key = bstr_printf(MEMBER_PREFIX "%.*s", BSTR_ARG(st->vm));
 		table_read(st, REQ_MEMBER_READ, st->vm, &key, 1);
 		bstr_free(&key);
--- a/reduce-wave.c
+++ b/reduce-wave.c
@@ -498,8 +498,8 @@
 				   r->revision);
 		else
 			wave_answer(st, c, OP_CONFLICT, "wrong-state",
-				    "the wave is not in a state for that: "
-				    "see 'wave show'",
+				    "not allowed in the wave's current "
+				    "state; see 'wave show'",
 				    NULL);
 		xdr_free(XDR_PROC(xdr_wave_row), (char *)&row);
 	}
--- a/reduce-worker.c
+++ b/reduce-worker.c
@@ -140,8 +140,9 @@
 
 /*
  * Returns the task lease to grant in an exchange.  A silent worker is granted
- * only the rest of its latest lease: with full renewals that it receives but
- * does not answer its tasks would never expire, and would never count as lost.
+ * only the rest of its latest lease.  If it received requests with full leases
+ * that it can't answer, its tasks would run for ever, and this VM could never
+ * tell that they have ended.
  */
 static uint32_t worker_lease_ms(const struct state *st, const struct worker *w)
 {
@@ -152,7 +153,10 @@
 	return left > 1 ? (uint32_t)left : 1;
 }
 
-/* Emit a request to a worker, with no starts and orders yet. */
+/*
+ * Emit a request that renews the leases of a worker's tasks.  The caller adds
+ * the fields of a watch or a command.
+ */
 static fx_worker *worker_exchange(struct state *st, struct worker *w,
 				  bool watch)
 {
@@ -363,8 +367,8 @@
 /*
  * Handle the tasks of a worker as lost once it has been silent for longer
  * than their leases.  The worker has stopped them by then if its clock runs.
- * It may be frozen with an unexecuted start, so the starts continue to count
- * against the upper limits.
+ * It may be frozen with a start that it has not executed yet, so the starts
+ * continue to count against the upper limits.
  */
 static void worker_check_lost(struct state *st, struct worker *w)
 {
@@ -466,8 +470,7 @@
 		task_report_handle(st, w->cell, w, &ev->tasks.tasks_val[i]);
 	if (!watch || restarted)
 		return;
-	/* While seq is 0 (full list wanted), only a full list may advance it.
-	 */
+	/* While seq is 0, a full list is wanted, and only that advances it. */
 	if (w->watch_full ? worker_reconcile(st, w, ev) : w->seq != 0)
 		w->seq = ev->seq ? ev->seq : 1;
 	else if (w->watch_full)
--- a/reduce.c
+++ b/reduce.c
@@ -410,7 +410,7 @@
 	cells_schedule(st);
 	reduce_deliver_local(st);
 	reduce_stop_check(st);
-	reduce_deliver_local(
-		st); /* the stop may have answered its own callers */
+	/* A stop may have answered callers of this VM. */
+	reduce_deliver_local(st);
 	st->out = NULL;
 }
