--- a/reduce-queue.c
+++ b/reduce-queue.c
@@ -287,22 +287,22 @@
 {
 	struct cell_team *t, *next, *best = NULL;
 	bool urgent, best_urgent = false;
-	double usage, lowest = 0;
+	double rank, lowest = 0;
 
 	HASH_ITER(hh, c->teams, t, next) {
 		if (!t->queued || t->blocked)
 			continue;
 		urgent = !TAILQ_EMPTY(&t->queue[CLASS_URGENT]) &&
 			 st->queue_policy == QUEUE_SHARES;
-		usage = st->queue_policy == QUEUE_FIFO
-				? (double)team_next(st, c, t)->queued_at
-				: team_weighted_usage(st, t);
+		rank = st->queue_policy == QUEUE_FIFO
+			       ? (double)team_next(st, c, t)->queued_at
+			       : team_weighted_usage(st, t);
 		if (best && (urgent < best_urgent ||
-			     (urgent == best_urgent && usage >= lowest)))
+			     (urgent == best_urgent && rank >= lowest)))
 			continue;
 		best = t;
 		best_urgent = urgent;
-		lowest = usage;
+		lowest = rank;
 	}
 	return best;
 }
--- a/reduce.c
+++ b/reduce.c
@@ -339,7 +339,7 @@
 	ops_stop(st);
 	st->stopped = true;
 	effect_log(st, LOG_STOPPED, "%s",
-		   idle ? "all units handed over" : "stop deadline reached");
+		   idle ? "all handed over" : "stop deadline reached");
 	effect_add(st, FX_EXIT);
 }
 
