--- a/reduce-call.c
+++ b/reduce-call.c
@@ -122,10 +122,8 @@
 			       const job_spec *s)
 {
 	if (st->stopping) {
-		answer_refuse(
-			st, BSTR_NONE, call, 503, COUNT_REFUSED_STOPPING,
-			"this VM is stopping; the request was not accepted",
-			100);
+		answer_refuse(st, BSTR_NONE, call, 503, COUNT_REFUSED_STOPPING,
+			      "this VM is stopping; nothing was run", 100);
 		return true;
 	}
 	if (!config_find_pool(st->config, s->pool)) {
@@ -136,8 +134,8 @@
 	if (!call_job_fits(st, s)) {
 		answer_refuse(st, BSTR_NONE, call, 422,
 			      COUNT_REFUSED_NEVER_FITS,
-			      "no VM of the pool is large enough for the "
-			      "job",
+			      "no VM of the pool is large enough: the work "
+			      "can never run there",
 			      0);
 		return true;
 	}
@@ -174,8 +172,8 @@
 	/* Another team's job gets the same answer, to reveal nothing. */
 	if (!j || !bstr_eq(j->spec.team, team)) {
 		answer_refuse(st, vm, call, 404, COUNT_REFUSED_JOB,
-			      "no such job: it was never accepted, or its "
-			      "result is no longer kept",
+			      "no such job is known: it was never accepted, "
+			      "or its answer is no longer kept",
 			      0);
 		return;
 	}
@@ -315,8 +313,8 @@
 	if (--g->pending)
 		return;
 	if (g->missing) {
-		detail = xasprintf("%u VMs did not answer: jobs there may not "
-				   "be cancelled; try again",
+		detail = xasprintf("%u VMs did not answer: jobs there may be "
+				   "uncancelled; ask again",
 				   g->missing);
 		all->http = 503;
 		all->reason = bstr_new("partial");
@@ -499,8 +497,8 @@
 		 !m->answer.jobs.jobs_len)
 		answer_refuse(st, BSTR_NONE, f->call, 504,
 			      COUNT_REFUSED_DEADLINE,
-			      "sent more than once and refused once: the job "
-			      "may have been accepted; retry with the same "
+			      "asked more than once and refused once: the work "
+			      "may have been accepted; ask again with the same "
 			      "key",
 			      RETRY_AFTER_MS);
 	else
@@ -579,15 +577,15 @@
 	else if (f->sent)
 		answer_refuse(st, BSTR_NONE, f->call, 504,
 			      COUNT_REFUSED_DEADLINE,
-			      "the owner of the job did not answer: the job "
-			      "may have been accepted; retry with the same "
-			      "key",
+			      "the VM that decides did not answer: the work "
+			      "may have been accepted; ask again with the "
+			      "same key",
 			      RETRY_AFTER_MS);
 	else
 		answer_refuse(st, BSTR_NONE, f->call, 503,
 			      COUNT_REFUSED_NO_OWNER,
-			      "no VM can handle the request now; it was not "
-			      "accepted",
+			      "no VM can decide this now; this request was "
+			      "not accepted",
 			      RETRY_AFTER_MS * 2);
 	forward_free(st, f);
 }
@@ -646,9 +644,8 @@
 		while ((w = TAILQ_FIRST(&j->waiters))) {
 			answer_refuse(st, w->vm, w->call, 503,
 				      COUNT_REFUSED_STOPPING,
-				      "this VM is stopping; the job was "
-				      "accepted and may run: query it by its "
-				      "id",
+				      "this VM stops; the work was accepted "
+				      "and may run: ask for it by its id",
 				      RETRY_AFTER_MS);
 			waiter_free(j, w);
 		}
--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -342,7 +342,7 @@
 			return;
 		}
 		task_end(st, c, t, JOB_FAILED, "lease-lapsed",
-			 "its lease expired while it ran; it was stopped");
+			 "its lease lapsed while it ran; it was stopped");
 		return;
 	}
 	task_end(st, c, t, JOB_FAILED, "stopped",
@@ -561,13 +561,13 @@
 	if (!cell_state_known(st, c)) {
 		u->view.reason = bstr_lit("owner-taking-over");
 		u->view.detail = bstr_lit("the cell's new owner has not yet "
-					  "heard from every worker");
+					  "heard every worker");
 	} else if (c->boots.history_lost) {
 		u->final = u->started = TRUE;
 		u->view.reason = bstr_lit("worker-lost");
 		u->view.detail = bstr_lit("a worker of its cell restarted and "
-					  "lost its task state: the job may "
-					  "have run there");
+					  "forgot what it ran: it may have "
+					  "run there");
 	} else {
 		u->known = FALSE;
 	}
--- a/reduce-config.c
+++ b/reduce-config.c
@@ -217,7 +217,7 @@
 	c->head_revision = st->head_revision;
 	if (c->request.kind == OP_CONFIG_APPLY &&
 	    oc->revision != st->config->revision) {
-		s = xasprintf("expected revision %llu, but %llu is in force",
+		s = xasprintf("expected revision %llu, in force is %llu",
 			      (unsigned long long)oc->revision,
 			      (unsigned long long)st->config->revision);
 		change_answer(st, c, OP_CONFLICT, "revision-conflict", s, 0,
@@ -349,10 +349,9 @@
 		c->base_revision = 0; /* try again at the next tick */
 		return;
 	}
-	change_answer(
-		st, c, OP_UNAVAILABLE, "platform-unavailable",
-		"the configuration could not be stored; nothing was changed",
-		RETRY_AFTER_MS * 2, NULL);
+	change_answer(st, c, OP_UNAVAILABLE, "platform-unavailable",
+		      "the body could not be stored; nothing was changed",
+		      RETRY_AFTER_MS * 2, NULL);
 }
 
 /*
@@ -438,10 +437,9 @@
 		st->heads_poll_at = st->now;
 		if (++c->tries < CHANGE_TRIES_MAX)
 			break;
-		change_answer(
-			st, c, OP_CONFLICT, "too-many-races",
-			"concurrent changes by other operators won each time",
-			RETRY_AFTER_MS, NULL);
+		change_answer(st, c, OP_CONFLICT, "too-many-races",
+			      "other operators were faster each time",
+			      RETRY_AFTER_MS, NULL);
 		break;
 	case PLATFORM_REFUSED:
 		change_answer(st, c, OP_UNAVAILABLE, "platform-unavailable",
@@ -449,7 +447,7 @@
 		break;
 	default:
 		change_answer(st, c, OP_UNKNOWN, "outcome-unknown",
-			      "the change may have been made: check the "
+			      "the change may have been made: look at the "
 			      "history before you repeat it",
 			      RETRY_AFTER_MS * 2, NULL);
 		break;
--- a/reduce-home.c
+++ b/reduce-home.c
@@ -116,8 +116,8 @@
 				answer_refuse(
 					st, w->vm, w->call, 503,
 					COUNT_REFUSED_NO_OWNER,
-					"the owner of the job changed: the job "
-					"may have been accepted; retry "
+					"the deciding VM changed: the work "
+					"may have been accepted; ask again "
 					"with the same key",
 					RETRY_AFTER_MS);
 			waiter_free(j, w);
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -203,7 +203,7 @@
 		j->view.state = JOB_UNKNOWN;
 		bstr_set(&j->view.detail,
 			 bstr_lit("an earlier attempt was started and did not "
-				  "finish; no later one was started"));
+				  "finish; no other was"));
 	}
 	job_uncount(j);
 	j->phase = PHASE_ENDING;
@@ -399,15 +399,15 @@
 	if (shard && !st->platform_up &&
 	    st->now - st->platform_answered_at > CLAIM_TIMEOUT_MS) {
 		answer_refuse(st, vm, call, 503, COUNT_REFUSED_PLATFORM,
-			      "the platform does not answer, so the job "
-			      "can't be recorded; it was not run",
+			      "the platform does not answer, so the work "
+			      "can't be claimed; it was not run",
 			      RETRY_AFTER_MS * 3);
 		return;
 	}
 	if (HASH_COUNT(st->jobs) - st->finished_count >= ACTIVE_JOBS_MAX) {
 		answer_refuse(st, vm, call, 503, COUNT_REFUSED_OVERLOAD,
-			      "too many active jobs on this VM; the job "
-			      "was not run",
+			      "too much work is open at this VM; this was "
+			      "not run",
 			      RETRY_AFTER_MS);
 		return;
 	}
@@ -466,8 +466,8 @@
 	if (shard_withdraw(st, j->shard, j->id)) {
 		while ((w = TAILQ_FIRST(&j->waiters)))
 			waiter_refuse(st, j, w,
-				      "the job could not be recorded; it "
-				      "was not run",
+				      "the claim could not be written; the "
+				      "work was not run",
 				      RETRY_AFTER_MS * 3);
 		job_free(st, j);
 		return;
@@ -712,8 +712,7 @@
 	case PHASE_UNDISPATCHED:
 		if (st->now >= j->deadline)
 			job_end(st, j, JOB_NOT_RUN, "deadline",
-				"no cell of the pool could accept it in time",
-				0);
+				"no cell of the pool could take it in time", 0);
 		else if (j->cell.pool.bstr_len && job_may_dispatch(st, j) &&
 			 cell_owner(st, &j->cell).bstr_len)
 			job_dispatch(st, j);
--- a/reduce-key.c
+++ b/reduce-key.c
@@ -122,8 +122,8 @@
 		     (int64_t)st->fresh_ms + k->team->grace_ms))
 		return key_refuse(
 			st, refusal, 503, COUNT_REFUSED_NOT_FRESH,
-			"this data centre is cut off and can't verify that "
-			"the key is still valid",
+			"this data centre is cut off and can't tell whether "
+			"the key still holds",
 			RETRY_AFTER_MS * 5);
 	return k->team;
 }
--- a/reduce-op.c
+++ b/reduce-op.c
@@ -495,8 +495,8 @@
 static void op_answer_stopping(struct state *st, uint64_t call)
 {
 	op_answer(st, call, OP_UNKNOWN, "stopping",
-		  "this VM is stopping; a change may have been made: check "
-		  "before you repeat it",
+		  "this VM stops; a change may have been made: look before "
+		  "you repeat it",
 		  RETRY_AFTER_MS, NULL);
 }
 
--- a/reduce-pool.c
+++ b/reduce-pool.c
@@ -366,7 +366,7 @@
 {
 	if (r->vm.state == VM_ACTIVE)
 		return edit_refuse(r, OP_CONFLICT, "active",
-				   xstrdup("the VM is active already"));
+				   xstrdup("it is at work already"));
 	r->vm.state = VM_ACTIVE;
 	bstr_free(&r->vm.target_pool);
 	if (!out_failed(&r->pool, r->vm.vm))
@@ -467,7 +467,7 @@
 	if (out_failed(&r->pool, e->vm))
 		return edit_refuse(r, OP_CONFLICT, "failed",
 				   xasprintf("%.*s has failed; it is drained "
-					     "when it has recovered",
+					     "when it is back",
 					     BSTR_ARG(e->vm)));
 	if (st->wave_policy != WAVE_ROOM_FOR_RACK)
 		room = out < budget;
--- a/reduce-queue.c
+++ b/reduce-queue.c
@@ -566,7 +566,7 @@
 	}
 	if (!usable) {
 		*detail = bstr_printf(
-			"none of the %u VMs accepts tasks: silent, draining, "
+			"none of the %u VMs takes work: silent, draining, "
 			"leaving or set aside; see 'vm show'",
 			HASH_COUNT(c->workers));
 		return "no-usable-worker";
@@ -574,7 +574,7 @@
 	if (!team || !team->limit || used >= team->limit) {
 		*detail = bstr_printf(
 			"the team runs %u here, its upper limit is %u; "
-			"wait for one to end or raise it with 'team limit'",
+			"freed when one ends or by 'team limit'",
 			used, team ? team->limit : 0);
 		return "upper-limit";
 	}
@@ -588,8 +588,8 @@
 	}
 	if (!free_slots) {
 		*detail = bstr_printf(
-			"all slots of %u workers are in use; %u tasks run, %u "
-			"wait; a slot is freed when one ends",
+			"all slots of %u workers are taken; %u tasks run, %u "
+			"wait; freed when one ends",
 			usable, c->running, c->queued);
 		return "no-free-slot";
 	}
--- a/reduce-wait.c
+++ b/reduce-wait.c
@@ -51,8 +51,8 @@
 void waiter_refuse_claim(struct state *st, struct job *j, struct waiter *w)
 {
 	waiter_refuse(st, j, w,
-		      "the platform has not confirmed the claim, so the "
-		      "job may run; retry with the same key",
+		      "the platform has not confirmed the claim: the work "
+		      "may run; ask again with the same key",
 		      RETRY_AFTER_MS * 3);
 }
 
@@ -64,7 +64,7 @@
 	if (job_is_final(j) && !job_final_ready(j)) {
 		waiter_refuse(st, j, w,
 			      "the platform has not confirmed the job's end; "
-			      "retry",
+			      "ask again",
 			      RETRY_AFTER_MS);
 		return;
 	}
--- a/reduce-wave.c
+++ b/reduce-wave.c
@@ -498,8 +498,8 @@
 				   r->revision);
 		else
 			wave_answer(st, c, OP_CONFLICT, "wrong-state",
-				    "not allowed in the wave's current "
-				    "state; see 'wave show'",
+				    "the wave is not in a state for that: "
+				    "see 'wave show'",
 				    NULL);
 		xdr_free(XDR_PROC(xdr_wave_row), (char *)&row);
 	}
@@ -526,8 +526,8 @@
 		break;
 	case PLATFORM_CONFLICT:
 		wave_answer(st, c, OP_CONFLICT, "raced",
-			    "the wave has changed meanwhile: check it with "
-			    "'wave show', then retry",
+			    "the wave moved on meanwhile: look, then ask "
+			    "again",
 			    NULL);
 		break;
 	case PLATFORM_REFUSED:
--- a/reduce-why.c
+++ b/reduce-why.c
@@ -97,8 +97,7 @@
 		else
 			op_answer_to(st, q->forwarded_by, q->call, OP_NOT_FOUND,
 				     "job-unknown",
-				     "the job's home has moved; retry", 0,
-				     NULL);
+				     "its home has moved: ask again", 0, NULL);
 		question_free(st, q);
 	}
 }
@@ -113,8 +112,8 @@
 
 	if (!j)
 		op_answer(st, call, OP_NOT_FOUND, "job-unknown",
-			  "no such job: it was never accepted, or its result "
-			  "is no longer kept",
+			  "no such job is known: it was never accepted, or "
+			  "its answer is no longer kept",
 			  0, NULL);
 	else if (j->phase == PHASE_DISPATCHED)
 		question_add(st, call, j);
