--- a/sched-order.c
+++ b/sched-order.c
@@ -1,20 +1,29 @@
 /*
- * Orders to workers: starting, stopping and pacing runs, and what an order's
- * outcome means for its task.
+ * Orders to workers: starting, stopping and throttling runs, and handling the
+ * outcomes of these orders.
  */
 #include "sched-state.h"
 
 #include <string.h>
 
-/* A worker's clock is known within the longest exchange and 2% of the time
- * between two looks; one that is so far back has begun anew. */
-#define CLOCK_BACK_MS 1500
-/* A worker that turned a start away gets no other for so long. */
-#define UNWELL_MS 400
-/* One without room is asked again when an end may have made some. */
-#define ROOM_AGAIN_MS 100
+/*
+ * A worker's clock is known within the duration of the longest exchange plus 2%
+ * of the time between two polls.  A clock that is behind by more than this has
+ * been reset, by a restart of the worker.
+ */
+#define CLOCK_RESET_MIN_MS 1500
+/*
+ * Pause of a worker that refused a start or did not answer it, and of a task
+ * whose start was invalid.
+ */
+#define REFUSED_PAUSE_MS 400
+/* Pause of a worker without room: shorter, as a task may end there soon. */
+#define CAPACITY_PAUSE_MS 100
 
-/* What a step's task takes of a worker; one that fills uses only idle cores. */
+/*
+ * Returns what a task of a step needs of a worker.  Best-effort tasks use only
+ * idle cores, so they need none.
+ */
 struct resources step_need(const struct job_step *st)
 {
 	struct resources need = st->need;
@@ -25,46 +34,51 @@
 }
 
 /*
- * How many starts may be without an answer, in parts of one, and how that
- * changes with the time until an answer is dealt with.
+ * Bounds of the window of unanswered starts.  The window grows while starts are
+ * answered within START_SLOW_MS, and shrinks by a quarter, at most once per
+ * START_WINDOW_CUT_INTERVAL_MS, when an answer takes longer.
  */
-#define WINDOW_LEAST (64 * START_WINDOW_UNIT)
-#define WINDOW_MOST (2048 * START_WINDOW_UNIT)
+#define START_WINDOW_MIN (64 * START_WINDOW_UNIT)
+#define START_WINDOW_MAX (2048 * START_WINDOW_UNIT)
 #define START_SLOW_MS 150
-#define WINDOW_CUT_MS 150
+#define START_WINDOW_CUT_INTERVAL_MS 150
 
 /*
- * Are as many starts under way as are answered in time?  An owner short of
- * processor that orders more finds their answers when they have run out of
- * time: its tasks run and count as unsure, connections are mistrusted and
- * opened anew, which costs more processor, and it never gets out of that.  With
- * the window it orders what it can, and the rest waits to be ordered.
+ * Returns true if as many starts are in flight as the owner can process the
+ * answers of in time.  An owner short of processor time that sent more would
+ * process the answers after their timeouts: tasks would run but count as
+ * uncertain, and connections would be replaced as suspect, which takes more
+ * processor time, so that the owner would never recover.  With the window the
+ * owner sends what it can handle, and the other starts wait.
  */
 bool start_window_is_full(const struct sched *s)
 {
 	return s->starts_in_flight * START_WINDOW_UNIT >= s->start_window;
 }
 
-/* A start was answered by its worker: it took so long with all that waited. */
+/*
+ * Adjusts the window after a worker's answer to a start.  The time includes
+ * that in which the answer waited to be processed.
+ */
 void start_window_update(struct sched *s, int64_t ms)
 {
 	s->load.slow_starts += ms > START_SLOW_MS;
 	if (ms <= START_SLOW_MS) {
-		if (s->start_window < WINDOW_MOST)
+		if (s->start_window < START_WINDOW_MAX)
 			s->start_window++;
 		return;
 	}
-	if (s->now < s->start_window_cut_at + WINDOW_CUT_MS)
+	if (s->now < s->start_window_cut_at + START_WINDOW_CUT_INTERVAL_MS)
 		return;
 	s->start_window_cut_at = s->now;
 	if (s->start_window > s->starts_in_flight * START_WINDOW_UNIT)
 		s->start_window = s->starts_in_flight * START_WINDOW_UNIT;
 	s->start_window -= s->start_window / 4;
-	if (s->start_window < WINDOW_LEAST)
-		s->start_window = WINDOW_LEAST;
+	if (s->start_window < START_WINDOW_MIN)
+		s->start_window = START_WINDOW_MIN;
 }
 
-/* Put a task on a worker. */
+/* Assigns a task to a worker, as a new run. */
 static void task_place(struct sched *s, struct task *t, struct worker *w,
 		       uint64_t run)
 {
@@ -88,7 +102,7 @@
 		sched_observe(s, HISTOGRAM_FIRST_START, s->now - j->arrived);
 }
 
-/* A task is nowhere now. */
+/* Removes a task from its worker; unless done, it becomes pending again. */
 void task_unplace(struct sched *s, struct task *t)
 {
 	struct worker *w = t->worker;
@@ -108,10 +122,10 @@
 	s->place_due = true;
 }
 
-/* Set up an order to a worker. */
-static struct order *order_ask(struct sched *s, enum purpose purpose,
-			       enum ask_kind kind, struct worker *w,
-			       struct request **rq)
+/* Sends an order to a worker; the caller fills in the rest of it. */
+static struct order *order_send(struct sched *s, enum purpose purpose,
+				enum ask_kind kind, struct worker *w,
+				struct request **rq)
 {
 	struct ask *ask;
 
@@ -125,8 +139,8 @@
 	return &ask->order;
 }
 
-/* What a start's line of the log says of what held the job back. */
-static const char *hold_word(enum pending_reason hold)
+/* Returns the word for a reason in the log line of a start. */
+static const char *pending_reason_word(enum pending_reason reason)
 {
 	static const char *const words[] = {
 		[PENDING_NONE] = "none",     [PENDING_LEASES] = "leases",
@@ -135,10 +149,10 @@
 		[PENDING_STORE] = "store",   [PENDING_TICKET] = "ticket",
 	};
 
-	return words[hold];
+	return words[reason];
 }
 
-/* Start a task on a worker. */
+/* Assigns a task to a worker and sends the start order. */
 void sched_task_start(struct sched *s, struct task *t, struct worker *w,
 		      uint64_t run)
 {
@@ -154,7 +168,7 @@
 	t->start_by = worker_clock(s, w) + START_VALID_MS;
 	if (t->start_by > w->lease_end)
 		w->lease_end = t->start_by;
-	o = order_ask(s, FOR_START, ASK_START, w, &rq);
+	o = order_send(s, FOR_START, ASK_START, w, &rq);
 	memcpy(rq->job, j->id, sizeof(rq->job));
 	rq->occurrence = t->occ->number;
 	rq->task = (unsigned)(t - t->occ->tasks);
@@ -176,11 +190,11 @@
 		  "epoch=%llu",
 		  BSTR_ARG(o->task), (unsigned long long)run, BSTR_ARG(w->id),
 		  (long long)(task_ready_at(t) ? s->now - task_ready_at(t) : 0),
-		  hold_word(j->pending_reason),
+		  pending_reason_word(j->pending_reason),
 		  (unsigned long long)s->own.epoch);
 }
 
-/* A worker runs a task that an earlier owner started: keep it. */
+/* Adopts a run that an earlier owner started, or whose start had no answer. */
 void task_adopt(struct sched *s, struct task *t, struct worker *w, uint64_t run)
 {
 	task_place(s, t, w, run);
@@ -193,7 +207,7 @@
 		  (unsigned long long)run, BSTR_ARG(w->id));
 }
 
-/* Stop a task; its end comes with the worker's list. */
+/* Stops a task.  The worker's list reports its end. */
 void task_stop(struct sched *s, struct task *t)
 {
 	struct request *rq;
@@ -205,12 +219,12 @@
 	t->stop_retry_at = s->now + STOP_RETRY_MS;
 	if (!own_may_order(s))
 		return;
-	o = order_ask(s, FOR_STOP, ASK_STOP, t->worker, &rq);
+	o = order_send(s, FOR_STOP, ASK_STOP, t->worker, &rq);
 	o->task = task_name(t);
 	o->run = t->run;
 }
 
-/* Stop a run that belongs to no task here. */
+/* Stops a run that doesn't belong to the current state of any task. */
 void run_stop(struct sched *s, struct worker *w, bstr task, uint64_t run)
 {
 	struct request *rq;
@@ -218,14 +232,14 @@
 
 	if (!own_may_order(s))
 		return;
-	o = order_ask(s, FOR_STOP, ASK_STOP, w, &rq);
+	o = order_send(s, FOR_STOP, ASK_STOP, w, &rq);
 	o->task = bstr_copy(task);
 	o->run = run;
 	sched_log(s, LOG_RUN_STRAY, "task=%.*s run=%llu worker=%.*s",
 		  BSTR_ARG(task), (unsigned long long)run, BSTR_ARG(w->id));
 }
 
-/* Let a task work at a share of its speed. */
+/* Throttles a task to a percentage of its CPU share. */
 void task_pace(struct sched *s, struct task *t, unsigned percent)
 {
 	struct request *rq;
@@ -235,7 +249,7 @@
 	t->paced_at = s->now;
 	if (!own_may_order(s))
 		return;
-	o = order_ask(s, FOR_PACE, ASK_PACE, t->worker, &rq);
+	o = order_send(s, FOR_PACE, ASK_PACE, t->worker, &rq);
 	o->task = task_name(t);
 	o->run = t->run;
 	o->percent = percent;
@@ -243,8 +257,11 @@
 		  BSTR_ARG(o->task), (unsigned long long)t->run, percent);
 }
 
-/* The task that a start was for, if it is still that run. */
-static struct task *start_task(struct sched *s, const struct request *rq)
+/*
+ * Returns the task that a start order was for, or NULL if the task is no longer
+ * in that run.
+ */
+static struct task *start_find_task(struct sched *s, const struct request *rq)
 {
 	struct job *j = sched_job_find(s, rq->job);
 	struct occurrence *o;
@@ -259,7 +276,10 @@
 	return t->worker == rq->worker && t->run == rq->run ? t : NULL;
 }
 
-/* A start was turned away: it has not run and will not. */
+/*
+ * Handles a refused start.  The run has not been started and won't be, so the
+ * task is pending again.
+ */
 static void start_refused(struct sched *s, struct task *t, struct worker *w,
 			  enum refusal why)
 {
@@ -290,20 +310,20 @@
 		own_require_check(s, "fenced");
 		break;
 	case REFUSAL_CAPACITY:
-		w->unhealthy_until = s->now + ROOM_AGAIN_MS;
+		w->unhealthy_until = s->now + CAPACITY_PAUSE_MS;
 		break;
 	case REFUSAL_TICKET:
-		/* The tickets do not hold any more: ask again. */
+		/* The tickets are not valid any more; request new ones. */
 		if (t->occ->advice)
 			t->occ->advice[t->step].valid_until = 0;
 		break;
 	case REFUSAL_INVALID:
-		task_pause(t, s->now + UNWELL_MS);
+		task_pause(t, s->now + REFUSED_PAUSE_MS);
 		break;
 	case REFUSAL_OTHER_LIFE:
 	case REFUSAL_UNHEALTHY:
 	case REFUSAL_NOT_SENT:
-		w->unhealthy_until = s->now + UNWELL_MS;
+		w->unhealthy_until = s->now + REFUSED_PAUSE_MS;
 		break;
 	default:
 		break;
@@ -311,17 +331,21 @@
 }
 
 /*
- * Has the clock in an answer begun anew since the worker's last list?  It was
- * read after the question was sent; how long the answer lay in the inbox of an
- * owner short of processor says nothing.
+ * Returns true if the clock in an answer was reset since the worker's last
+ * list.  The clock was read after the request was sent.  The time of the
+ * answer's processing can't be used instead, because the answer may have waited
+ * in the inbox of an owner short of processor time.
  */
-static bool clock_is_anothers(const struct worker *w, const struct answer *a)
+static bool clock_was_reset(const struct worker *w, const struct answer *a)
 {
-	return a->clock &&
-	       a->clock + CLOCK_BACK_MS < w->clock + (a->sent_at - w->clock_at);
+	return a->clock && a->clock + CLOCK_RESET_MIN_MS <
+				   w->clock + (a->sent_at - w->clock_at);
 }
 
-/* The outcome of an order.  Stops and paces are seen in the lists. */
+/*
+ * Handles the outcome of an order.  The outcomes of stops and throttles are
+ * seen in the workers' lists.
+ */
 void order_answer(struct sched *s, struct request *rq, struct answer *a)
 {
 	struct worker *w = rq->worker;
@@ -338,13 +362,13 @@
 		own_require_check(s, "fenced");
 	if (rq->purpose != FOR_START)
 		return;
-	/* Its clock began anew: it is another life than the one known. */
-	if (clock_is_anothers(w, a))
+	/* A reset clock belongs to a later process of the worker. */
+	if (clock_was_reset(w, a))
 		worker_expect_later_life(s, w);
 	else if (a->outcome == OUT_UNKNOWN || a->refusal == REFUSAL_NOT_SENT)
 		worker_suspect_restart(s, w);
 	sched_observe(s, HISTOGRAM_START_CALL, s->now - a->sent_at);
-	t = start_task(s, rq);
+	t = start_find_task(s, rq);
 	if (!t)
 		return;
 	t->start_in_flight = false;
@@ -358,7 +382,7 @@
 		break;
 	case OUT_UNKNOWN:
 		t->connected_at = a->connected_at;
-		w->unhealthy_until = s->now + UNWELL_MS;
+		w->unhealthy_until = s->now + REFUSED_PAUSE_MS;
 		sched_log(s, LOG_TASK_UNSURE,
 			  "task=%s.%u.%u.%u run=%llu "
 			  "worker=%.*s start_by=%lld",
--- a/sched-place.c
+++ b/sched-place.c
@@ -1,132 +1,148 @@
 /*
- * Which task goes where: the order among what is ready, and the choice of a
- * worker for each.
+ * Placement of pending tasks on workers.  A placement pass collects the steps
+ * that have pending tasks, orders them, and places each of them on the feasible
+ * workers with the highest scores.
  */
 #include "sched-state.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Weights of a worker's merits; only their order matters. */
-#define MERIT_RACK 1e9	    /* it is near the step's data */
-#define MERIT_NOT_AVOID 1e8 /* the task has not failed there */
-#define MERIT_SIBLINGS 1e6  /* a tight step's other tasks are in its rack */
-#define MERIT_SPREAD 1e7    /* one task less of a lasting step on it */
 /*
- * One lasting task more on it.  With lasting tasks together, and short ones on
- * the fullest worker that has room, the other machines of a pool fall empty
- * and can be moved to the pool whose turn it is: together they were worth
- * 0.045 of a day's credit on one site and 0.014 on another.
+ * Weights of the terms of a worker's score.  Only their order of magnitude
+ * matters.
  */
-#define MERIT_LASTING 1e5
-#define MERIT_FULL 1e4 /* all of its cores are in use */
+#define SCORE_DATA_RACK 1e9	/* in the rack of the step's data */
+#define SCORE_NOT_AVOIDED 1e8	/* the task has not failed there */
+#define SCORE_RACK_SIBLINGS 1e6 /* per task of a same-rack step in its rack */
+#define SCORE_SPREAD 1e7 /* one task fewer of a long-running step there */
+/*
+ * Per long-running task on it.  Long-running tasks share workers, and short
+ * tasks go to the fullest worker with room, so that other machines of a pool
+ * become empty and can move to a pool that needs them.  Together this is worth
+ * 0.045 of a day's credit at one site and 0.014 at another.
+ */
+#define SCORE_LONG_RUNNING 1e5
+#define SCORE_CPU_USED 1e4 /* if all of its cores are used */
 
 /*
- * Looks at what waits are a millisecond apart for so many jobs, and for so many
- * workers.  At each round of events a long queue or a large fleet would take
- * all of the owner's processor, and what it writes and hears from workers would
- * wait behind them.
+ * Minimum interval between placement passes: 1 ms per this many open jobs, if
+ * there are more than PASS_JOBS_MIN, plus 1 ms per this many workers.  If every
+ * round of events triggered a pass, a long queue or a large fleet would take
+ * all of the owner's processor time, and store writes and answers of workers
+ * would be delayed.
  */
-#define JOBS_PER_MS 100
-#define WORKERS_PER_MS 500
-#define JOBS_MANY 500
+#define PASS_JOBS_PER_MS 100
+#define PASS_WORKERS_PER_MS 500
+#define PASS_JOBS_MIN 500
 
-/* A step with tasks that wait. */
+/* A step with pending tasks. */
 struct candidate {
 	struct job *job;
 	struct occurrence *occ;
 	struct pool *pool; /* whose workers may run it */
 	unsigned step;
-	struct resources need;	  /* of each of its tasks */
-	enum pending_reason held; /* what held its job back before */
-	bool advised;		  /* a start needs a ticket */
-	unsigned rank;		  /* lasting work, then priorities */
-	bool late;		  /* its objective can't be met any more */
-	int64_t due; /* when its objective ends; if late: its length */
+	struct resources need;		     /* of each of its tasks */
+	enum pending_reason previous_reason; /* of its job */
+	bool needs_tickets; /* its starts need tickets of the advice service */
+	unsigned rank;	    /* 0: long-running; else 1 + priority */
+	bool late;	    /* its objective can't be met any more */
+	int64_t due; /* end of its objective; if late, its expected length */
 };
 
-struct placing {
-	unsigned open; /* jobs that are not final */
-	struct candidate *list;
-	struct candidate **order;
+/* State of one placement pass. */
+struct place_pass {
+	unsigned open_jobs; /* jobs that are not final */
+	struct candidate *candidates;
+	struct candidate **sorted;
 	size_t count;
-	size_t room;
-	struct pool **turns; /* pools with candidates that are left */
-	size_t turn_count;
+	size_t space;
+	struct pool **pools_left; /* pools with candidates left */
+	size_t pools_left_count;
 };
 
-/* Does a step have a task that waits to be placed now? */
-static bool step_waits(struct sched *s, const struct occurrence *o, unsigned at)
+/*
+ * Returns true if a step has a task that can be placed now.  Sets
+ * has_delayed_tasks if a task of it is only delayed.
+ */
+static bool step_is_placeable(struct sched *s, const struct occurrence *o,
+			      unsigned at)
 {
 	const struct task *t = &o->tasks[o->first_task[at]];
-	struct pending_tasks *r = &o->pending_tasks[at];
-	bool waits = false;
+	struct pending_tasks *pending = &o->pending_tasks[at];
+	bool placeable = false;
 	unsigned i;
 
-	if (!r->count || !step_ready(o, at))
+	if (!pending->count || !step_ready(o, at))
 		return false;
-	if (!r->ready_at)
-		r->ready_at = s->now;
-	if (s->now >= r->retry_at_max)
+	if (!pending->ready_at)
+		pending->ready_at = s->now;
+	if (s->now >= pending->retry_at_max)
 		return true;
 	for (i = 0; i < o->job->body->steps[at].count; i++, t++) {
 		if (t->phase != PHASE_PENDING)
 			continue;
 		if (s->now >= t->not_before)
-			waits = true;
+			placeable = true;
 		else
 			s->has_delayed_tasks = true;
 	}
-	return waits;
+	return placeable;
 }
 
-/* Add a step to those that can be placed. */
-static void candidate_add(struct sched *s, struct placing *p,
+/* Adds a step to the candidates of this pass. */
+static void candidate_add(struct sched *s, struct place_pass *p,
 			  const struct route *r, struct pool *pool,
 			  struct occurrence *o, unsigned at)
 {
 	const struct job_step *st = &o->job->body->steps[at];
-	const struct job_estimate *k = &o->job->estimate;
+	const struct job_estimate *estimate = &o->job->estimate;
 	struct candidate *c;
 
 	job_estimate_update(s, o->job);
-	if (p->count == p->room) {
-		p->room = p->room ? p->room * 2 : 64;
-		p->list = xrealloc(p->list, p->room, sizeof(*p->list));
+	if (p->count == p->space) {
+		p->space = p->space ? p->space * 2 : 64;
+		p->candidates = xrealloc(p->candidates, p->space,
+					 sizeof(*p->candidates));
 	}
-	c = &p->list[p->count++];
+	c = &p->candidates[p->count++];
 	*c = (struct candidate){.job = o->job,
 				.occ = o,
 				.pool = pool,
 				.step = at,
 				.need = step_need(st),
-				.held = o->job->pending_reason};
-	c->advised = r && r->needs_ticket;
+				.previous_reason = o->job->pending_reason};
+	c->needs_tickets = r && r->needs_ticket;
 	c->rank = st->long_running ? 0 : 1 + (r ? r->priority : 0);
-	c->due = occurrence_due_at(s, o, k->longest_ms);
+	c->due = occurrence_due_at(s, o, estimate->longest_ms);
 	if (!o->job->due)
 		o->job->due = c->due;
-	c->late = !st->long_running && s->now + k->remaining_ms[at] > c->due &&
+	c->late = !st->long_running &&
+		  s->now + estimate->remaining_ms[at] > c->due &&
 		  policy_is_enabled(s, POLICY_LATE_LAST);
 	if (c->late)
-		c->due = k->longest_ms;
+		c->due = estimate->longest_ms;
 	else if (!policy_is_enabled(s, POLICY_DUE_ORDER))
 		c->due = o->job->arrived;
 }
 
-/* May tasks of a job be somewhere that is not known yet? */
-static bool job_is_hidden(struct sched *s, struct job *j)
+/*
+ * Returns true if tasks of a job may be running on workers that have not
+ * reported yet.
+ */
+static bool job_runs_unknown(struct sched *s, struct job *j)
 {
 	return j->inherited && j->start_was_durable && !s->settled &&
 	       !job_is_settled(s, j);
 }
 
 /*
- * Collect the steps of a job that wait and may fit.  In an overload most wait
- * for room: they are left out before anything is reckoned for them, so that a
- * long queue costs the owner little.
+ * Adds the steps of a job that have tasks to place and may fit on some worker.
+ * In an overload most steps have no room; they are skipped before their
+ * estimates are computed, so that a long queue costs the owner little time.
  */
-static void candidates_of(struct sched *s, struct placing *p, struct job *j)
+static void candidates_add_job(struct sched *s, struct place_pass *p,
+			       struct job *j)
 {
 	const struct route *r = job_route(s, j);
 	struct pool *pool = job_pool(s, j);
@@ -135,7 +151,7 @@
 
 	TAILQ_FOREACH(o, &j->occs, entry) {
 		for (i = 0; i < j->body->step_count; i++) {
-			if (!step_waits(s, o, i))
+			if (!step_is_placeable(s, o, i))
 				continue;
 			s->has_pending_tasks = true;
 			if (resources_fit(step_need(&j->body->steps[i]),
@@ -147,23 +163,26 @@
 	}
 }
 
-/* Collect what can be placed. */
-static void candidates_make(struct sched *s, struct placing *p)
+/* Collects the candidates of all jobs. */
+static void candidates_collect(struct sched *s, struct place_pass *p)
 {
 	struct job *j;
 
 	TAILQ_FOREACH(j, &s->order, entry) {
 		if (j->status > JOB_STATUS_RUNNING)
 			continue;
-		p->open++;
-		if (job_is_hidden(s, j))
+		p->open_jobs++;
+		if (job_runs_unknown(s, j))
 			j->pending_reason = PENDING_LEASES;
 		else
-			candidates_of(s, p, j);
+			candidates_add_job(s, p, j);
 	}
 }
 
-/* The order among what waits: pool by pool. */
+/*
+ * Orders candidates by pool, then by rank, then those that can meet their
+ * objective before those that can't, then by due time, or by length if late.
+ */
 static int candidate_cmp(const void *a, const void *b)
 {
 	const struct candidate *x = *(struct candidate *const *)a;
@@ -180,20 +199,20 @@
 	return strcmp(x->job->id, y->job->id);
 }
 
-/* Put what can be placed in its order. */
-static void candidates_sort(struct placing *p)
+/* Sorts the candidates into their placement order. */
+static void candidates_sort(struct place_pass *p)
 {
 	size_t i;
 
-	p->order = xcalloc(p->count + 1, sizeof(struct candidate *));
+	p->sorted = xcalloc(p->count + 1, sizeof(struct candidate *));
 	for (i = 0; i < p->count; i++)
-		p->order[i] = &p->list[i];
+		p->sorted[i] = &p->candidates[i];
 	if (p->count)
-		qsort(p->order, p->count, sizeof(struct candidate *),
+		qsort(p->sorted, p->count, sizeof(struct candidate *),
 		      candidate_cmp);
 }
 
-/* How many tasks of a step are on a worker? */
+/* Returns the number of tasks of a step that are on a worker. */
 unsigned step_tasks_on_worker(const struct worker *w,
 			      const struct occurrence *o, unsigned at)
 {
@@ -206,8 +225,8 @@
 	return n;
 }
 
-/* Has a worker the label that a step needs? */
-static bool label_fits(const struct worker *w, bstr label)
+/* Returns true if a worker has a label, or if the label is empty. */
+static bool worker_has_label(const struct worker *w, bstr label)
 {
 	size_t i;
 
@@ -217,8 +236,8 @@
 	return !label.bstr_len;
 }
 
-/* Lasting tasks on a worker. */
-static unsigned lasting_on(const struct worker *w)
+/* Returns the number of long-running tasks on a worker. */
+static unsigned worker_long_running(const struct worker *w)
 {
 	const struct task *t;
 	unsigned n = 0;
@@ -229,9 +248,9 @@
 	return n;
 }
 
-/* Tasks of a step in a rack. */
-static unsigned rack_siblings(const struct pool *pool, bstr rack,
-			      const struct task *t)
+/* Returns the number of tasks of a task's step that are in a rack. */
+static unsigned step_tasks_in_rack(const struct pool *pool, bstr rack,
+				   const struct task *t)
 {
 	unsigned n = 0;
 	size_t i;
@@ -243,121 +262,134 @@
 	return n;
 }
 
-/* How well a worker suits a task; below 0: not at all. */
-static double worker_merit(struct sched *s, const struct candidate *c,
+/*
+ * Returns the score of a worker for a task; the highest score wins.  A negative
+ * score means that the worker is not feasible.
+ */
+static double worker_score(struct sched *s, const struct candidate *c,
 			   const struct worker *w, const struct task *t)
 {
 	const struct job_step *st = task_step(t);
 	struct resources room = worker_free_room(w);
-	double merit, idle;
-	bool apart;
+	double score, idle;
+	bool spread;
 
 	if (!resources_fit(step_need(st), room) ||
-	    !label_fits(w, st->required_label))
+	    !worker_has_label(w, st->required_label))
 		return -1;
 	if (st->max_per_worker &&
 	    step_tasks_on_worker(w, t->occ, t->step) >= st->max_per_worker)
 		return -1;
 	if (s->now < w->suspect_until && policy_is_enabled(s, POLICY_DOUBT))
 		return -1;
-	if (c->advised && !advice_ticket(s, t->occ, t->step, w).bstr_len)
+	if (c->needs_tickets && !advice_ticket(s, t->occ, t->step, w).bstr_len)
 		return -1;
 	/*
-	 * What fills idle cores wants many of them; what serves its own users
-	 * is disturbed by the load of others beside it.
+	 * Best-effort tasks use idle cores, so they go where many are idle.
+	 * Tasks with a target latency are disturbed by other load on their
+	 * worker.
 	 */
-	apart = st->best_effort || st->target_latency_ms ||
-		(st->long_running && !policy_is_enabled(s, POLICY_TOGETHER));
+	spread = st->best_effort || st->target_latency_ms ||
+		 (st->long_running && !policy_is_enabled(s, POLICY_TOGETHER));
 	idle = (double)room.cpu / (double)(w->row.capacity.cpu + 1);
-	merit = MERIT_FULL * (apart ? idle : 1 - idle);
+	score = SCORE_CPU_USED * (spread ? idle : 1 - idle);
 	if (!policy_is_enabled(s, POLICY_FULLEST))
-		merit = MERIT_FULL * idle;
-	if (merit < 0)
-		merit = 0;
+		score = SCORE_CPU_USED * idle;
+	if (score < 0)
+		score = 0;
 	if (st->preferred_rack.bstr_len && bstr_eq(st->preferred_rack, w->rack))
-		merit += MERIT_RACK;
+		score += SCORE_DATA_RACK;
 	if (t->avoided_worker != w->serial ||
 	    !policy_is_enabled(s, POLICY_AVOID))
-		merit += MERIT_NOT_AVOID;
+		score += SCORE_NOT_AVOIDED;
 	if (st->same_rack)
-		merit += MERIT_SIBLINGS * rack_siblings(c->pool, w->rack, t);
+		score += SCORE_RACK_SIBLINGS *
+			 step_tasks_in_rack(c->pool, w->rack, t);
 	if (st->long_running)
-		merit += MERIT_LASTING * (apart ? 16 - (double)lasting_on(w)
-						: (double)lasting_on(w)) +
-			 MERIT_SPREAD * (4 - (double)step_tasks_on_worker(
+		score += SCORE_LONG_RUNNING *
+				 (spread ? 16 - (double)worker_long_running(w)
+					 : (double)worker_long_running(w)) +
+			 SCORE_SPREAD * (4 - (double)step_tasks_on_worker(
 						     w, t->occ, t->step));
-	return merit > 0 ? merit : 0;
+	return score > 0 ? score : 0;
 }
 
-/* The best worker for a task, or NULL. */
+/* Returns the feasible worker with the highest score, or NULL. */
 static struct worker *worker_choose(struct sched *s, const struct candidate *c,
 				    const struct task *t)
 {
 	const struct pool *pool = c->pool;
 	struct worker *best = NULL;
-	double top = 0, merit;
+	double best_score = 0, score;
 	size_t i;
 
 	for (i = 0; i < pool->count; i++) {
-		merit = worker_merit(s, c, pool->workers[i], t);
-		if (merit >= 0 && (!best || merit > top)) {
+		score = worker_score(s, c, pool->workers[i], t);
+		if (score >= 0 && (!best || score > best_score)) {
 			best = pool->workers[i];
-			top = merit;
+			best_score = score;
 		}
 	}
 	return best;
 }
 
-/* The number of a task's next run. */
-static uint64_t run_next(const struct sched *s, const struct task *t)
+/* Returns the number of a task's next run, within the range of this epoch. */
+static uint64_t task_next_run(const struct sched *s, const struct task *t)
 {
 	uint64_t base = (s->own.epoch - 1) * RUNS_PER_EPOCH;
 
 	return (t->highest_run > base ? t->highest_run : base) + 1;
 }
 
-/* May each worker with room for a step's task have it? */
-static bool step_is_plain(const struct candidate *c, const struct job_step *st)
+/*
+ * Returns true if any worker with enough free resources can run the step's
+ * tasks.
+ */
+static bool step_is_unconstrained(const struct candidate *c,
+				  const struct job_step *st)
 {
 	return !st->required_label.bstr_len && !st->max_per_worker &&
-	       !c->advised;
+	       !c->needs_tickets;
 }
 
-/* Reckon how well some workers of a pool suit a task. */
-static void merits_reckon(struct sched *s, const struct candidate *c,
-			  const struct task *t, double *merits, size_t from,
-			  size_t to)
+/*
+ * Computes the scores of the workers with indexes from (included) to to
+ * (excluded) of the candidate's pool.
+ */
+static void scores_compute(struct sched *s, const struct candidate *c,
+			   const struct task *t, double *scores, size_t from,
+			   size_t to)
 {
 	size_t i;
 
 	for (i = from; i < to; i++)
-		merits[i] = worker_merit(s, c, c->pool->workers[i], t);
+		scores[i] = worker_score(s, c, c->pool->workers[i], t);
 }
 
-/* The place of the best of them; as many as there are: none suits. */
-static size_t merits_best(const double *merits, size_t count)
+/* Returns the index of the highest score, or count if no worker is feasible. */
+static size_t scores_best(const double *scores, size_t count)
 {
 	size_t i, best = count;
 
 	for (i = 0; i < count; i++)
-		if (merits[i] >= 0 &&
-		    (best == count || merits[i] > merits[best]))
+		if (scores[i] >= 0 &&
+		    (best == count || scores[i] > scores[best]))
 			best = i;
 	return best;
 }
 
 /*
- * Place the tasks of a step, one by one.  They are alike, so what a worker's
- * merits are changes only where one of them is placed; but for a task that is
- * to avoid a worker, and a step whose tasks draw each other into a rack.
+ * Places the tasks of a step one by one.  The tasks are equal, so only the
+ * score of the worker that got the last task has to be computed again.
+ * Exceptions are tasks that avoid a worker, and steps whose tasks share a rack.
  */
 static void step_place(struct sched *s, const struct candidate *c)
 {
 	const struct job_step *st = &c->job->body->steps[c->step];
 	struct task *t = &c->occ->tasks[c->occ->first_task[c->step]];
 	size_t chosen = 0, count = c->pool->count;
-	double *merits = xcalloc(count + 1, sizeof(*merits));
-	bool stale = true; /* all merits, not only those of the last choice */
+	double *scores = xcalloc(count + 1, sizeof(*scores));
+	bool stale = true; /* all scores, not only that of the last choice */
 	enum pending_reason limit;
 	unsigned i;
 
@@ -372,26 +404,26 @@
 			break;
 		}
 		if (stale || st->same_rack || t->avoided_worker)
-			merits_reckon(s, c, t, merits, 0, count);
+			scores_compute(s, c, t, scores, 0, count);
 		else
-			merits_reckon(s, c, t, merits, chosen, chosen + 1);
+			scores_compute(s, c, t, scores, chosen, chosen + 1);
 		stale = t->avoided_worker;
-		chosen = merits_best(merits, count);
+		chosen = scores_best(scores, count);
 		if (chosen == count) {
 			c->job->pending_reason = PENDING_CONSTRAINTS;
-			if (step_is_plain(c, st))
+			if (step_is_unconstrained(c, st))
 				pool_note_full(c->pool, step_need(st));
 			break;
 		}
 		sched_task_start(s, t, c->pool->workers[chosen],
-				 run_next(s, t));
+				 task_next_run(s, t));
 	}
-	free(merits);
+	free(scores);
 }
 
-/* Undo what was reserved for the first n tasks of a gang. */
-static void gang_undo(struct sched *s, struct task *t, struct worker **chosen,
-		      unsigned n)
+/* Releases the resources reserved for the first n tasks of a gang. */
+static void gang_unreserve(struct sched *s, struct task *t,
+			   struct worker **chosen, unsigned n)
 {
 	const struct job_step *st = task_step(t);
 	struct usage *u = job_usage(s, t->occ->job);
@@ -404,8 +436,8 @@
 }
 
 /*
- * Place a gang: all of its tasks at once, or none.  Each choice is reserved
- * while the next is made, so that the whole fits.
+ * Places all tasks of a gang, or none.  The resources of each choice are
+ * reserved while the next one is made, so that all tasks fit together.
  */
 static void gang_place(struct sched *s, const struct candidate *c)
 {
@@ -427,12 +459,12 @@
 			break;
 		chosen[i]->used = resources_add(chosen[i]->used, st->need);
 		u->used = resources_add(u->used, st->need);
-		if (run_next(s, &first[i]) > run)
-			run = run_next(s, &first[i]);
+		if (task_next_run(s, &first[i]) > run)
+			run = task_next_run(s, &first[i]);
 		if (!checkpoint.bstr_len)
 			checkpoint = first[i].checkpoint;
 	}
-	gang_undo(s, first, chosen, i);
+	gang_unreserve(s, first, chosen, i);
 	if (i == st->count) {
 		checkpoint = bstr_copy(checkpoint);
 		for (i = 0; i < st->count; i++) {
@@ -445,13 +477,14 @@
 }
 
 /*
- * Have the store know that a job begins, if there is room for it beside those
- * that wait for the same.  In an overload all that waits would begin: the
- * writes of thousands of jobs stand before those of the few that have room,
- * and a successor has to take them all for running somewhere.
+ * Has the start of a job recorded in the store, if there is room for it besides
+ * the jobs that wait for the same.  Without this check all waiting jobs would
+ * start in an overload: the writes of the few jobs that have room would queue
+ * behind those of thousands of others, and a successor would have to assume
+ * that all of them are running somewhere.
  */
-static enum pending_reason candidate_begin(struct sched *s,
-					   const struct candidate *c)
+static enum pending_reason candidate_begin_job(struct sched *s,
+					       const struct candidate *c)
 {
 	const struct job_step *st = &c->job->body->steps[c->step];
 	struct resources need = step_need(st);
@@ -465,9 +498,12 @@
 	return job_begin(s, c->job) ? PENDING_NONE : PENDING_STORE;
 }
 
-/* What holds a step that may have room back, all of its tasks. */
-static enum pending_reason candidate_hold(struct sched *s,
-					  const struct candidate *c)
+/*
+ * Returns why no task of a step that may have room can be placed, or
+ * PENDING_NONE.
+ */
+static enum pending_reason candidate_blocked_by(struct sched *s,
+						const struct candidate *c)
 {
 	const struct job_step *st = &c->job->body->steps[c->step];
 	enum pending_reason limit;
@@ -476,32 +512,37 @@
 	if (limit)
 		return limit;
 	if (!c->job->start_durable)
-		return candidate_begin(s, c);
-	if (c->advised &&
+		return candidate_begin_job(s, c);
+	if (c->needs_tickets &&
 	    !advice_ready(s, c->occ, c->step, c->pool->workers, c->pool->count))
 		return PENDING_TICKET;
 	return PENDING_NONE;
 }
 
 /*
- * Place a step, as far as there is room for it.  Of one that has none nothing
- * but its need is looked at: in an overload these are nearly all.
+ * Places a step as far as there is room for it.  For steps without room only
+ * their resource needs are checked, as in an overload nearly all steps are
+ * such.
  */
 static void candidate_place(struct sched *s, const struct candidate *c)
 {
-	enum pending_reason hold;
+	enum pending_reason reason;
 
 	if (!resources_fit(c->need, c->pool->max_room) ||
 	    pool_is_known_full(c->pool, c->need)) {
-		if (c->held != PENDING_CAPACITY)
+		if (c->previous_reason != PENDING_CAPACITY)
 			c->job->pending_reason = PENDING_CAPACITY;
 		return;
 	}
-	hold = candidate_hold(s, c);
-	if (hold) {
-		/* It has just found room: it waited for something else. */
-		if (hold != PENDING_STORE || !c->job->pending_reason)
-			c->job->pending_reason = hold;
+	reason = candidate_blocked_by(s, c);
+	if (reason) {
+		/*
+		 * PENDING_STORE does not replace another reason: the job has
+		 * only just found room, so the other reason is what it waited
+		 * for.
+		 */
+		if (reason != PENDING_STORE || !c->job->pending_reason)
+			c->job->pending_reason = reason;
 		return;
 	}
 	if (c->job->body->steps[c->step].gang)
@@ -512,90 +553,98 @@
 }
 
 /*
- * Give each pool its part of the sorted candidates, and find the pools that
- * have any.
+ * Assigns the sorted candidates to their pools, and lists the pools that have
+ * any.
  */
-static void turns_make(struct sched *s, struct placing *p)
+static void pools_assign_candidates(struct sched *s, struct place_pass *p)
 {
 	struct pool *pool;
 	size_t i;
 
-	p->turns = xcalloc(HASH_COUNT(s->pools) + 1, sizeof(struct pool *));
+	p->pools_left = xcalloc(HASH_COUNT(s->pools) + 1,
+				sizeof(struct pool *));
 	for (pool = s->pools; pool; pool = pool->hh.next)
 		pool->waiting = pool->waiting_end = NULL;
 	for (i = 0; i < p->count; i++) {
-		pool = p->order[i]->pool;
+		pool = p->sorted[i]->pool;
 		if (!pool->waiting)
-			pool->waiting = &p->order[i];
-		pool->waiting_end = &p->order[i + 1];
+			pool->waiting = &p->sorted[i];
+		pool->waiting_end = &p->sorted[i + 1];
 	}
 	for (pool = s->pools; pool; pool = pool->hh.next)
 		if (pool->waiting)
-			p->turns[p->turn_count++] = pool;
+			p->pools_left[p->pools_left_count++] = pool;
 }
 
-/* The place of the first pool whose turn has not been in this round. */
-static size_t turn_first(const struct sched *s, const struct placing *p)
+/*
+ * Returns the index of the first pool that has not had its turn in the current
+ * round-robin round.
+ */
+static size_t pool_next_index(const struct sched *s, const struct place_pass *p)
 {
 	size_t i;
 
-	for (i = 0; i < p->turn_count; i++)
-		if (p->turns[i]->order_index > s->last_pool_index)
+	for (i = 0; i < p->pools_left_count; i++)
+		if (p->pools_left[i]->order_index > s->last_pool_index)
 			return i;
 	return 0;
 }
 
 /*
- * Place the candidates, one of each pool in turn, and go on there in the next
- * look.  The window of starts is one for all pools: in one order of all
- * candidates those of a pool with much to do would take it whole, look for
- * look, and other pools would stand empty beside their work.
+ * Places candidates of the pools in round-robin order, continuing in the next
+ * pass where this one ended.  All pools share the limit of starts in flight.
+ * If all candidates were in one order, a pool with much work would use up this
+ * limit in every pass, and other pools would stay idle in spite of their work.
  */
-static void candidates_place(struct sched *s, struct placing *p)
+static void candidates_place(struct sched *s, struct place_pass *p)
 {
-	size_t i = turn_first(s, p);
+	size_t i = pool_next_index(s, p);
 	struct pool *pool;
 
-	while (p->turn_count && !start_window_is_full(s)) {
-		pool = p->turns[i];
+	while (p->pools_left_count && !start_window_is_full(s)) {
+		pool = p->pools_left[i];
 		s->last_pool_index = pool->order_index;
 		candidate_place(s, *pool->waiting++);
 		if (pool->waiting < pool->waiting_end)
 			i++;
 		else
-			memmove(&p->turns[i], &p->turns[i + 1],
-				(--p->turn_count - i) * sizeof(struct pool *));
-		if (i >= p->turn_count)
+			memmove(&p->pools_left[i], &p->pools_left[i + 1],
+				(--p->pools_left_count - i) *
+					sizeof(struct pool *));
+		if (i >= p->pools_left_count)
 			i = 0;
 	}
 }
 
-/* Place what can be placed. */
+/* Runs a placement pass over all jobs. */
 void place_all(struct sched *s)
 {
-	struct placing p = {0};
+	struct place_pass p = {0};
 
-	/* What can't be placed now is looked at again when it can. */
+	/* place_due stays set, so the pass runs when starts are possible. */
 	if (!own_may_start(s) || start_window_is_full(s))
 		return;
 	s->place_due = s->has_delayed_tasks = s->has_pending_tasks = false;
 	s->load.place_passes++;
 	pools_refresh(s);
-	candidates_make(s, &p);
-	s->place_at = s->now + HASH_COUNT(s->workers) / WORKERS_PER_MS;
-	if (p.open > JOBS_MANY)
-		s->place_at += p.open / JOBS_PER_MS;
+	candidates_collect(s, &p);
+	s->place_at = s->now + HASH_COUNT(s->workers) / PASS_WORKERS_PER_MS;
+	if (p.open_jobs > PASS_JOBS_MIN)
+		s->place_at += p.open_jobs / PASS_JOBS_PER_MS;
 	/*
-	 * What waits may wait for a pause to end, or for a worker to be well
-	 * again, which no event tells: it is looked at again with the clock.
+	 * Delays of tasks and suspensions of workers end without an event, so
+	 * pending tasks are considered again at the next tick.
 	 */
 	s->has_pending_tasks = s->has_pending_tasks || s->has_delayed_tasks;
 	candidates_sort(&p);
-	turns_make(s, &p);
+	pools_assign_candidates(s, &p);
 	candidates_place(s, &p);
-	/* The answers that make room for more come by themselves. */
+	/*
+	 * If the window is full, the next pass continues when answers have made
+	 * room.
+	 */
 	s->place_due = s->place_due || start_window_is_full(s);
-	free(p.turns);
-	free(p.order);
-	free(p.list);
+	free(p.pools_left);
+	free(p.sorted);
+	free(p.candidates);
 }
