--- a/sched-own.c
+++ b/sched-own.c
@@ -1,9 +1,9 @@
 /*
- * Who owns the scheduling.  A row of the store holds the owner and its epoch
- * and changes only under the condition of its revision; another holds the
- * owner's beat.  Every transaction of the owner demands that the first is
- * unchanged, and workers refuse orders of a lower epoch, so an owner that was
- * replaced without knowing can harm nothing.
+ * Ownership of the scheduling.  A row of the store names the owner and its
+ * epoch, and is written only if its revision is the expected one; another row
+ * holds the owner's heartbeat.  Every transaction of the owner requires that
+ * the first row is unchanged, and workers refuse orders of a lower epoch, so an
+ * owner that was replaced without knowing can do no harm.
  */
 #include "sched-state.h"
 #include "json-read.h"
@@ -12,34 +12,41 @@
 #include <string.h>
 
 #define KEY_EPOCH "epoch"
-#define KEY_BEAT "beat"
+#define KEY_HEARTBEAT "beat"
 #define KEY_WORKERS "workers"
-#define KEY_HOMES "homes"
-/* An order about a machine takes no longer to arrive, but by a fault. */
-#define OWN_ALONE_MARGIN_MS 300
-/* Claims of several VMs are spread over so long; the first one wins. */
-#define CLAIM_SPREAD_MS 150
+#define KEY_HOME_SIZES "homes"
 /*
- * A VM of less than so many cores lets larger ones claim first, for so long.
- * Placing for 350 workers in a queue's turn takes a quarter of a core; an
- * owner with half of that falls behind, and what it lists as waiting is late
- * or lost.  Costs this much of silence where only small VMs are left.
+ * Upper bound of the transit time of an order about a machine, except in a
+ * fault.
  */
-#define CLAIM_CORES 0.2
-#define CLAIM_SMALL_MS 300
+#define EXCLUSIVE_MARGIN_MS 300
+/* Claims of several VMs are spread over this time; the first one wins. */
+#define CLAIM_JITTER_MS 150
+/*
+ * A VM with fewer cores than CLAIM_CORES_MIN leaves larger ones this much time
+ * to claim first.  Placing tasks on 350 workers while a queue drains takes a
+ * quarter of a core; an owner with half of that falls behind, and its counts of
+ * waiting jobs are late or missing.  Where only small VMs are left, a takeover
+ * takes this much longer.
+ */
+#define CLAIM_CORES_MIN 0.2
+#define CLAIM_DEFERRAL_MS 300
 
 /*
- * An owner that can beat, but has got no page of what it needs for so long,
- * lets another VM try: the store may serve that one.  A page is asked for
- * three times in that.
+ * An owner whose heartbeats succeed, but which has not received a page of the
+ * tables for this time, lets another VM try, as the store may serve that one.
+ * A page is requested three times in this period.
+ */
+#define LOAD_STALL_MS 2500
+/*
+ * Each such timeout delays its next claim by another CLAIM_DEFERRAL_MS, up to
+ * this many times.
  */
-#define LOAD_SILENT_MS 2500
-/* Each such time it claims later, CLAIM_SMALL_MS each, up to so many. */
-#define UNREAD_MAX 8
+#define LOAD_TIMEOUTS_MAX 8
 
 /*
- * May this VM start tasks now?  An owner that has not proved its ownership
- * for a while starts nothing whose lease it could not renew.
+ * Returns true if this VM may start tasks now.  An owner that has not confirmed
+ * its ownership for a while starts nothing whose lease it could not renew.
  */
 bool own_may_start(const struct sched *s)
 {
@@ -48,38 +55,40 @@
 }
 
 /*
- * Is this VM surely the only owner?  A successor claims when it has missed
- * beats for OWNER_TIMEOUT_MS.  Workers refuse an owner that was replaced, but
- * nobody may check that for machines, so none is moved or taken down by an
- * owner whose latest proof is nearly as old.
+ * Returns true if this VM is certainly the only owner.  A successor claims
+ * after OWNER_TIMEOUT_MS without a heartbeat.  Workers refuse orders of a
+ * replaced owner, but the platform need not check the epoch of orders about
+ * machines.  So an owner whose latest confirmation is nearly that old moves no
+ * machine and takes none down.
  */
 bool own_is_exclusive(const struct sched *s)
 {
 	return own_may_order(s) &&
 	       s->now - s->own.confirmed_at <
-		       OWNER_TIMEOUT_MS - OWN_ALONE_MARGIN_MS;
+		       OWNER_TIMEOUT_MS - EXCLUSIVE_MARGIN_MS;
 }
 
 /*
- * Until when may an order about a machine be under way?  It was decided by an
- * owner that was alone, and may be sent much later by one that gets no
- * processor: after this another VM may own and have called for the machine.
- * The client sends nothing after the deadline.
+ * Returns the earlier of a deadline and the time until which an order about a
+ * machine may be in flight.  An owner that was the only one when it decided may
+ * send the order much later, if it gets no processor time.  By then another VM
+ * may be the owner and have given an order about the machine.  The client sends
+ * nothing after the deadline.
  */
 int64_t own_exclusive_until(const struct sched *s, int64_t deadline)
 {
-	int64_t most = s->own.confirmed_at + OWNER_TIMEOUT_MS;
+	int64_t limit = s->own.confirmed_at + OWNER_TIMEOUT_MS;
 
-	return deadline < most ? deadline : most;
+	return deadline < limit ? deadline : limit;
 }
 
-/* May this VM give orders now? */
+/* Returns true if this VM may send orders now. */
 bool own_may_order(const struct sched *s)
 {
 	return s->own.state == OWN_OWNER && !s->own.check_required;
 }
 
-/* Is this process the holder that the row names? */
+/* Returns true if the owner row names this process. */
 static bool own_is_self(const struct sched *s)
 {
 	return s->own.holder.bstr_len &&
@@ -87,8 +96,11 @@
 	       s->own.holder_seed == s->options.seed;
 }
 
-/* Forget the pools' sizes: another owner may be the first to note them. */
-static void homes_forget(struct sched *s)
+/*
+ * Discards the initial sizes of the pools, as another owner may be the first to
+ * record them.
+ */
+static void home_sizes_reset(struct sched *s)
 {
 	json_decref(s->home_sizes);
 	s->home_sizes = NULL;
@@ -96,8 +108,8 @@
 		false;
 }
 
-/* Forget all that only the owner knows. */
-static void own_forget(struct sched *s)
+/* Discards all state that only an owner has. */
+static void own_reset_state(struct sched *s)
 {
 	struct retired *r;
 	struct job *j;
@@ -109,7 +121,7 @@
 	sched_workers_free(s);
 	waves_reset_owner_state(s);
 	usage_free(s);
-	homes_forget(s);
+	home_sizes_reset(s);
 	backlogs_free(s);
 	s->dirty_seq = 0;
 	s->commit_in_flight = false;
@@ -124,7 +136,7 @@
 	s->follows[3].current_as_of = 0;
 }
 
-/* This VM is not the owner any more. */
+/* Ends this VM's ownership. */
 void own_lose(struct sched *s, const char *why)
 {
 	if (s->own.state == OWN_NONE)
@@ -138,10 +150,10 @@
 	s->own.answers_without_beat = 0;
 	/* The row that named this process is not the newest any more. */
 	s->own.holder_seed = 0;
-	own_forget(s);
+	own_reset_state(s);
 }
 
-/* Give no order until the store has confirmed the ownership. */
+/* Suspends all orders until the store has confirmed the ownership. */
 void own_require_check(struct sched *s, const char *why)
 {
 	s->own.silent_since = s->now;
@@ -155,25 +167,25 @@
 }
 
 /*
- * A sign of life of the owner, new here.  The same row read once more, when
- * the feed's history is gone, is none: read again and again it would keep
- * everybody from following an owner that is dead.
+ * Records a new sign of life of the owner.  A row that is only read once more,
+ * because the feed's history was discarded, is none: it would be read again and
+ * again, and nobody would replace an owner that is dead.
  */
-static void own_heard(struct sched *s)
+static void own_record_sign(struct sched *s)
 {
 	s->own.silent_since = s->own.last_sign_at = s->now;
 	s->own.answers_without_beat = 0;
 }
 
-/* The row of the owner: it may name another, or nobody. */
-static void epoch_row_take(struct sched *s, struct row *r)
+/* Applies the owner row, which may name another VM or none. */
+static void owner_row_apply(struct sched *s, struct row *r)
 {
 	uint64_t epoch = s->own.epoch;
 
 	if (r->revision < s->own.revision || !owner_row_read(r->value, &s->own))
 		return;
 	if (r->revision > s->own.revision || !s->own.known)
-		own_heard(s);
+		own_record_sign(s);
 	s->own.revision = r->revision;
 	s->own.known = true;
 	if (s->own.epoch != epoch || !s->own.holder.bstr_len)
@@ -189,7 +201,7 @@
 		own_lose(s, "replaced");
 }
 
-/* A row of the ownership's table. */
+/* Applies a row of the owner table. */
 void own_row_apply(struct sched *s, struct row *r)
 {
 	uint64_t epoch;
@@ -197,22 +209,23 @@
 	if (r->removed || r->kind == ROW_BAD)
 		return;
 	if (bstr_eq_str(r->key, KEY_EPOCH)) {
-		epoch_row_take(s, r);
+		owner_row_apply(s, r);
 		return;
 	}
-	if (!bstr_eq_str(r->key, KEY_BEAT))
+	if (!bstr_eq_str(r->key, KEY_HEARTBEAT))
 		return;
 	if (s->own.state != OWN_OWNER &&
 	    heartbeat_row_read(s, r->value, &epoch) &&
 	    r->revision > s->own.heartbeat_revision)
-		own_heard(s);
+		own_record_sign(s);
 	if (r->revision > s->own.heartbeat_revision)
 		s->own.heartbeat_revision = r->revision;
 }
 
 /*
- * What the owners before wrote for their successor.  It is long, and would be
- * sent to every VM with each change if it stood beside the beat.
+ * Applies a row of the notes table, which earlier owners wrote for a successor.
+ * The notes are long.  In the owner table each change of them would be sent to
+ * every VM.
  */
 void note_row_apply(struct sched *s, struct row *r)
 {
@@ -222,7 +235,7 @@
 		workers_row_read(s, r->value);
 		return;
 	}
-	if (!bstr_eq_str(r->key, KEY_HOMES)) {
+	if (!bstr_eq_str(r->key, KEY_HOME_SIZES)) {
 		wave_status_apply(s, r);
 		return;
 	}
@@ -232,7 +245,10 @@
 	}
 }
 
-/* The store has answered about the ownership: silence counts from here. */
+/*
+ * Counts an answer about the ownership towards the owner's timeout, if the
+ * owner has been silent for longer than the feed of its table waits.
+ */
 void own_reset_silence(struct sched *s)
 {
 	if (s->now - s->own.silent_since >= OWNER_FEED_WAIT_MS)
@@ -240,8 +256,8 @@
 }
 
 /*
- * The store serves this VM again.  The owner could not beat either, perhaps:
- * its silence counts from here.
+ * Restarts the owner's timeout when the store serves this VM again.  The owner
+ * may have been unable to write heartbeats as well.
  */
 void own_store_recovered(struct sched *s)
 {
@@ -251,10 +267,10 @@
 }
 
 /*
- * This VM has its first configuration and may claim from now on.  Silence
- * counts from here: when the configuration comes late, all VMs would claim at
- * once otherwise, and a small one would own that can't place as fast as work
- * comes.
+ * Restarts the owner's timeout when this VM has received its first
+ * configuration, without which it doesn't claim.  If the configuration came
+ * late, all VMs would claim at once otherwise, and a small VM that can't place
+ * tasks as fast as jobs arrive could become the owner.
  */
 void own_enable_claim(struct sched *s)
 {
@@ -262,58 +278,65 @@
 	s->own.answers_without_beat = 0;
 }
 
-/* Does this VM leave it to larger ones to claim first? */
+/* Returns true if this VM lets larger ones claim first. */
 bool own_defers_claim(const struct sched *s)
 {
-	return s->options.cpu_share < CLAIM_CORES;
+	return s->options.cpu_share < CLAIM_CORES_MIN;
 }
 
-/* How long a small VM leaves to larger ones. */
-static int64_t claim_small(const struct sched *s)
+/* Returns how long this VM lets larger ones claim first. */
+static int64_t claim_deferral(const struct sched *s)
 {
-	return own_defers_claim(s) ? CLAIM_SMALL_MS : 0;
+	return own_defers_claim(s) ? CLAIM_DEFERRAL_MS : 0;
 }
 
-/* How long after others this VM claims. */
+/*
+ * Returns how long this VM waits before it claims, to avoid simultaneous
+ * claims.
+ */
 static int64_t claim_delay(const struct sched *s)
 {
-	int64_t delay = (int64_t)(s->options.seed % CLAIM_SPREAD_MS);
+	int64_t delay = (int64_t)(s->options.seed % CLAIM_JITTER_MS);
 
 	if (!s->own.holder.bstr_len)
-		delay /= 4; /* given up by plan: nobody has to be sure */
-	/* Those that could not read what they needed come last, in turns. */
-	return delay + claim_small(s) + s->own.load_timeouts * CLAIM_SMALL_MS;
+		delay /= 4; /* planned release: the owner is surely gone */
+	/* VMs that could not read the tables come last, one after another. */
+	return delay + claim_deferral(s) +
+	       s->own.load_timeouts * CLAIM_DEFERRAL_MS;
 }
 
 /*
- * Is the owner gone?  Silence counts only while the store answers: without
- * the store nobody can beat and nobody can take over, and a takeover just
- * after its return would throw away what the owner runs.
+ * Returns true if the owner is gone and this VM should claim.  Silence counts
+ * only while the store answers.  Without the store no owner can write
+ * heartbeats and no VM can take over, and a takeover right after the store's
+ * return would discard the owner's running work.
  */
 static bool owner_is_gone(const struct sched *s)
 {
-	int64_t spread = claim_delay(s);
+	int64_t delay = claim_delay(s);
 
 	/*
-	 * Without a configuration no limit would hold and a task's first
-	 * failure would be its last.  Others claim, or this VM once it has it.
+	 * Without a configuration no upper limit would be enforced, and a
+	 * task's first failure would be final.  Other VMs claim, or this one
+	 * after it has received the configuration.
 	 */
 	if (!s->own.known || !s->config || !sched_store_is_up(s) || s->stop_by)
 		return false;
 	if (!s->own.holder.bstr_len)
-		return s->now - s->own.silent_since >= spread;
-	/* An earlier life of this VM owned it, and is over. */
+		return s->now - s->own.silent_since >= delay;
+	/* The owner is an earlier process of this VM, which has ended. */
 	if (bstr_eq(s->own.holder, s->options.vm) && s->own.holder_seed &&
 	    s->own.holder_seed != s->options.seed && !own_defers_claim(s))
 		return true;
-	return s->now - s->own.silent_since >= OWNER_TIMEOUT_MS + spread &&
+	return s->now - s->own.silent_since >= OWNER_TIMEOUT_MS + delay &&
 	       s->own.answers_without_beat >= 2;
 }
 
 /*
- * Try to become the owner, if the one before has not beaten since the beat
- * that was seen last: its leases are reckoned from that one, and a claim may
- * be carried out seconds later, when it is at work again.
+ * Tries to become the owner, on condition that the current owner has written no
+ * heartbeat since the latest one seen.  The end of its leases is computed from
+ * that heartbeat, and a claim may be carried out seconds later, when the owner
+ * is active again.
  */
 static void own_claim(struct sched *s)
 {
@@ -331,22 +354,23 @@
 		  (unsigned long long)s->own.revision);
 	t = sched_tx(s, FOR_CLAIM, s->now + STORE_TIMEOUT_MS, &rq);
 	tx_expect(t, TABLE_OWNER, key, s->own.revision);
-	tx_expect(t, TABLE_OWNER, bstr_lit(KEY_BEAT),
+	tx_expect(t, TABLE_OWNER, bstr_lit(KEY_HEARTBEAT),
 		  s->own.heartbeat_revision);
 	tx_write(t, TABLE_OWNER, key, owner_row_write(&next, false));
 	rq->number = next.epoch;
 	s->own.claimed_at = s->now;
 	s->own.previous_sign_at = s->own.last_sign_at;
 	/*
-	 * One that gave up before it was settled had found no trace of leases
-	 * that an owner before it may go on renewing out of our reach: they
-	 * count as if nobody had given up, or their tasks would run twice.
+	 * An owner that released before it was settled had not heard of leases
+	 * that an owner before it may go on renewing, out of reach of this VM.
+	 * Such a release counts as none; otherwise the tasks with those leases
+	 * would run twice.
 	 */
 	s->own.previous_released = !s->own.holder.bstr_len && s->own.settled;
 	s->own.state = OWN_CLAIMING;
 }
 
-/* This VM is the owner: read what there is to do. */
+/* Becomes the owner, and starts to read the tables. */
 static void own_gain(struct sched *s, uint64_t epoch, uint64_t revision)
 {
 	s->own.state = OWN_LOADING;
@@ -363,10 +387,10 @@
 	s->own.heartbeat_at = s->now;
 	s->own.heartbeat_in_flight = false;
 	s->own.check_required = false;
-	own_forget(s);
+	own_reset_state(s);
 	s->follows[2].wanted = s->follows[3].wanted = true;
 	s->notes.wanted = true;
-	/* What the old owner wrote last may not have come by the feed yet. */
+	/* The feed may not have brought the old owner's latest writes yet. */
 	follow_restart(&s->follows[1]);
 	follow_tick(s);
 	sched_count(s, COUNT_TAKEOVERS, 1);
@@ -374,12 +398,15 @@
 		  (unsigned long long)epoch, (unsigned long long)revision);
 }
 
-/* A table was read whole; with all of them the owner begins to work. */
+/*
+ * Handles the complete reading of a table.  After the last one the owner starts
+ * work.
+ */
 void own_table_loaded(struct sched *s)
 {
 	if (s->own.state != OWN_LOADING)
 		return;
-	/* Progress is of jobs that are in the book: read after the jobs. */
+	/* Rows of progress refer to jobs, so they are read after these. */
 	s->progress.wanted = s->follows[3].complete;
 	if (!s->follows[1].complete || !s->follows[2].complete ||
 	    !s->follows[3].complete || !s->progress.complete ||
@@ -395,15 +422,15 @@
 		  (unsigned long long)s->own.epoch, HASH_COUNT(s->jobs),
 		  HASH_COUNT(s->workers),
 		  (long long)(s->now - s->own.owned_at));
-	/* Every task has to be in the book before the first list comes in. */
+	/* All tasks must be known before a worker's first list arrives. */
 	job_tick(s);
 	worker_tick(s);
 }
 
-/* The outcome of a claim; the feed tells if it was another's luck. */
+/* Handles the outcome of a claim. */
 static void claim_answer(struct sched *s, struct request *rq, struct answer *a)
 {
-	/* The feed was quicker: the claim had been carried out. */
+	/* The feed has already shown that the claim was carried out. */
 	if (s->own.state != OWN_CLAIMING)
 		return;
 	if (a->outcome == OUT_DONE) {
@@ -411,18 +438,20 @@
 		return;
 	}
 	/*
-	 * The rows come with a conflict; without an answer the next reading
-	 * of the feed tells, and names this process if the claim was done.
+	 * If another VM won, the feed shows it.  If there was no answer, the
+	 * next reading of the feed names this process if the claim was carried
+	 * out.
 	 */
 	s->own.state = OWN_NONE;
 	s->own.silent_since = s->now;
 	s->own.answers_without_beat = 0;
 }
 
-/* The outcome of a beat. */
-static void beat_answer(struct sched *s, struct request *rq, struct answer *a)
+/* Handles the outcome of a heartbeat. */
+static void heartbeat_answer(struct sched *s, struct request *rq,
+			     struct answer *a)
 {
-	/* One of an earlier ownership proves nothing, nor disproves. */
+	/* A heartbeat of an earlier ownership proves nothing about this one. */
 	if (rq->number != s->own.epoch)
 		return;
 	s->own.heartbeat_in_flight = false;
@@ -442,11 +471,13 @@
 		break;
 	case OUT_CONFLICT:
 		/*
-		 * By what this beat had demanded: the feed may have told of
-		 * the earlier one that was carried out meanwhile.
+		 * Compare with the revision that this heartbeat expected: the
+		 * feed may have brought the earlier heartbeat, which was
+		 * carried out meanwhile.
 		 */
 		s->own.heartbeat_revision = rq->revision;
-		if (!tx_row_was_rewritten(s, a, TABLE_OWNER, bstr_lit(KEY_BEAT),
+		if (!tx_row_was_rewritten(s, a, TABLE_OWNER,
+					  bstr_lit(KEY_HEARTBEAT),
 					  &s->own.heartbeat_revision)) {
 			own_lose(s, "replaced");
 			break;
@@ -463,7 +494,7 @@
 	}
 }
 
-/* An answer about the ownership. */
+/* Handles an answer about the ownership. */
 void own_answer(struct sched *s, struct request *rq, struct answer *a)
 {
 	switch (rq->purpose) {
@@ -471,20 +502,20 @@
 		claim_answer(s, rq, a);
 		break;
 	case FOR_HEARTBEAT:
-		beat_answer(s, rq, a);
+		heartbeat_answer(s, rq, a);
 		break;
-	default: /* a release: whatever came of it, this VM is done */
+	default: /* a release: this VM is no owner, whatever the outcome */
 		break;
 	}
 }
 
 /*
- * Write the beat, if no other was written since the last one known: one
- * without an answer, carried out seconds later, would set back which workers
- * are noted, for good, and the tasks of one noted since would run twice after
- * a takeover.
+ * Writes a heartbeat, on condition that none was written since the latest one
+ * known.  Otherwise an unanswered heartbeat, carried out seconds later, would
+ * permanently replace the note of workers with leases by an older one, and
+ * after a takeover the tasks of a worker noted since would run twice.
  */
-static void own_beat(struct sched *s)
+static void own_write_heartbeat(struct sched *s)
 {
 	struct request *rq;
 	struct tx *t;
@@ -494,13 +525,14 @@
 	rq->number = s->own.epoch;
 	rq->revision = s->own.heartbeat_revision;
 	tx_expect(t, TABLE_OWNER, bstr_lit(KEY_EPOCH), s->own.revision);
-	tx_expect(t, TABLE_OWNER, bstr_lit(KEY_BEAT), rq->revision);
-	tx_write(t, TABLE_OWNER, bstr_lit(KEY_BEAT), heartbeat_row_write(s));
+	tx_expect(t, TABLE_OWNER, bstr_lit(KEY_HEARTBEAT), rq->revision);
+	tx_write(t, TABLE_OWNER, bstr_lit(KEY_HEARTBEAT),
+		 heartbeat_row_write(s));
 	if (workers_note_is_due(s))
 		tx_write(t, TABLE_NOTES, bstr_lit(KEY_WORKERS),
 			 workers_row_write(s));
 	if (s->home_sizes_dirty)
-		tx_write(t, TABLE_NOTES, bstr_lit(KEY_HOMES),
+		tx_write(t, TABLE_NOTES, bstr_lit(KEY_HOME_SIZES),
 			 json_write(json_incref(s->home_sizes)));
 	s->home_sizes_in_flight = s->home_sizes_dirty;
 	s->home_sizes_dirty = false;
@@ -516,41 +548,43 @@
 }
 
 /*
- * May an owner that still loads beat?  The old owner's beat has to be read: a
- * beat before that would write over its ceilings, and the limits be broken.
+ * Returns true if an owner that is still loading may write heartbeats.  It has
+ * to read the old owner's heartbeat first; otherwise it would overwrite the
+ * ceilings in it, and upper limits could be exceeded.
  */
-static bool own_beat_loads(const struct sched *s)
+static bool own_may_beat_loading(const struct sched *s)
 {
 	return s->own.state == OWN_LOADING && s->follows[1].complete &&
 	       s->now - s->own.owned_at >= HEARTBEAT_MS;
 }
 
 /*
- * Beat if it is time.  Looked at after each event: a start that a ceiling
- * holds back waits for the beat that raises it, and an owner that takes the
- * pages of a long book one after the other would seem silent, be replaced, and
- * its successor as well.
+ * Writes a heartbeat if it is time.  This is checked after each event.  A start
+ * blocked by a ceiling waits for the heartbeat that raises it.  And an owner
+ * that processes the pages of a long jobs table one after another would seem
+ * silent otherwise, and would be replaced, and so would its successor.
  */
 void own_heartbeat_if_due(struct sched *s)
 {
-	if ((s->own.state == OWN_OWNER || own_beat_loads(s)) &&
+	if ((s->own.state == OWN_OWNER || own_may_beat_loading(s)) &&
 	    !s->own.heartbeat_in_flight && s->now >= s->own.heartbeat_at)
-		own_beat(s);
+		own_write_heartbeat(s);
 }
 
 /*
- * A claim without an answer may have been carried out: then the row names
- * this process although it is not the owner yet.
+ * Returns true if the owner row names this process although it is not the owner
+ * yet: a claim without an answer was carried out.
  */
-static bool own_unaware(const struct sched *s)
+static bool own_claim_was_done(const struct sched *s)
 {
 	return s->own.state == OWN_NONE && own_is_self(s) && !s->stop_by;
 }
 
-/* Give the ownership up for another VM to take at once. */
+/* Releases the ownership, so that another VM can claim at once. */
 void own_release(struct sched *s)
 {
-	struct ownership none = {.epoch = s->own.epoch, .settled = s->settled};
+	struct ownership released = {.epoch = s->own.epoch,
+				     .settled = s->settled};
 	struct request *rq;
 	struct tx *t;
 
@@ -559,31 +593,31 @@
 	t = sched_tx(s, FOR_RELEASE, s->now + STORE_TIMEOUT_MS, &rq);
 	tx_expect(t, TABLE_OWNER, bstr_lit(KEY_EPOCH), s->own.revision);
 	tx_write(t, TABLE_OWNER, bstr_lit(KEY_EPOCH),
-		 owner_row_write(&none, true));
+		 owner_row_write(&released, true));
 	own_lose(s, "released");
 }
 
-/* Is it the store's readings that fail, and not the store? */
-static bool own_cannot_read(const struct sched *s)
+/* Returns true if readings of the store fail although heartbeats succeed. */
+static bool own_load_stalled(const struct sched *s)
 {
-	return s->now - s->own.load_progress_at >= LOAD_SILENT_MS &&
+	return s->now - s->own.load_progress_at >= LOAD_STALL_MS &&
 	       s->now - s->own.confirmed_at < OWNER_TIMEOUT_MS;
 }
 
-/* Look at the clock. */
+/* Handles timeouts of the ownership: claims, heartbeats and stalled loading. */
 void own_tick(struct sched *s)
 {
 	switch (s->own.state) {
 	case OWN_NONE:
-		if (own_unaware(s))
+		if (own_claim_was_done(s))
 			own_gain(s, s->own.epoch, s->own.revision);
 		else if (owner_is_gone(s))
 			own_claim(s);
 		break;
 	case OWN_LOADING:
 		own_heartbeat_if_due(s);
-		if (own_cannot_read(s)) {
-			if (s->own.load_timeouts < UNREAD_MAX)
+		if (own_load_stalled(s)) {
+			if (s->own.load_timeouts < LOAD_TIMEOUTS_MAX)
 				s->own.load_timeouts++;
 			own_release(s);
 		}
--- a/sched-worker.c
+++ b/sched-worker.c
@@ -1,6 +1,6 @@
 /*
- * The owner's view of the workers: their rows, their leases, what their
- * lists say runs and has ended.
+ * The owner's view of the workers: their rows, their leases, and the lists of
+ * running and ended runs that they report when polled.
  */
 #include "sched-state.h"
 #include "json-read.h"
@@ -8,17 +8,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A task that one hold did not list is looked for in newer ones only. */
+/*
+ * Value of started_at_worker once a list has shown the run.  If a later list
+ * lacks the run, it is missing.
+ */
 #define CLOCK_NONE (-1)
-/* Runs that nobody wants are stopped at most so often on one worker. */
-#define STRAY_AGAIN_MS 300
-/* A task whose end has to wait is not started again for so long: it is listed
- * again in less. */
-#define END_HELD_MS 1500
-/* While a successor waits for workers it says so once in so long. */
-#define SETTLE_TOLD_MS 500
-
-/* Find a worker. */
+/* Minimum interval between stops of stray runs on one worker. */
+#define STRAY_STOP_INTERVAL_MS 300
+/*
+ * A task with a held end is not started again for this time.  The worker lists
+ * the end again sooner than that.
+ */
+#define HELD_END_DELAY_MS 1500
+/* Interval of the log line about the workers that a new owner waits for. */
+#define SETTLE_LOG_INTERVAL_MS 500
+
+/* Returns the worker with an id, or NULL. */
 struct worker *worker_find(struct sched *s, bstr id)
 {
 	struct worker *w;
@@ -27,46 +32,47 @@
 	return w;
 }
 
-/* What its clock shows now, at least. */
+/* Returns the earliest time that a worker's clock can show now. */
 int64_t worker_clock(const struct sched *s, const struct worker *w)
 {
 	return w->clock + (s->now - w->clock_at);
 }
 
 /*
- * Had the latest lease told to it ended at a time, however slow its clock is?
+ * Returns true if the latest lease granted to a worker had expired at a time,
+ * even if the worker's clock is as slow as possible.
  */
-static bool lease_was_over(const struct worker *w, int64_t at)
+static bool lease_had_expired(const struct worker *w, int64_t at)
 {
 	double elapsed = (double)(at - w->clock_at) / CLOCK_DRIFT_FACTOR;
 
 	return (double)w->clock + elapsed > (double)w->lease_end;
 }
 
-/* When the next lease may end, by this VM's clock. */
-static int64_t lease_until(const struct sched *s)
+/* Returns when a lease granted now ends, on this VM's clock. */
+static int64_t next_lease_end(const struct sched *s)
 {
-	int64_t until = s->now + LEASE_MS;
-	int64_t most = s->own.confirmed_at + UNCONFIRMED_LEASE_MS;
+	int64_t end = s->now + LEASE_MS;
+	int64_t limit = s->own.confirmed_at + UNCONFIRMED_LEASE_MS;
 
-	return until < most ? until : most;
+	return end < limit ? end : limit;
 }
 
-/* Is an answer of it overdue? */
+/* Returns true if an answer of a worker is overdue. */
 bool worker_is_quiet(const struct sched *s, const struct worker *w)
 {
 	return s->now - w->answered_at >= WORKER_TIMEOUT_MS &&
 	       s->now >= w->poll_due_by;
 }
 
-/* Take its answer for overdue. */
+/* Marks the next answer of a worker as overdue. */
 void worker_set_quiet(struct sched *s, struct worker *w)
 {
 	w->answered_at = s->now - WORKER_TIMEOUT_MS;
 	w->poll_due_by = 0;
 }
 
-/* Is it there, and well? */
+/* Returns true if a worker is present, healthy and not to be taken down. */
 bool worker_is_healthy(const struct sched *s, const struct worker *w)
 {
 	return w->listed && !w->gone && !w->row.draining &&
@@ -74,29 +80,33 @@
 	       s->now >= w->unhealthy_until;
 }
 
-/* May it get new work? */
+/*
+ * Returns true if a worker may get new tasks: it is healthy, and the store
+ * records that it may hold leases.
+ */
 bool worker_is_eligible(const struct sched *s, const struct worker *w)
 {
 	return worker_is_healthy(s, w) && w->noted;
 }
 
-/* A worker runs nothing any more. */
+/* Marks a worker as one that runs nothing any more. */
 void worker_set_gone(struct sched *s, struct worker *w)
 {
 	w->gone = true;
 	worker_count(s, w);
 }
 
-/* A worker has no end left to acknowledge. */
-static void worker_acked(struct sched *s, struct worker *w)
+/* Marks a worker as one without ends to acknowledge. */
+static void worker_clear_unacked(struct sched *s, struct worker *w)
 {
 	if (w->durable_end != w->last_end)
 		TAILQ_REMOVE(&s->unacked, w, unacked);
 	w->durable_end = w->last_end;
 }
 
-/* A worker has told an end that is new here. */
-static void worker_saw_end(struct sched *s, struct worker *w, uint64_t number)
+/* Records that a worker reported a new end, to be acknowledged once durable. */
+static void worker_record_end(struct sched *s, struct worker *w,
+			      uint64_t number)
 {
 	if (w->durable_end != w->last_end)
 		TAILQ_REMOVE(&s->unacked, w, unacked);
@@ -106,7 +116,7 @@
 	TAILQ_INSERT_TAIL(&s->unacked, w, unacked);
 }
 
-/* Make a worker that nothing is known of. */
+/* Adds a worker about which only its id is known. */
 struct worker *worker_new(struct sched *s, bstr id)
 {
 	struct worker *w = xcalloc(1, sizeof(*w));
@@ -119,10 +129,10 @@
 	return w;
 }
 
-/* Free a worker that no request speaks of. */
+/* Frees a worker.  No request in flight may refer to it. */
 void sched_worker_free(struct sched *s, struct worker *w)
 {
-	worker_acked(s, w);
+	worker_clear_unacked(s, w);
 	worker_uncount(s, w);
 	s->note_has_gone_worker = s->note_has_gone_worker || w->noted;
 	HASH_DEL(s->workers, w);
@@ -132,7 +142,7 @@
 	free(w);
 }
 
-/* Free all workers; requests under way forget theirs. */
+/* Frees all workers, and the references of requests in flight to them. */
 void sched_workers_free(struct sched *s)
 {
 	struct request *rq, *next_rq;
@@ -150,28 +160,29 @@
 }
 
 /*
- * May a start without an answer have reached a later life of its worker than
- * the one known?  Not by a connection that is older than the latest sign of
- * that one: no later life has an end of it.
+ * Returns true if an unanswered start may have reached a later process of its
+ * worker than the known one.  A connection opened before the latest sign of the
+ * known process can't lead to a later one.
  */
-static bool start_may_be_anothers(const struct task *t)
+static bool start_may_reach_later_life(const struct task *t)
 {
 	return t->phase == PHASE_STARTING &&
 	       (!t->connected_at || t->connected_at > t->worker->alive_at);
 }
 
 /*
- * What a silent worker was told to hold has lapsed, but a new life of it that
- * nobody knows of may have got a start and do it late: its clock began anew,
- * so that it takes the start's deadline for one far ahead.  Such a task would
- * run a second time.  By this time no order is done any more.
+ * Delays the tasks of a silent worker whose starts are unanswered.  The
+ * worker's lease has expired, but it may have restarted unnoticed, and the new
+ * process may carry out a start late: its clock was reset, so that the start's
+ * deadline seems to be far in the future.  The task would then run a second
+ * time.  After ORDER_LIFETIME_MAX_MS no order is carried out any more.
  */
-static void starts_wait(struct sched *s, struct worker *w)
+static void starts_delay(struct sched *s, struct worker *w)
 {
 	struct task *t;
 
 	TAILQ_FOREACH(t, &w->tasks, worker_entry) {
-		if (!start_may_be_anothers(t))
+		if (!start_may_reach_later_life(t))
 			continue;
 		t->awaited_worker = w->serial;
 		w->late_starts_possible = true;
@@ -185,10 +196,11 @@
 }
 
 /*
- * A silent worker has answered, and is the life that was known: no other can
- * have got a start, and to this one it is void by now.
+ * Ends the delays of starts_delay, as a silent worker has answered and is still
+ * the known process: no other process can have received a start, and this one
+ * refuses it because its deadline has passed.
  */
-static void starts_wait_no_more(struct sched *s, struct worker *w)
+static void starts_end_delay(struct sched *s, struct worker *w)
 {
 	struct occurrence *o;
 	struct job *j;
@@ -210,8 +222,9 @@
 }
 
 /*
- * A worker runs nothing any more: it was cut off for longer than its lease,
- * started anew, or its machine was taken.  Its tasks may start elsewhere.
+ * Releases the tasks of a worker that runs nothing any more, because it was cut
+ * off for longer than its lease, was restarted, or its machine was taken down.
+ * The tasks may start elsewhere.
  */
 void worker_lost(struct sched *s, struct worker *w, const char *why)
 {
@@ -228,55 +241,62 @@
 	s->place_due = true;
 }
 
-/* A worker under the same id has begun a new life: it knows nothing. */
-static void worker_reborn(struct sched *s, struct worker *w, int64_t born,
-			  const struct answer *a)
+/*
+ * Handles the restart of a worker under the same id.  The new process knows
+ * nothing of the earlier runs.
+ */
+static void worker_restarted(struct sched *s, struct worker *w,
+			     int64_t started_at, const struct answer *a)
 {
 	/*
-	 * Its clock counts from its birth, at most 2% too slow, and was read
-	 * after the question was sent.  The answer may have lain in the inbox:
-	 * by the time of its reading here a start that this life has got would
-	 * seem to be from before its birth, and its task would run twice.
+	 * The earliest time at which the new process can have started, on this
+	 * VM's clock.  Its clock counts from its start, runs at most 2% slow,
+	 * and was read after the request was sent.  The time of the answer's
+	 * processing can't be used instead, because the answer may have waited
+	 * in the inbox: a start that the new process has received would then
+	 * seem to be older than that process, and its task would run twice.
 	 */
-	int64_t birth = a->sent_at -
-			(int64_t)((double)a->clock * CLOCK_DRIFT_FACTOR) -
-			ORDER_TIMEOUT_MS;
+	int64_t earliest_start = a->sent_at -
+				 (int64_t)((double)a->clock *
+					   CLOCK_DRIFT_FACTOR) -
+				 ORDER_TIMEOUT_MS;
 	struct task *t;
 
 	/*
-	 * What it may yet start by an order that was meant for its life
-	 * before; what was sent before its birth never reached it.
+	 * Starts sent to the old process may still be carried out by the new
+	 * one, unless they were sent before it existed.
 	 */
 	TAILQ_FOREACH(t, &w->tasks, worker_entry)
-		if (t->phase == PHASE_STARTING && t->started_at >= birth)
+		if (t->phase == PHASE_STARTING &&
+		    t->started_at >= earliest_start)
 			task_pause(t, t->started_at + ORDER_LIFETIME_MAX_MS);
 	if (w->started_at)
 		worker_lost(s, w, "restarted");
-	w->started_at = born;
-	worker_acked(s, w);
+	w->started_at = started_at;
+	worker_clear_unacked(s, w);
 	w->last_end = w->durable_end = 0;
 	w->last_end_seq = 0;
 	w->ends_held = false;
 	w->fenced = false;
 	worker_count(s, w);
-	/* What it has taken by a start meant for the old life lasts longer. */
+	/* A run ordered from the old process has the longest lease. */
 	w->lease_end = a->running_count ? a->clock + s->options.lease_max_ms
 					: 0;
 	w->later_life_until = 0;
 	w->alive_at = 0;
 	w->late_starts_possible = false;
-	w->clock = 0; /* it starts anew as well */
+	w->clock = 0; /* it was reset as well */
 	w->clock_at = s->now;
 	w->poll_at = s->now;
 	w->failure_streak = 0;
 }
 
 /*
- * An exchange with a worker failed: it may have begun a new life under its
- * id.  That one counts its ends from 1 again, and would forget those up to
- * the number that its old life had acknowledged, unseen by anybody: its tasks
- * would be started again.  So nothing is acknowledged before an answer has
- * told which life it is.
+ * Notes that a worker may have been restarted under its id, as an exchange with
+ * it failed.  The new process numbers its ends from 1 again.  It would discard
+ * those up to the number acknowledged to the old process before anybody saw
+ * them, and their tasks would be started again.  So nothing is acknowledged
+ * until an answer has shown which process it is.
  */
 void worker_suspect_restart(struct sched *s, struct worker *w)
 {
@@ -286,10 +306,11 @@
 }
 
 /*
- * A start was answered by a clock that began anew: by a later life than the one
- * known.  What it took holds the longest lease there, for the start's deadline
- * was one of the old clock.  Given up with the old life's lease, its tasks
- * would run elsewhere beside it, or once more when it has done them.
+ * Notes that a start was answered with a clock that was reset, so by a later
+ * process than the known one.  A run it started has the longest lease, as the
+ * start's deadline refers to the old clock.  If the run were given up when the
+ * old process's lease ends, the task would run elsewhere at the same time, or
+ * once more after it is done.
  */
 void worker_expect_later_life(struct sched *s, struct worker *w)
 {
@@ -299,7 +320,7 @@
 					CLOCK_DRIFT_FACTOR);
 }
 
-/* Its row was removed. */
+/* Handles the removal of a worker's row. */
 static void worker_unlist(struct sched *s, struct worker *w)
 {
 	if (!w->listed)
@@ -309,12 +330,12 @@
 		  BSTR_ARG(w->id), (long long)(s->now - w->answered_at));
 }
 
-/* Take over a worker's row. */
+/* Stores a worker's row; its content is moved. */
 static void worker_update(struct sched *s, struct worker *w, struct row *r)
 {
-	bool was = w->row.draining;
-	bool moved = w->row.address.bstr_len &&
-		     !bstr_eq(w->row.address, r->worker.address);
+	bool was_draining = w->row.draining;
+	bool address_changed = w->row.address.bstr_len &&
+			       !bstr_eq(w->row.address, r->worker.address);
 
 	worker_row_free(&w->row);
 	w->row = r->worker;
@@ -329,20 +350,20 @@
 	w->listed = true;
 	w->gone = false;
 	worker_count(s, w);
-	if (moved)
+	if (address_changed)
 		w->poll_at = s->now;
-	if (w->row.draining && !was)
+	if (w->row.draining && !was_draining)
 		sched_log(s, LOG_WORKER_DRAINS, "worker=%.*s revision=%llu",
 			  BSTR_ARG(w->id), (unsigned long long)r->revision);
 	if (w->row.started_at && w->started_at &&
 	    w->row.started_at > w->started_at)
-		worker_suspect_restart(s, w); /* its next list tells */
+		worker_suspect_restart(s, w); /* its next list shows it */
 	s->place_due = true;
 }
 
 static void worker_check(struct sched *s, struct worker *w);
 
-/* A row of a worker. */
+/* Applies a row of the workers table. */
 void worker_row_apply(struct sched *s, struct row *r)
 {
 	struct worker *w = worker_find(s, r->key);
@@ -368,8 +389,8 @@
 }
 
 /*
- * After a whole reading, the rows that did not come are not there any more:
- * they were removed during a gap of the feed.
+ * Handles the removal of the rows that a complete reading did not return.  They
+ * were removed during a gap in the change feed.
  */
 void workers_unlist_missing(struct sched *s)
 {
@@ -381,10 +402,11 @@
 }
 
 /*
- * How long a look at a worker without tasks waits.  Most of a large fleet is
- * idle at a time, and the looks at it would be half of all that the owner does.
+ * Returns how long a poll of a worker without tasks waits.  Most workers of a
+ * large fleet are idle at any time, and polling them would be half of the
+ * owner's work.
  */
-static uint32_t idle_wait(const struct sched *s)
+static uint32_t poll_idle_wait(const struct sched *s)
 {
 	uint32_t wait = HASH_COUNT(s->workers) * 1000 / IDLE_POLLS_PER_S;
 
@@ -393,19 +415,19 @@
 	return wait < POLL_IDLE_WAIT_MAX_MS ? wait : POLL_IDLE_WAIT_MAX_MS;
 }
 
-/* How long a hold may wait for an end. */
-static uint32_t hold_wait(const struct sched *s, const struct worker *w)
+/* Returns how long a poll may wait for an end of a run. */
+static uint32_t poll_wait(const struct sched *s, const struct worker *w)
 {
 	if (!w->fenced || !w->clock || !w->same_life ||
 	    w->durable_end < w->last_end || w->ends_held)
 		return 0;
-	return TAILQ_EMPTY(&w->tasks) ? idle_wait(s) : POLL_WAIT_MAX_MS;
+	return TAILQ_EMPTY(&w->tasks) ? poll_idle_wait(s) : POLL_WAIT_MAX_MS;
 }
 
-/* Renew a worker's lease and look what runs and has ended there. */
-static void worker_hold(struct sched *s, struct worker *w)
+/* Polls a worker: renews its lease and asks for its running and ended runs. */
+static void worker_poll(struct sched *s, struct worker *w)
 {
-	uint32_t wait = hold_wait(s, w);
+	uint32_t wait = poll_wait(s, w);
 	struct request *rq;
 	struct ask *ask;
 	struct order *o;
@@ -422,11 +444,11 @@
 	rq->number = o->ack_through;
 	o->wait_ms = wait;
 	/*
-	 * Without an answer for a while the lease is not renewed: it ends,
-	 * and the tasks may start elsewhere the sooner.
+	 * The lease of a silent worker is not renewed, so that it expires and
+	 * the tasks can start elsewhere sooner.
 	 */
 	if (w->clock && !worker_is_quiet(s, w)) {
-		o->deadline = worker_clock(s, w) + lease_until(s) - s->now;
+		o->deadline = worker_clock(s, w) + next_lease_end(s) - s->now;
 		if (o->deadline > w->lease_end)
 			w->lease_end = o->deadline;
 	}
@@ -440,33 +462,37 @@
 }
 
 /*
- * Is it over with a silent worker?  What it was told to hold has lapsed, by
- * the slowest clock, and this VM was still the owner then: a successor would
- * have renewed the lease, and a task started elsewhere would run twice.  Of a
- * worker that never answered this owner, an earlier one may have renewed the
- * lease for as long as it did not know of its end.
+ * Returns true if nothing can run on a silent worker any more.  Its lease has
+ * expired, even by the slowest clock, and this VM was still the owner at that
+ * time: otherwise a successor could have renewed the lease, and a task started
+ * elsewhere would run twice.  If the worker never answered this owner, an
+ * earlier owner may have renewed the lease until it noticed that it was
+ * replaced.
  */
-static bool worker_is_over(const struct sched *s, const struct worker *w)
+static bool worker_has_expired(const struct sched *s, const struct worker *w)
 {
-	int64_t settle = s->own.settle_by + SETTLE_MARGIN_MS +
-			 (int64_t)(UNCONFIRMED_LEASE_MS *
-				   (CLOCK_DRIFT_FACTOR - 1));
+	int64_t inherited_until = s->own.settle_by + SETTLE_MARGIN_MS +
+				  (int64_t)(UNCONFIRMED_LEASE_MS *
+					    (CLOCK_DRIFT_FACTOR - 1));
 
 	if (!worker_is_quiet(s, w) || s->now < w->later_life_until)
 		return false;
 	if (w->fenced && w->clock)
-		return lease_was_over(w, s->own.confirmed_at);
-	return s->own.confirmed_at > settle;
+		return lease_had_expired(w, s->own.confirmed_at);
+	return s->own.confirmed_at > inherited_until;
 }
 
-/* Look at one worker. */
+/*
+ * Checks a worker's timeouts, repeats stop orders, and polls the worker if it
+ * is time.  May free the worker.
+ */
 static void worker_check(struct sched *s, struct worker *w)
 {
 	struct task *t, *next;
 
-	if (!w->gone && worker_is_over(s, w)) {
+	if (!w->gone && worker_has_expired(s, w)) {
 		worker_set_gone(s, w);
-		starts_wait(s, w);
+		starts_delay(s, w);
 		if (!TAILQ_EMPTY(&w->tasks))
 			worker_lost(s, w, "silent");
 	}
@@ -482,21 +508,25 @@
 	}
 	if (!w->polling && s->now >= w->poll_at && own_may_order(s) &&
 	    w->row.address.bstr_len)
-		worker_hold(s, w);
+		worker_poll(s, w);
 }
 
-/* Say once in a while for which worker the owner waits, and why. */
-static void settle_tell(struct sched *s)
+/*
+ * Logs at intervals which worker the owner has waited for longest, with the
+ * state that explains why.
+ */
+static void settle_log(struct sched *s)
 {
-	struct worker *w, *next, *one = NULL;
+	struct worker *w, *next, *longest = NULL;
 
 	if (s->now < s->own.wait_log_at)
 		return;
-	s->own.wait_log_at = s->now + SETTLE_TOLD_MS;
+	s->own.wait_log_at = s->now + SETTLE_LOG_INTERVAL_MS;
 	HASH_ITER(hh, s->workers, w, next)
-		if (w->unknown && (!one || w->answered_at < one->answered_at))
-			one = w;
-	if (!one)
+		if (w->unknown &&
+		    (!longest || w->answered_at < longest->answered_at))
+			longest = w;
+	if (!longest)
 		return;
 	sched_log(s, LOG_OWNER_WAITS,
 		  "epoch=%llu ms=%lld unknown=%u worker=%.*s listed=%d "
@@ -504,24 +534,26 @@
 		  "leases_ms=%lld proof_ms=%lld",
 		  (unsigned long long)s->own.epoch,
 		  (long long)(s->now - s->own.owned_at), s->unknown_count,
-		  BSTR_ARG(one->id), one->listed, one->fenced,
-		  one->ends_truncated, (long long)(s->now - one->answered_at),
-		  (long long)(one->later_life_until - s->now),
+		  BSTR_ARG(longest->id), longest->listed, longest->fenced,
+		  longest->ends_truncated,
+		  (long long)(s->now - longest->answered_at),
+		  (long long)(longest->later_life_until - s->now),
 		  (long long)(s->own.settle_by - s->now),
 		  (long long)(s->now - s->own.confirmed_at));
 }
 
 /*
- * After a takeover tasks of earlier owners may run anywhere, until each
- * worker has answered or cannot hold a lease any more.
+ * Checks whether all runs of earlier owners are known.  After a takeover such
+ * runs may be on any worker, until it has answered or can't hold a lease any
+ * more.
  */
 static void settle_check(struct sched *s)
 {
 	if (s->settled)
 		return;
 	if (s->unknown_count) {
-		settle_tell(s);
-		s->place_due = true; /* of the pools that are settled */
+		settle_log(s);
+		s->place_due = true; /* in the pools that are settled */
 		return;
 	}
 	s->settled = true;
@@ -531,7 +563,7 @@
 		  (long long)(s->now - s->own.owned_at));
 }
 
-/* Look at all workers. */
+/* Checks all workers. */
 void worker_tick(struct sched *s)
 {
 	struct worker *w, *next;
@@ -544,9 +576,9 @@
 }
 
 /*
- * Are all ends that a worker has told durable?  If planned work took its
- * machine before, they would go with the worker's list, and with the owner's
- * memory if that is lost: tasks that were done would run again.
+ * Returns true if all ends reported by a worker are durable.  If maintenance
+ * took its machine earlier, they would be lost with the worker's list, and, if
+ * the owner failed, with its memory: tasks that are done would run again.
  */
 bool worker_ends_durable(const struct worker *w)
 {
@@ -554,22 +586,25 @@
 	       !w->ends_held;
 }
 
-/* Ends up to here are durable: tell the workers with the next hold. */
+/* Acknowledges the ends that became durable, with the workers' next polls. */
 void worker_acknowledge(struct sched *s)
 {
 	uint64_t durable = commit_durable(s);
 	struct worker *w;
 
 	while ((w = TAILQ_FIRST(&s->unacked)) && w->last_end_seq <= durable) {
-		worker_acked(s, w);
+		worker_clear_unacked(s, w);
 		if (!w->polling && own_may_order(s))
-			worker_hold(s, w);
+			worker_poll(s, w);
 	}
 }
 
-/* Does a run's failure cast doubt on its worker? */
-static void worker_doubt(struct sched *s, struct worker *w,
-			 const struct task *t)
+/*
+ * Counts a failed run towards its worker becoming suspect.  Consecutive
+ * failures of one job count once.
+ */
+static void worker_count_failure(struct sched *s, struct worker *w,
+				 const struct task *t)
 {
 	if (!strcmp(w->failure_streak_job, t->occ->job->id))
 		return;
@@ -582,7 +617,7 @@
 		  BSTR_ARG(w->id), w->failure_streak);
 }
 
-/* A run has ended, and it was the task's own. */
+/* Handles the end of a task's current run. */
 static void end_apply(struct sched *s, struct worker *w, struct task *t,
 		      const struct ended *n)
 {
@@ -603,7 +638,7 @@
 	case END_FAILED:
 		t->avoided_worker = w->serial;
 		task_pause(t, s->now + TASK_RETRY_DELAY_MS);
-		worker_doubt(s, w, t);
+		worker_count_failure(s, w, t);
 		job_task_failed(s, t, n->run);
 		return;
 	case END_LAPSED:
@@ -616,8 +651,9 @@
 	}
 }
 
-/* An end that a worker lists. */
-static void end_take(struct sched *s, struct worker *w, const struct ended *n)
+/* Handles an end that a worker lists. */
+static void end_process(struct sched *s, struct worker *w,
+			const struct ended *n)
 {
 	static const char *const words[] = {"done",   "failed", "stopped",
 					    "lapsed", "broken", "alone"};
@@ -636,8 +672,8 @@
 		end_apply(s, w, t, n);
 	} else if (n->kind == END_DONE) {
 		/*
-		 * A run of an earlier owner, or one given up as lost, was
-		 * done after all.  What runs now is for nothing.
+		 * A run of an earlier owner, or one given up as lost, has
+		 * completed after all.  The current run is superfluous.
 		 */
 		if (t->worker)
 			task_stop(s, t);
@@ -654,12 +690,14 @@
 }
 
 /*
- * The task of an end that has to wait, or NULL.  It was given up as lost and
- * its next start is under way: were the end acknowledged now, that start would
- * be carried out after it, and the task run again although it is done.
+ * Returns the task that requires an end to be held, or NULL.  The task's run
+ * was given up as lost, and its next start is in flight.  If the end were
+ * acknowledged now, that start could be carried out afterwards, and the task
+ * would run again although it is done.
  */
-static struct task *end_held_by(struct sched *s, const struct worker *w,
-				const struct ended *n)
+static struct task *end_find_holding_task(struct sched *s,
+					  const struct worker *w,
+					  const struct ended *n)
 {
 	struct job *j;
 	struct task *t = task_find(s, n->task, &j);
@@ -671,60 +709,63 @@
 }
 
 /*
- * The number from which on the ends of a list have to wait.  Until they are
- * taken, with the outcome of the start, no other start is ordered.
+ * Returns the number of the first end in a list that has to be held.  Its task
+ * is not started again until the end and the outcome of the start have been
+ * processed.
  */
-static uint64_t ends_hold(struct sched *s, const struct worker *w,
-			  const struct answer *a)
+static uint64_t ends_find_held(struct sched *s, const struct worker *w,
+			       const struct answer *a)
 {
-	uint64_t limit = UINT64_MAX;
+	uint64_t first_held = UINT64_MAX;
 	struct task *t;
 	size_t i;
 
 	for (i = 0; i < a->ended_count; i++) {
 		if (a->ended[i].number <= w->last_end ||
-		    a->ended[i].number >= limit)
+		    a->ended[i].number >= first_held)
 			continue;
-		t = end_held_by(s, w, &a->ended[i]);
+		t = end_find_holding_task(s, w, &a->ended[i]);
 		if (!t)
 			continue;
-		task_pause(t, s->now + END_HELD_MS);
-		limit = a->ended[i].number;
+		task_pause(t, s->now + HELD_END_DELAY_MS);
+		first_held = a->ended[i].number;
 	}
-	return limit;
+	return first_held;
 }
 
 /*
- * All ends of a list that are new here, in whatever order it has them: one
- * that is passed over would be acknowledged with the highest, and its task
- * would start again although it is done.  So none is taken behind one that has
- * to wait.
+ * Processes all new ends of a list, in any order.  The acknowledgement covers
+ * all numbers up to the highest processed, so an end that was skipped would be
+ * lost, and its task would start again although it is done.  For the same
+ * reason no end after a held one is processed.
  */
-static void ends_take(struct sched *s, struct worker *w, const struct answer *a)
+static void ends_process(struct sched *s, struct worker *w,
+			 const struct answer *a)
 {
-	uint64_t known = w->last_end, limit = ends_hold(s, w, a);
+	uint64_t known = w->last_end, first_held = ends_find_held(s, w, a);
 	size_t i;
 
-	w->ends_held = limit != UINT64_MAX;
+	w->ends_held = first_held != UINT64_MAX;
 	for (i = 0; i < a->ended_count; i++) {
-		if (a->ended[i].number <= known || a->ended[i].number >= limit)
+		if (a->ended[i].number <= known ||
+		    a->ended[i].number >= first_held)
 			continue;
-		end_take(s, w, &a->ended[i]);
-		worker_saw_end(s, w, a->ended[i].number);
+		end_process(s, w, &a->ended[i]);
+		worker_record_end(s, w, a->ended[i].number);
 		s->place_due = true;
 	}
 }
 
-/* A run that a worker lists as running. */
-static void running_take(struct sched *s, struct worker *w,
-			 const struct running *r)
+/* Handles a run that a worker lists as running. */
+static void running_process(struct sched *s, struct worker *w,
+			    const struct running *r)
 {
 	struct job *j;
 	struct task *t = task_find(s, r->task, &j);
 
 	/*
-	 * A run of an earlier owner, or one whose start had no answer: since
-	 * the task is nowhere else, it is the task's.
+	 * A run of an earlier owner, or one whose start had no answer.  The
+	 * task is assigned to no other worker, so this becomes its current run.
 	 */
 	if (t && t->phase == PHASE_PENDING) {
 		task_adopt(s, t, w, r->run);
@@ -742,21 +783,20 @@
 		task_phase(t, PHASE_RUNNING);
 	t->percent = r->percent;
 	t->load_figure = r->load_figure;
-	t->started_at_worker =
-		CLOCK_NONE; /* seen in a list: its absence counts */
+	t->started_at_worker = CLOCK_NONE; /* seen in a list */
 	if (r->checkpoint.bstr_len && !bstr_eq(t->checkpoint, r->checkpoint))
 		bstr_set(&t->checkpoint, r->checkpoint);
 }
 
 /*
- * Tasks that a list does not name, if it has room for all ends: a task that was
- * done and whose end is not listed yet would run a second time.  A list may be
- * older than the start of a task that another exchange told of, and a start
- * without an answer may yet be carried out until its own deadline; both are
- * seen by the worker's clock.
+ * Releases tasks that are missing from a list.  If the list has no room for all
+ * ends it proves nothing: a task that is done, but whose end is not listed yet,
+ * would run a second time.  The list may also be older than a start that
+ * another exchange reported, and an unanswered start may be carried out until
+ * its deadline; both are decided by the worker's clock.
  */
-static void absent_take(struct sched *s, struct worker *w,
-			const struct answer *a)
+static void missing_process(struct sched *s, struct worker *w,
+			    const struct answer *a)
 {
 	struct task *t, *next;
 
@@ -784,12 +824,13 @@
 }
 
 /*
- * Was a hold meant for the life before the one that answers it?  Then its list
- * leaves out the ends up to a number that the old life had told: taken for
- * whole, tasks that the new life has done would run again, and their ends be
- * acknowledged unseen.  It is asked once more, without that number.
+ * Returns true if a poll was meant for an earlier process than the one that
+ * answers.  The list then lacks the ends up to the number acknowledged to the
+ * old process.  If it were taken as complete, tasks that the new process has
+ * done would run again, and their ends would be acknowledged without having
+ * been seen.  The worker is polled again, without that number.
  */
-static bool hold_was_for_old_life(const struct worker *w,
+static bool poll_was_for_old_life(const struct worker *w,
 				  const struct request *rq,
 				  const struct answer *a)
 {
@@ -797,27 +838,27 @@
 	       a->worker_started_at != w->started_at;
 }
 
-/* A worker has answered a hold. */
-static void hold_take(struct sched *s, struct worker *w, struct request *rq,
-		      struct answer *a)
+/* Processes a worker's answer to a poll. */
+static void poll_process(struct sched *s, struct worker *w, struct request *rq,
+			 struct answer *a)
 {
 	size_t i;
 
-	if (hold_was_for_old_life(w, rq, a)) {
+	if (poll_was_for_old_life(w, rq, a)) {
 		w->answered_at = s->now;
 		w->same_life = false;
 		return;
 	}
 	if (a->worker_started_at && a->worker_started_at != w->started_at)
-		worker_reborn(s, w, a->worker_started_at, a);
+		worker_restarted(s, w, a->worker_started_at, a);
 	/*
-	 * A clock that goes back: an answer that a newer one has overtaken,
-	 * or a new life of a worker that does not say when it was born.
+	 * The clock went back: either a newer answer has overtaken this one, or
+	 * a worker that does not report its start time was restarted.
 	 */
 	if (a->clock < w->clock) {
 		if (a->worker_started_at || a->sent_at < w->clock_at)
 			return;
-		worker_reborn(s, w, 0, a);
+		worker_restarted(s, w, 0, a);
 	}
 	load_add_poll(s, w, a);
 	w->ends_truncated = a->ended_truncated;
@@ -827,7 +868,7 @@
 	if (a->worker_started_at && a->sent_at > w->alive_at)
 		w->alive_at = a->sent_at;
 	if (w->late_starts_possible && a->worker_started_at)
-		starts_wait_no_more(s, w);
+		starts_end_delay(s, w);
 	if (w->gone && !w->noted)
 		s->own.heartbeat_at = s->now; /* to note it */
 	w->gone = false;
@@ -838,17 +879,17 @@
 	}
 	w->strays_due = s->now >= w->stray_at;
 	if (w->strays_due)
-		w->stray_at = s->now + STRAY_AGAIN_MS;
+		w->stray_at = s->now + STRAY_STOP_INTERVAL_MS;
 	w->list_count++;
-	ends_take(s, w, a);
+	ends_process(s, w, a);
 	for (i = 0; i < a->running_count; i++)
-		running_take(s, w, &a->running[i]);
-	absent_take(s, w, a);
+		running_process(s, w, &a->running[i]);
+	missing_process(s, w, a);
 	pace_worker_tasks(s, w);
 	worker_count(s, w);
 }
 
-/* An answer to a hold. */
+/* Handles the outcome of a poll. */
 void worker_answer(struct sched *s, struct request *rq, struct answer *a)
 {
 	struct worker *w = rq->worker;
@@ -857,13 +898,13 @@
 		return;
 	w->polling = false;
 	if (a->outcome == OUT_DONE) {
-		hold_take(s, w, rq, a);
+		poll_process(s, w, rq, a);
 		w->poll_at = s->now;
 		if (w->durable_end < w->last_end || w->ends_held)
 			w->poll_at += POLL_RETRY_MS;
 		worker_acknowledge(s);
 		if (!w->polling && s->now >= w->poll_at && own_may_order(s))
-			worker_hold(s, w);
+			worker_poll(s, w);
 		settle_check(s);
 		return;
 	}
@@ -872,7 +913,7 @@
 	if (a->refusal == REFUSAL_STALE_EPOCH) {
 		own_require_check(s, "fenced");
 	} else if (a->refusal == REFUSAL_OTHER_LIFE) {
-		/* Another worker answers there: this one has ended. */
+		/* Another process answers here: the known one ended. */
 		worker_set_gone(s, w);
 		worker_set_quiet(s, w);
 		if (!TAILQ_EMPTY(&w->tasks))
