--- a/sched-wave.c
+++ b/sched-wave.c
@@ -1,6 +1,7 @@
 /*
- * Maintenance waves: each machine of a wave is taken down once, at most so
- * many at a time, when what serves on it can be missed.
+ * Maintenance waves.  Each machine of a wave is taken down once, with at most
+ * max_unavailable machines down at a time, and only when the long-running tasks
+ * on it can be spared.
  */
 #include "sched-state.h"
 #include "json-read.h"
@@ -9,28 +10,30 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A machine that is about to go gets nothing new for so long before it; most
- * tasks of quick queues end within it. */
+/*
+ * How long a machine gets no new tasks before it is taken down.  Most tasks of
+ * queues with short tasks end within this time.
+ */
 #define WAVE_DRAIN_MS 1200
-/* The list of machines is read so often while a wave is open. */
-#define LIST_EVERY_MS 900
-#define CLOUD_TIMEOUT_MS 1500
-#define CLOUD_AGAIN_MS 500
+/* Interval of reading the list of machines. */
+#define LIST_INTERVAL_MS 900
+#define PLATFORM_TIMEOUT_MS 1500
+#define PLATFORM_RETRY_MS 500
 /* A machine counts as down this much longer than its maintenance takes. */
-#define AWAY_SLACK_MS 400
+#define DOWN_MARGIN_MS 400
 /*
- * Taking as many machines as may be down at once takes about so long: the
- * drain, the call, the maintenance and the list that shows its end.  With
- * more time left than that for each such step, and a reserve for trouble,
- * machines of busy pools wait for a calmer moment.
+ * Duration of a batch of as many machines as may be down at once: the drain,
+ * the call, the maintenance, and the list that shows its end.  If more time is
+ * left than this for each remaining batch, plus a reserve for problems,
+ * machines of busy pools wait for a calmer time.
  */
-#define WAVE_STEP_MS 4500
+#define WAVE_BATCH_MS 4500
 #define WAVE_RESERVE_MS 4000
-#define WAVE_NAME_MAX 40
-/* A line for each open wave is logged so often. */
-#define WAVE_TOLD_MS 1000
+#define WAVE_KEY_MAX 40
+/* Interval of the log line about each open wave. */
+#define WAVE_LOG_INTERVAL_MS 1000
 
-/* Find a wave. */
+/* Returns the wave with a number, or NULL. */
 static struct wave *wave_find(struct sched *s, uint64_t number)
 {
 	struct wave *v;
@@ -39,8 +42,8 @@
 	return v;
 }
 
-/* A machine of a wave, by its id. */
-static struct wave_machine *wave_member(struct wave *v, bstr id)
+/* Returns the machine of a wave with an id, or NULL. */
+static struct wave_machine *wave_find_machine(struct wave *v, bstr id)
 {
 	size_t i;
 
@@ -50,7 +53,7 @@
 	return NULL;
 }
 
-/* Find a wave, or make one of which nothing is known yet. */
+/* Returns the wave with a number, and adds it if it is new. */
 static struct wave *wave_get(struct sched *s, uint64_t number)
 {
 	struct wave *v = wave_find(s, number);
@@ -64,10 +67,11 @@
 }
 
 /*
- * Set what an owner noted of the machines.  Its row may be read before the
- * operator's, or after it.  Another owner may have called for what it noted.
+ * Applies what an owner noted of a wave's machines.  The note may be read
+ * before or after the operator's row.  If another owner wrote it, that owner
+ * may have called for the maintenance of the machines in it.
  */
-static void wave_merge(struct wave *v, bool theirs)
+static void wave_apply_notes(struct wave *v, bool by_other_owner)
 {
 	const json_t *note;
 	char *id;
@@ -84,13 +88,13 @@
 			json_object_get(note, "worker"));
 		v->machines[i].noted = true;
 		v->machines[i].call_outcome_unknown =
-			theirs || v->machines[i].call_outcome_unknown;
+			by_other_owner || v->machines[i].call_outcome_unknown;
 		if (json_is_true(json_object_get(note, "done")))
 			v->machines[i].done = true;
 	}
 }
 
-/* The operator asks for a wave. */
+/* Applies the operator's request for a wave. */
 void wave_row_apply(struct sched *s, struct row *r)
 {
 	struct wave_row *row = &r->wave;
@@ -110,7 +114,7 @@
 	for (i = 0; i < v->count; i++)
 		v->machines[i].id = bstr_copy(row->machines[i]);
 	v->dirty = !v->completed;
-	wave_merge(v, true);
+	wave_apply_notes(v, true);
 	sched_log(s, LOG_WAVE_SEEN,
 		  "wave=%" PRIu64 " machines=%zu maximum=%u finish_by_s=%lld",
 		  v->number, v->count, v->max_unavailable,
@@ -118,10 +122,11 @@
 }
 
 /*
- * When a wave has to be finished.  A VM counts the operator's time from when
- * it first saw the row, and a process that begins anew sees it anew: with all
- * of them killed, machines of busy pools would wait until long after the
- * operator's time.  What an owner has noted by the store's clock goes on.
+ * Returns the deadline of a wave on this VM's clock.  A VM counts the
+ * operator's time from when it first read the row, and a restarted process
+ * reads it anew.  If all of them were killed, machines of busy pools would wait
+ * until long after the operator's deadline.  So an owner notes the deadline on
+ * the store's clock, and the earlier one applies.
  */
 static int64_t wave_finish_at(const struct sched *s, const struct wave *v)
 {
@@ -132,7 +137,7 @@
 	return v->finish_at;
 }
 
-/* What an owner noted of a wave. */
+/* Applies the note that an owner wrote of a wave. */
 void wave_status_apply(struct sched *s, struct row *r)
 {
 	json_t *row = json_read(r->value);
@@ -145,7 +150,7 @@
 			v->revision = r->revision;
 		json_decref(v->notes);
 		v->notes = json_incref(json_object_get(row, "machines"));
-		wave_merge(v, true);
+		wave_apply_notes(v, true);
 		v->start_published = true;
 		v->finish_at_store = json_integer_value(
 			json_object_get(row, "finish"));
@@ -157,7 +162,7 @@
 	json_decref(row);
 }
 
-/* Forget the machines. */
+/* Frees the list of machines. */
 static void machines_free(struct sched *s)
 {
 	struct machine *m, *next;
@@ -173,7 +178,7 @@
 	s->list_complete = false;
 }
 
-/* Forget what only the owner knows; what the operator asks for stays. */
+/* Discards the state that only an owner has; the operator's requests stay. */
 void waves_reset_owner_state(struct sched *s)
 {
 	struct wave *v, *next;
@@ -192,7 +197,7 @@
 	machines_free(s);
 }
 
-/* Free all waves. */
+/* Frees all waves and machines. */
 void sched_waves_free(struct sched *s)
 {
 	struct wave *v, *next;
@@ -212,10 +217,11 @@
 }
 
 /*
- * Is a lasting task at work?  One whose worker has been silent may have
- * ended with it: taking away another of its step could leave too few.
+ * Returns true if a long-running task is in service.  If its worker has been
+ * silent, it may have ended with the worker; if it counted, too few tasks of
+ * its step could be left when another is taken down.
  */
-static bool task_serves(const struct sched *s, const struct task *t)
+static bool task_is_in_service(const struct sched *s, const struct task *t)
 {
 	return t->phase == PHASE_RUNNING && !t->stopping && t->percent == 100 &&
 	       !t->worker->takedown_in_flight &&
@@ -223,25 +229,28 @@
 }
 
 /*
- * Tasks of a lasting step that are not at work, but for one; those on its
- * own worker count if here is set.
+ * Returns how many other tasks of a long-running task's step are not in
+ * service.  Those on the same worker count only if same_worker is set.
  */
-static unsigned others_away(const struct sched *s, const struct task *t,
-			    bool here)
+static unsigned task_others_unavailable(const struct sched *s,
+					const struct task *t, bool same_worker)
 {
 	const struct job_step *st = task_step(t);
 	const struct task *o = &t->occ->tasks[t->occ->first_task[t->step]];
-	unsigned i, away = 0;
+	unsigned i, unavailable = 0;
 
 	for (i = 0; i < st->count; i++, o++)
-		if (o != t && (here || o->worker != t->worker) &&
-		    !task_serves(s, o))
-			away++;
-	return away;
+		if (o != t && (same_worker || o->worker != t->worker) &&
+		    !task_is_in_service(s, o))
+			unavailable++;
+	return unavailable;
 }
 
-/* Do planned actions have to spare a task? */
-static bool task_is_spared(const struct task *t)
+/*
+ * Returns true if maintenance has to observe the max_unavailable of a task's
+ * step.
+ */
+static bool task_is_protected(const struct task *t)
 {
 	const struct job_step *st = task_step(t);
 
@@ -249,50 +258,58 @@
 	       t->phase == PHASE_RUNNING && !t->stopping;
 }
 
-/* May a task be taken away with all others of its step on its worker? */
-static bool task_may_miss(const struct sched *s, const struct task *t)
+/*
+ * Returns true if a task may be stopped together with the others of its step on
+ * its worker.
+ */
+static bool task_may_be_stopped(const struct sched *s, const struct task *t)
 {
-	return !task_is_spared(t) ||
-	       others_away(s, t, false) + step_tasks_on_worker(
-						  t->worker, t->occ, t->step) <=
+	return !task_is_protected(t) ||
+	       task_others_unavailable(s, t, false) +
+			       step_tasks_on_worker(t->worker, t->occ,
+						    t->step) <=
 		       task_step(t)->max_unavailable;
 }
 
-/* May a worker be taken away now, by the lasting tasks on it? */
+/*
+ * Returns true if a worker may be taken down now as far as its long-running
+ * tasks are concerned.
+ */
 bool wave_may_take_worker(struct sched *s, const struct worker *w)
 {
 	const struct task *t;
 
 	TAILQ_FOREACH(t, &w->tasks, worker_entry)
-		if (!task_may_miss(s, t))
+		if (!task_may_be_stopped(s, t))
 			return false;
 	return true;
 }
 
 /*
- * A worker that has more tasks of a step than may be missed at once could
- * never be taken: one of them is moved away first.
+ * Stops one task of a step that has more tasks on a worker than may be
+ * unavailable at once.  Otherwise the worker could never be taken down.
  */
-static void worker_thin(struct sched *s, struct worker *w)
+static void worker_stop_excess_task(struct sched *s, struct worker *w)
 {
 	struct task *t;
-	unsigned on;
+	unsigned count;
 
 	TAILQ_FOREACH(t, &w->tasks, worker_entry) {
-		if (!task_is_spared(t) || t->stopping)
+		if (!task_is_protected(t) || t->stopping)
 			continue;
-		on = step_tasks_on_worker(w, t->occ, t->step);
-		if (on <= task_step(t)->max_unavailable)
+		count = step_tasks_on_worker(w, t->occ, t->step);
+		if (count <= task_step(t)->max_unavailable)
 			continue;
-		if (others_away(s, t, true) < task_step(t)->max_unavailable) {
+		if (task_others_unavailable(s, t, true) <
+		    task_step(t)->max_unavailable) {
 			task_stop(s, t);
 			return;
 		}
 	}
 }
 
-/* Tasks of a worker that end soon by themselves. */
-static unsigned short_tasks(const struct worker *w)
+/* Returns the number of tasks on a worker that end by themselves. */
+static unsigned worker_short_tasks(const struct worker *w)
 {
 	const struct task *t;
 	unsigned n = 0;
@@ -303,7 +320,10 @@
 	return n;
 }
 
-/* The machine of a wave's member, and its worker if it has one. */
+/*
+ * Returns the machine with an id, or NULL, and sets w to its worker, or NULL if
+ * it has none.
+ */
 static struct machine *member_machine(struct sched *s, bstr id,
 				      struct worker **w)
 {
@@ -316,9 +336,9 @@
 	return m;
 }
 
-/* Take a machine down for its maintenance. */
-static void upkeep_send(struct sched *s, struct wave *v,
-			struct wave_machine *wm)
+/* Calls the platform to take a machine down for maintenance. */
+static void maintenance_send(struct sched *s, struct wave *v,
+			     struct wave_machine *wm)
 {
 	struct worker *w;
 	struct machine *m = member_machine(s, wm->id, &w);
@@ -326,7 +346,8 @@
 	struct ask *ask;
 
 	rq = sched_ask(s, FOR_MAINTENANCE, ASK_MAINTENANCE,
-		       own_exclusive_until(s, s->now + CLOUD_TIMEOUT_MS), &ask);
+		       own_exclusive_until(s, s->now + PLATFORM_TIMEOUT_MS),
+		       &ask);
 	rq->number = v->number;
 	rq->name = bstr_copy(wm->id);
 	ask->order.machine = bstr_copy(wm->id);
@@ -335,13 +356,13 @@
 	ask->order.epoch = s->own.epoch;
 	wm->call_in_flight = true;
 	wm->call_is_for_noted_life = m && bstr_eq(m->worker, wm->worker);
-	wm->down_until = s->now + CLOUD_TIMEOUT_MS;
+	wm->down_until = s->now + PLATFORM_TIMEOUT_MS;
 	sched_log(s, LOG_WAVE_MACHINE, "wave=%" PRIu64 " machine=%.*s step=ask",
 		  v->number, BSTR_ARG(wm->id));
 }
 
-/* Is a machine of a wave down, or may it be? */
-static bool member_is_away(struct sched *s, const struct wave_machine *wm)
+/* Returns true if a machine of a wave is down, or may be. */
+static bool member_may_be_down(struct sched *s, const struct wave_machine *wm)
 {
 	struct worker *w;
 	struct machine *m = member_machine(s, wm->id, &w);
@@ -350,7 +371,10 @@
 	       (m && m->state == MACHINE_MAINTENANCE);
 }
 
-/* What taking a machine costs now: fewer of it first. */
+/*
+ * Returns the cost of taking a machine down now, by the tasks on it.  The
+ * machine with the lowest cost is taken first.
+ */
 static double member_cost(struct sched *s, const struct wave_machine *wm)
 {
 	struct worker *w;
@@ -362,38 +386,38 @@
 		return 0;
 	TAILQ_FOREACH(t, &w->tasks, worker_entry) {
 		cost += (double)task_step(t)->need.cpu;
-		if (!task_may_miss(s, t))
+		if (!task_may_be_stopped(s, t))
 			cost += 1e9;
 	}
 	return cost;
 }
 
-/* Machines of a wave that are left to do. */
-static unsigned wave_left(const struct wave *v)
+/* Returns the number of machines of a wave that are not done. */
+static unsigned wave_remaining(const struct wave *v)
 {
-	unsigned left = 0;
+	unsigned remaining = 0;
 	size_t i;
 
 	for (i = 0; i < v->count; i++)
 		if (!v->machines[i].done)
-			left++;
-	return left;
+			remaining++;
+	return remaining;
 }
 
-/* Is there time to wait for calmer moments? */
+/* Returns true if there is time for busy pools to wait for a calmer time. */
 static bool wave_can_wait(const struct sched *s, const struct wave *v)
 {
-	unsigned steps = (wave_left(v) + v->max_unavailable - 1) /
-			 v->max_unavailable;
+	unsigned batches = (wave_remaining(v) + v->max_unavailable - 1) /
+			   v->max_unavailable;
 
 	if (!policy_is_enabled(s, POLICY_WAVE_CALM))
 		return false;
-	return s->now + (int64_t)steps * WAVE_STEP_MS + WAVE_RESERVE_MS <
+	return s->now + (int64_t)batches * WAVE_BATCH_MS + WAVE_RESERVE_MS <
 	       wave_finish_at(s, v);
 }
 
-/* Is a machine of a pool that has much to do? */
-static bool member_is_busy(struct sched *s, const struct wave_machine *wm)
+/* Returns true if the pool of a machine has much work. */
+static bool member_pool_is_busy(struct sched *s, const struct wave_machine *wm)
 {
 	struct worker *w;
 	const struct machine *m = member_machine(s, wm->id, &w);
@@ -402,11 +426,13 @@
 }
 
 /*
- * Is it known what runs on a machine?  After a takeover each worker tells as
- * it answers, and one that is silent may hold up to the end of its leases:
- * the others' machines need not wait for that, since its tasks count as away.
+ * Returns true if it is known which tasks run on a machine.  After a takeover
+ * each worker reports them when it answers; on a silent one they may run until
+ * the end of its lease.  Other machines need not wait for that, because the
+ * tasks of a silent worker count as unavailable.
  */
-static bool member_is_known(struct sched *s, const struct wave_machine *wm)
+static bool member_runs_are_known(struct sched *s,
+				  const struct wave_machine *wm)
 {
 	struct worker *w;
 
@@ -414,8 +440,11 @@
 	return s->settled || (w && (w->fenced || w->gone));
 }
 
-/* Choose the next machine to take down, and give it nothing new. */
-static bool wave_mark(struct sched *s, struct wave *v)
+/*
+ * Chooses the next machine to take down and starts to drain it.  Returns false
+ * if there is none.
+ */
+static bool wave_start_drain(struct sched *s, struct wave *v)
 {
 	bool wait = wave_can_wait(s, v);
 	struct wave_machine *best = NULL, *wm;
@@ -426,8 +455,8 @@
 	for (i = 0; i < v->count; i++) {
 		wm = &v->machines[i];
 		if (wm->done || wm->draining || wm->call_in_flight ||
-		    s->now < wm->retry_at || !member_is_known(s, wm) ||
-		    (wait && member_is_busy(s, wm)))
+		    s->now < wm->retry_at || !member_runs_are_known(s, wm) ||
+		    (wait && member_pool_is_busy(s, wm)))
 			continue;
 		cost = member_cost(s, wm);
 		if (!best || cost < least) {
@@ -446,12 +475,13 @@
 }
 
 /*
- * Is it noted in the store which life of a machine is to be taken?  The call
- * succeeds also when it was carried out before: a successor that does not
- * know of it would take the new worker for gone, and start its tasks twice.
+ * Returns true if the store records which process of a machine's worker is to
+ * be taken down; otherwise has that recorded.  The call also succeeds if it was
+ * carried out earlier.  A successor that doesn't know of the earlier call would
+ * consider the new worker process gone, and start its tasks twice.
  */
-static bool member_note(struct sched *s, struct wave *v,
-			struct wave_machine *wm)
+static bool member_is_noted(struct sched *s, struct wave *v,
+			    struct wave_machine *wm)
 {
 	struct worker *w;
 	struct machine *m = member_machine(s, wm->id, &w);
@@ -470,75 +500,82 @@
 /* What a machine of a wave waits for. */
 enum member_wait {
 	MEMBER_DONE,
-	MEMBER_AWAY,	/* the call is under way, or it is down */
-	MEMBER_TURN,	/* others first, or a calmer moment */
-	MEMBER_AGAIN,	/* the call was refused: a while */
-	MEMBER_SHORT,	/* its short tasks */
-	MEMBER_LASTING, /* others of its lasting tasks' steps */
-	MEMBER_NOTE,	/* the note in the store */
-	MEMBER_ENDS,	/* its ends to be durable */
+	MEMBER_DOWN,	     /* the call is in flight, or it is down */
+	MEMBER_QUEUED,	     /* other machines, or a calmer time */
+	MEMBER_RETRY,	     /* the call was refused; it is retried later */
+	MEMBER_SHORT_TASKS,  /* the end of its short tasks */
+	MEMBER_LONG_RUNNING, /* other tasks of its long-running steps */
+	MEMBER_NOTE_WRITE,   /* its note to be written */
+	MEMBER_DURABLE_ENDS, /* the ends on its worker to be durable */
 	MEMBER_WAIT_MAX
 };
 
-/* Drive a machine on, and tell what it waits for. */
+/*
+ * Does the next action for a machine of a wave, and returns what it waits for
+ * then.
+ */
 static enum member_wait member_tick(struct sched *s, struct wave *v,
 				    struct wave_machine *wm)
 {
 	struct worker *w;
 
 	if (wm->done)
-		return member_is_away(s, wm) ? MEMBER_AWAY : MEMBER_DONE;
+		return member_may_be_down(s, wm) ? MEMBER_DOWN : MEMBER_DONE;
 	if (wm->call_in_flight)
-		return MEMBER_AWAY;
+		return MEMBER_DOWN;
 	if (s->now < wm->retry_at)
-		return MEMBER_AGAIN;
-	if (!wm->draining || !member_is_known(s, wm))
-		return MEMBER_TURN;
+		return MEMBER_RETRY;
+	if (!wm->draining || !member_runs_are_known(s, wm))
+		return MEMBER_QUEUED;
 	member_machine(s, wm->id, &w);
 	if (w)
 		w->takedown_pending = true;
-	if (w && short_tasks(w) && s->now < wm->draining_since + WAVE_DRAIN_MS)
-		return MEMBER_SHORT;
+	if (w && worker_short_tasks(w) &&
+	    s->now < wm->draining_since + WAVE_DRAIN_MS)
+		return MEMBER_SHORT_TASKS;
 	if (w && !wave_may_take_worker(s, w)) {
-		worker_thin(s, w);
-		return MEMBER_LASTING;
+		worker_stop_excess_task(s, w);
+		return MEMBER_LONG_RUNNING;
 	}
-	if (!member_note(s, v, wm))
-		return MEMBER_NOTE;
+	if (!member_is_noted(s, v, wm))
+		return MEMBER_NOTE_WRITE;
 	if (w && !worker_ends_durable(w))
-		return MEMBER_ENDS;
-	/* Tasks of the same steps on other machines can't be missed now. */
+		return MEMBER_DURABLE_ENDS;
+	/*
+	 * From now on its tasks count as unavailable when other machines are
+	 * chosen.
+	 */
 	if (w)
 		w->takedown_in_flight = true;
-	upkeep_send(s, v, wm);
-	return MEMBER_AWAY;
+	maintenance_send(s, v, wm);
+	return MEMBER_DOWN;
 }
 
-/* Tell once in a while how many machines wait for what. */
-static void wave_tell(struct sched *s, struct wave *v,
-		      const unsigned waits[MEMBER_WAIT_MAX])
+/* Logs at intervals how many machines of a wave wait for what. */
+static void wave_log_waits(struct sched *s, struct wave *v,
+			   const unsigned waits[MEMBER_WAIT_MAX])
 {
 	if (s->now < v->log_at)
 		return;
-	v->log_at = s->now + WAVE_TOLD_MS;
+	v->log_at = s->now + WAVE_LOG_INTERVAL_MS;
 	sched_log(s, LOG_WAVE,
 		  "wave=%" PRIu64 " left_ms=%lld done=%u away=%u turn=%u "
 		  "again=%u short=%u lasting=%u note=%u ends=%u",
 		  v->number, (long long)(wave_finish_at(s, v) - s->now),
-		  waits[MEMBER_DONE], waits[MEMBER_AWAY], waits[MEMBER_TURN],
-		  waits[MEMBER_AGAIN], waits[MEMBER_SHORT],
-		  waits[MEMBER_LASTING], waits[MEMBER_NOTE],
-		  waits[MEMBER_ENDS]);
+		  waits[MEMBER_DONE], waits[MEMBER_DOWN], waits[MEMBER_QUEUED],
+		  waits[MEMBER_RETRY], waits[MEMBER_SHORT_TASKS],
+		  waits[MEMBER_LONG_RUNNING], waits[MEMBER_NOTE_WRITE],
+		  waits[MEMBER_DURABLE_ENDS]);
 }
 
-/* The key of a wave's rows. */
-static void wave_key(const struct wave *v, char key[WAVE_NAME_MAX])
+/* Sets key to the key of a wave's rows. */
+static void wave_key(const struct wave *v, char key[WAVE_KEY_MAX])
 {
-	snprintf(key, WAVE_NAME_MAX, "wave/%" PRIu64, v->number);
+	snprintf(key, WAVE_KEY_MAX, "wave/%" PRIu64, v->number);
 }
 
-/* What is to be noted of a wave's machines. */
-static json_t *wave_notes(const struct wave *v)
+/* Returns the notes of a wave's machines as JSON. */
+static json_t *wave_notes_build(const struct wave *v)
 {
 	json_t *notes = json_object();
 	const struct wave_machine *wm;
@@ -560,14 +597,14 @@
 }
 
 /*
- * Write how far a wave is, for the operator and for a later owner, if no other
- * note was written since the last one known: one without an answer, carried
- * out seconds later, would make a completed wave run on, and machines that
- * were done since be called for again.
+ * Writes the progress of a wave for the operator and for a later owner, on
+ * condition that the note was not written since the latest one known.
+ * Otherwise an unanswered write, carried out seconds later, would reopen a
+ * completed wave, and machines done since then would be taken down again.
  */
 static void wave_write(struct sched *s, struct wave *v)
 {
-	char key[WAVE_NAME_MAX];
+	char key[WAVE_KEY_MAX];
 	struct request *rq;
 	struct tx *t;
 
@@ -581,7 +618,7 @@
 			 bstr_printf("{\"state\":\"%s\"}",
 				     v->completed ? "completed" : "running"));
 	json_decref(v->notes);
-	v->notes = wave_notes(v);
+	v->notes = wave_notes_build(v);
 	if (s->store_clock_known)
 		v->finish_at_store = wave_finish_at(s, v) +
 				     s->store_clock_offset;
@@ -594,11 +631,11 @@
 	v->dirty = false;
 }
 
-/* Drive a wave on. */
-static void wave_drive(struct sched *s, struct wave *v)
+/* Advances a wave: writes its rows, chooses machines, and acts on them. */
+static void wave_advance(struct sched *s, struct wave *v)
 {
-	unsigned away = 0, waits[MEMBER_WAIT_MAX] = {0};
-	bool all = true;
+	unsigned down = 0, waits[MEMBER_WAIT_MAX] = {0};
+	bool all_done = true;
 	size_t i;
 
 	if (v->requested && v->dirty && !v->writing && s->now >= v->write_at)
@@ -606,38 +643,38 @@
 	if (!v->requested || v->completed || !s->list_complete)
 		return;
 	for (i = 0; i < v->count; i++) {
-		if (member_is_away(s, &v->machines[i]) ||
+		if (member_may_be_down(s, &v->machines[i]) ||
 		    (v->machines[i].draining && !v->machines[i].done))
-			away++;
-		all = all && v->machines[i].done;
+			down++;
+		all_done = all_done && v->machines[i].done;
 	}
-	while (away < v->max_unavailable && wave_mark(s, v))
-		away++;
+	while (down < v->max_unavailable && wave_start_drain(s, v))
+		down++;
 	for (i = 0; i < v->count; i++)
 		waits[member_tick(s, v, &v->machines[i])]++;
-	wave_tell(s, v, waits);
-	if (!all)
+	wave_log_waits(s, v, waits);
+	if (!all_done)
 		return;
 	v->completed = v->dirty = true;
 	sched_log(s, LOG_WAVE_DONE, "wave=%" PRIu64 " left_ms=%lld", v->number,
 		  (long long)(wave_finish_at(s, v) - s->now));
 }
 
-/* Ask for the list of machines, from a page on. */
-static void machines_list(struct sched *s, bstr page)
+/* Requests the list of machines from a page on. */
+static void machines_request(struct sched *s, bstr page)
 {
 	struct request *rq;
 	struct ask *ask;
 
-	rq = sched_ask(s, FOR_MACHINES, ASK_MACHINES, s->now + CLOUD_TIMEOUT_MS,
-		       &ask);
+	rq = sched_ask(s, FOR_MACHINES, ASK_MACHINES,
+		       s->now + PLATFORM_TIMEOUT_MS, &ask);
 	rq->number = s->own.epoch;
 	ask->order.page = bstr_copy(page);
 	s->list_in_flight = true;
-	s->list_at = s->now + LIST_EVERY_MS;
+	s->list_at = s->now + LIST_INTERVAL_MS;
 }
 
-/* Look at the clock. */
+/* Reads the list of machines at intervals, and advances all waves. */
 void wave_tick(struct sched *s)
 {
 	struct wave *v, *next;
@@ -645,15 +682,15 @@
 	if (!own_may_order(s))
 		return;
 	if (!s->list_in_flight && s->now >= s->list_at)
-		machines_list(s, BSTR_NONE);
+		machines_request(s, BSTR_NONE);
 	if (!own_is_exclusive(s))
 		return;
 	HASH_ITER(hh, s->waves, v, next)
-		wave_drive(s, v);
+		wave_advance(s, v);
 }
 
-/* Take a row of the list of machines. */
-static void machine_take(struct sched *s, struct machine_row *r)
+/* Applies a row of the list of machines. */
+static void machine_row_apply(struct sched *s, struct machine_row *r)
 {
 	struct machine *m;
 
@@ -665,7 +702,7 @@
 	}
 	bstr_set(&m->pool, r->pool);
 	bstr_set(&m->worker, r->worker);
-	/* A list that was asked for before a move does not show it yet. */
+	/* A list requested before a move doesn't show it yet. */
 	if (s->now >= m->moving_until || r->state != MACHINE_UP)
 		m->state = r->state;
 	if (r->state == MACHINE_UP && bstr_eq(r->pool, m->moving_to))
@@ -673,10 +710,11 @@
 }
 
 /*
- * The list has been read whole.  The sizes that the pools had before anything
- * was moved are what the operator gave them: the first owner notes them.
+ * Handles the end of a complete list of machines.  The first owner records the
+ * sizes that the pools have before any machine moves, which are the sizes that
+ * the operator chose.
  */
-static void list_is_whole(struct sched *s)
+static void machines_list_complete(struct sched *s)
 {
 	struct machine *m, *next;
 	char *pool;
@@ -697,8 +735,12 @@
 	}
 }
 
-/* The list of machines, a page of it; one asked for before is too old. */
-static void list_answer(struct sched *s, struct request *rq, struct answer *a)
+/*
+ * Handles a page of the list of machines.  A page requested in an earlier epoch
+ * is out of date.
+ */
+static void machines_answer(struct sched *s, struct request *rq,
+			    struct answer *a)
 {
 	size_t i;
 
@@ -706,35 +748,37 @@
 		return;
 	s->list_in_flight = false;
 	if (a->outcome != OUT_DONE) {
-		s->list_at = s->now + CLOUD_AGAIN_MS;
+		s->list_at = s->now + PLATFORM_RETRY_MS;
 		return;
 	}
 	for (i = 0; i < a->machine_count; i++)
-		machine_take(s, &a->machines[i]);
+		machine_row_apply(s, &a->machines[i]);
 	if (a->next_page.bstr_len)
-		machines_list(s, a->next_page);
+		machines_request(s, a->next_page);
 	else
-		list_is_whole(s);
+		machines_list_complete(s);
 }
 
 /*
- * A machine has gone down: what ran on it has ended.  If it had a new life
- * since it was noted, the call may have been carried out before, and this
- * life goes on: its lease tells.
+ * Handles a successful call for maintenance.  The runs on the machine have
+ * ended.  But if its worker was restarted since it was noted, the call may have
+ * been carried out earlier, and the new process may still be running; its lease
+ * decides.
  */
-static void upkeep_done(struct sched *s, struct wave *v,
-			struct wave_machine *wm)
+static void maintenance_done(struct sched *s, struct wave *v,
+			     struct wave_machine *wm)
 {
 	struct worker *w;
 
 	wm->done = true;
-	wm->down_until = s->now + s->options.maintenance_ms + AWAY_SLACK_MS;
+	wm->down_until = s->now + s->options.maintenance_ms + DOWN_MARGIN_MS;
 	v->dirty = true;
 	member_machine(s, wm->id, &w);
 	if (w && !wm->call_is_for_noted_life) {
 		/*
-		 * Until it answers again its tasks count as away: with them
-		 * taken for at work, others of their steps were taken too.
+		 * Its tasks count as unavailable until it answers again.  If
+		 * they counted as in service, others of their steps could be
+		 * taken down at the same time.
 		 */
 		w->takedown_pending = w->takedown_in_flight = false;
 		worker_set_quiet(s, w);
@@ -749,11 +793,12 @@
 }
 
 /*
- * Nothing was done to a machine.  Its worker may be another one by the next
- * call, after a move; a note of this one would make a success look like one
- * of before, and the tasks that it ended like tasks at work.
+ * Discards the note of a machine to which nothing was done.  After a move it
+ * may have another worker by the next call.  With the old note, that call's
+ * success would look like one of an earlier call, and the tasks that it ended
+ * like tasks in service.
  */
-static void member_unnote(struct wave *v, struct wave_machine *wm)
+static void member_discard_note(struct wave *v, struct wave_machine *wm)
 {
 	if (!wm->noted)
 		return;
@@ -762,18 +807,19 @@
 	v->dirty = true;
 }
 
-/* The outcome of taking a machine down. */
-static void upkeep_answer(struct sched *s, struct request *rq, struct answer *a)
+/* Handles the outcome of a call for maintenance. */
+static void maintenance_answer(struct sched *s, struct request *rq,
+			       struct answer *a)
 {
 	struct wave *v = wave_find(s, rq->number);
-	struct wave_machine *wm = v ? wave_member(v, rq->name) : NULL;
+	struct wave_machine *wm = v ? wave_find_machine(v, rq->name) : NULL;
 	struct worker *w;
 
 	if (!wm || rq->epoch != s->own.epoch)
 		return;
 	wm->call_in_flight = false;
 	if (a->outcome == OUT_DONE) {
-		upkeep_done(s, v, wm);
+		maintenance_done(s, v, wm);
 		return;
 	}
 	member_machine(s, wm->id, &w);
@@ -783,23 +829,24 @@
 		  "wave=%" PRIu64 " machine=%.*s step=refused outcome=%d "
 		  "reason=%d",
 		  v->number, BSTR_ARG(wm->id), a->outcome, a->refusal);
-	wm->retry_at = s->now + CLOUD_AGAIN_MS;
+	wm->retry_at = s->now + PLATFORM_RETRY_MS;
 	if (a->outcome == OUT_UNKNOWN)
 		wm->call_outcome_unknown = true;
 	else if (!wm->call_outcome_unknown)
-		member_unnote(v, wm);
+		member_discard_note(v, wm);
 	if (a->refusal == REFUSAL_INVALID || a->refusal == REFUSAL_WAVE) {
-		/* There is no such machine any more, or it is not due. */
+		/* No such machine any more, or not part of the wave. */
 		wm->done = true;
 		v->dirty = true;
 	}
 }
 
-/* The outcome of a note. */
-static void note_answer(struct sched *s, struct request *rq, struct answer *a)
+/* Handles the outcome of writing a wave's rows. */
+static void wave_row_answer(struct sched *s, struct request *rq,
+			    struct answer *a)
 {
 	struct wave *v = wave_find(s, rq->number);
-	char key[WAVE_NAME_MAX];
+	char key[WAVE_KEY_MAX];
 
 	if (!v || rq->epoch != s->own.epoch)
 		return;
@@ -808,7 +855,7 @@
 		v->start_published = true;
 		if (a->revision > v->revision)
 			v->revision = a->revision;
-		wave_merge(v, false);
+		wave_apply_notes(v, false);
 		return;
 	}
 	wave_key(v, key);
@@ -824,18 +871,18 @@
 		v->write_at += STORE_RETRY_MS;
 }
 
-/* An answer about waves or machines. */
+/* Handles an answer about waves or machines. */
 void wave_answer(struct sched *s, struct request *rq, struct answer *a)
 {
 	switch (rq->purpose) {
 	case FOR_MACHINES:
-		list_answer(s, rq, a);
+		machines_answer(s, rq, a);
 		break;
 	case FOR_MAINTENANCE:
-		upkeep_answer(s, rq, a);
+		maintenance_answer(s, rq, a);
 		break;
 	default:
-		note_answer(s, rq, a);
+		wave_row_answer(s, rq, a);
 		break;
 	}
 }
