--- a/sched-note.c
+++ b/sched-note.c
@@ -1,56 +1,66 @@
 /*
- * The note of the workers that may hold leases of the owner: written by it with
- * a beat, and taken over by its successor.
+ * The note of workers that may hold leases of the owner.  The owner writes it
+ * together with a heartbeat, and its successor reads it.
  */
 #include "sched-state.h"
 #include "json-read.h"
 
 #include <stdlib.h>
 
-/* The note is written anew for what is left out of it so often at most. */
-#define NOTE_AGAIN_MS 700
+/*
+ * The note is rewritten at most once in this interval if it is only to drop
+ * workers.
+ */
+#define NOTE_DROP_INTERVAL_MS 700
 
 /*
- * Does a worker hold nothing, and get nothing?  It is gone, or its machine is
- * about to be taken and none of its tasks is left.
+ * Returns true if a worker holds no lease and will get none: it is gone, or its
+ * machine is about to be taken down and it has no tasks left.
  */
-static bool worker_is_bare(const struct worker *w)
+static bool worker_is_unused(const struct worker *w)
 {
 	return w->gone || (w->takedown_pending && TAILQ_EMPTY(&w->tasks));
 }
 
 /*
- * The workers that may hold leases of this owner are noted in the store
- * before they get work.  A worker's own row may lapse while it is cut off
- * and runs on: a successor would not know of it, and would start its tasks
- * elsewhere.  Those that hold nothing any more are left out in time: a
- * successor would wait for each life of a moved machine until no lease can
- * hold.  True: the note is to be written.  Not while the owner loads: what the
- * one before it noted may not have been read.
+ * Returns true if the note has to be written, and marks the workers to be in
+ * it.
+ *
+ * Workers that may hold leases of this owner are noted in the store before they
+ * get tasks.  A worker's own row may lapse while the worker is cut off but
+ * running; a successor that doesn't know of the worker would start its tasks
+ * elsewhere.  Workers that hold nothing any more are dropped from the note in
+ * time, because a successor waits for every process in it until no lease can be
+ * valid, also for each earlier process of a machine that moved.
+ *
+ * An owner that is still loading writes no note, as it may not have read its
+ * predecessor's.
  */
 bool workers_note_is_due(struct sched *s)
 {
-	bool due = s->now >= s->note_at, any = due && s->note_has_gone_worker;
+	bool may_drop = s->now >= s->note_at,
+	     write = may_drop && s->note_has_gone_worker;
 	struct worker *w, *next;
 
 	if (s->own.state != OWN_OWNER)
 		return false;
 	HASH_ITER(hh, s->workers, w, next)
-		any = any || (worker_is_bare(w) ? due && w->noted : !w->noted);
+		write = write || (worker_is_unused(w) ? may_drop && w->noted
+						      : !w->noted);
 	HASH_ITER(hh, s->workers, w, next) {
-		w->note_in_flight = any && !worker_is_bare(w);
-		/* If it stays, it is noted anew before it gets work. */
-		if (any && worker_is_bare(w))
+		w->note_in_flight = write && !worker_is_unused(w);
+		/* If it stays, it is noted again before it gets tasks. */
+		if (write && worker_is_unused(w))
 			w->noted = false;
 	}
-	if (any) {
-		s->note_at = s->now + NOTE_AGAIN_MS;
+	if (write) {
+		s->note_at = s->now + NOTE_DROP_INTERVAL_MS;
 		s->note_has_gone_worker = false;
 	}
-	return any;
+	return write;
 }
 
-/* What was to be noted is. */
+/* Marks the workers of a written note as noted. */
 void workers_note_written(struct sched *s)
 {
 	struct worker *w, *next;
@@ -64,8 +74,8 @@
 }
 
 /*
- * The row that notes them: workers by service.  A row has at most 64 KB, and so
- * room for some 4,000.
+ * Returns the row of the note: workers by service.  A row is limited to 64 KB,
+ * which is enough for some 4,000 workers.
  */
 bstr workers_row_write(const struct sched *s)
 {
@@ -74,7 +84,7 @@
 	char *service;
 
 	for (w = s->workers; w; w = w->hh.next) {
-		if (worker_is_bare(w))
+		if (worker_is_unused(w))
 			continue;
 		service = bstr_cstr(w->row.service);
 		list = json_object_get(services, service);
@@ -88,14 +98,14 @@
 	return json_write(services);
 }
 
-/* Read it, as another owner wrote it. */
+/* Reads the note of an earlier owner. */
 void workers_row_read(struct sched *s, bstr row)
 {
 	json_decref(s->own.workers);
 	s->own.workers = json_read(row);
 }
 
-/* Take over one worker that the old owner noted. */
+/* Takes over a worker that an earlier owner noted. */
 static void worker_inherit(struct sched *s, bstr id, const char *service)
 {
 	struct worker *w = worker_find(s, id);
@@ -113,8 +123,8 @@
 }
 
 /*
- * Take over the workers that the old owner noted, also those that have no row.
- * Whom it had not noted it had given nothing to.
+ * Takes over the workers that an earlier owner noted, including those without a
+ * row of their own.  Workers that it had not noted had no tasks.
  */
 void workers_inherit(struct sched *s)
 {
--- a/sched-pool.c
+++ b/sched-pool.c
@@ -1,12 +1,12 @@
 /*
- * The pools: the workers of each service, which of them may get work and what
- * room they have, and of how many it is not known what they run.
+ * Pools: the workers of each service, their free resources, and how many of
+ * them may have runs that are not known.
  */
 #include "sched-state.h"
 
 #include <stdlib.h>
 
-/* The pool of a service, made if there is none. */
+/* Returns the pool of a service, and adds it if it is new. */
 struct pool *pool_of(struct sched *s, bstr service)
 {
 	struct pool *p;
@@ -22,7 +22,7 @@
 	return p;
 }
 
-/* The pool whose workers run a job, by the configuration in force. */
+/* Returns the pool that runs a job, according to the configuration in force. */
 struct pool *job_pool(struct sched *s, struct job *j)
 {
 	bstr service = job_service(s, j);
@@ -32,14 +32,14 @@
 	return j->estimate.pool;
 }
 
-/* Is it known which runs of earlier owners a worker has, or had? */
-static bool worker_is_known(const struct worker *w)
+/* Returns true if all runs of earlier owners on a worker are known. */
+static bool worker_runs_are_known(const struct worker *w)
 {
 	return !w->inherited || w->gone ||
 	       (w->fenced && !w->ends_truncated && !w->ends_held);
 }
 
-/* A worker counts no more. */
+/* Removes a worker from the counts of unknown workers. */
 void worker_uncount(struct sched *s, struct worker *w)
 {
 	if (!w->unknown)
@@ -50,16 +50,16 @@
 }
 
 /*
- * Count a worker in the pool of its service, and as unknown there if so.  To
- * be called when one of both changes: at a takeover it is asked for each job
- * and worker, and a walk over the workers each time would be all that the
- * owner does.
+ * Assigns a worker to the pool of its service, and counts it there if its runs
+ * are unknown.  To be called when one of both changes.  During a takeover the
+ * count is used for each job and worker, and iterating over the workers each
+ * time would take all of the owner's time.
  */
 void worker_count(struct sched *s, struct worker *w)
 {
 	worker_uncount(s, w);
 	w->pool = pool_of(s, w->row.service);
-	if (worker_is_known(w))
+	if (worker_runs_are_known(w))
 		return;
 	w->unknown = true;
 	w->pool->unknown++;
@@ -67,8 +67,9 @@
 }
 
 /*
- * Is it known of all workers of a service what they run?  Tasks of earlier
- * owners may be on those that have not answered and may still hold a lease.
+ * Returns true if the runs of all workers of a service are known.  Tasks of
+ * earlier owners may run on workers that have not answered and may still hold a
+ * lease.
  */
 bool pool_is_settled(struct sched *s, bstr service)
 {
@@ -76,13 +77,16 @@
 				     !pool_of(s, BSTR_NONE)->unknown);
 }
 
-/* What is free on a worker. */
+/* Returns the free resources of a worker. */
 struct resources worker_free_room(const struct worker *w)
 {
 	return resources_sub(w->row.capacity, w->used);
 }
 
-/* Sum up again the most that one worker of a pool has free. */
+/*
+ * Computes the free resources of a pool: the sum, and the most of each resource
+ * that any worker has.
+ */
 void pool_measure(struct pool *p)
 {
 	struct resources r;
@@ -98,8 +102,9 @@
 }
 
 /*
- * Is it known that no worker has room for a need?  Room only shrinks while
- * tasks are placed, so what found none rules out all that want as much.
+ * Returns true if it is known that no worker of a pool has room for a need.
+ * Free resources only decrease during a placement pass, so a need that was not
+ * placeable rules out all equal and larger ones.
  */
 bool pool_is_known_full(const struct pool *p, struct resources need)
 {
@@ -111,7 +116,7 @@
 	return false;
 }
 
-/* No worker of a pool had room for a need. */
+/* Records that no worker of a pool has room for a need. */
 void pool_note_full(struct pool *p, struct resources need)
 {
 	if (pool_is_known_full(p, need))
@@ -121,7 +126,7 @@
 	p->unplaceable[p->unplaceable_count - 1] = need;
 }
 
-/* Add a worker to those of its pool that may get work. */
+/* Adds a worker to those of its pool that may get tasks. */
 static void pool_add(struct pool *p, struct worker *w)
 {
 	if (p->count == p->space) {
@@ -132,7 +137,7 @@
 	p->workers[p->count++] = w;
 }
 
-/* Find the workers that may get work now, for a look at what waits. */
+/* Updates the eligible workers of all pools for a placement pass. */
 void pools_refresh(struct sched *s)
 {
 	struct worker *w, *next;
@@ -149,7 +154,7 @@
 		pool_measure(p);
 }
 
-/* Free the pools; no worker and no job speaks of them any more. */
+/* Frees the pools.  No worker and no job may refer to them. */
 void pools_free(struct sched *s)
 {
 	struct pool *p, *next;
--- a/sched-row.c
+++ b/sched-row.c
@@ -1,6 +1,6 @@
 /*
- * The scheduler's own rows in the store, as JSON: a job as it was accepted,
- * its progress, the ownership and the owner's beat.
+ * Encoding of the scheduler's own rows in the store as JSON: accepted jobs,
+ * their progress, the ownership, and the owner's heartbeat.
  */
 #include "sched-state.h"
 #include "json-read.h"
@@ -9,32 +9,32 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const char *const fate_names[] = {
+static const char *const job_status_names[] = {
 	[JOB_STATUS_QUEUED] = "queued",	      [JOB_STATUS_RUNNING] = "running",
 	[JOB_STATUS_COMPLETED] = "completed", [JOB_STATUS_FAILED] = "failed",
 	[JOB_STATUS_CANCELLED] = "cancelled",
 };
 
-/* The word for a job's state. */
-const char *job_status_name(enum job_status f)
+/* Returns the word for a job's status. */
+const char *job_status_name(enum job_status status)
 {
-	return fate_names[f];
+	return job_status_names[status];
 }
 
-/* A whole number of an object, or 0. */
-static int64_t int_of(const json_t *j, const char *key)
+/* Returns an integer member of an object, or 0. */
+static int64_t int_member(const json_t *j, const char *key)
 {
 	return json_integer_value(json_object_get(j, key));
 }
 
-/* Set a flag that is left out when it is false. */
-static void set_flag(json_t *j, const char *key, bool on)
+/* Sets a Boolean member, which is omitted if false. */
+static void set_if_true(json_t *j, const char *key, bool on)
 {
 	if (on)
 		json_object_set_new(j, key, json_true());
 }
 
-/* A step as JSON. */
+/* Encodes a step. */
 static json_t *step_write(const struct job_step *st)
 {
 	json_t *j = json_object(), *after = json_array();
@@ -49,12 +49,12 @@
 		json_array_append_new(after,
 				      json_integer(st->prerequisites[i]));
 	json_object_set_new(j, "after", after);
-	set_flag(j, "checkpoints", st->checkpoints);
-	set_flag(j, "gang", st->gang);
-	set_flag(j, "tight", st->same_rack);
-	set_flag(j, "speculative", st->speculative);
-	set_flag(j, "lasts", st->long_running);
-	set_flag(j, "fills", st->best_effort);
+	set_if_true(j, "checkpoints", st->checkpoints);
+	set_if_true(j, "gang", st->gang);
+	set_if_true(j, "tight", st->same_rack);
+	set_if_true(j, "speculative", st->speculative);
+	set_if_true(j, "lasts", st->long_running);
+	set_if_true(j, "fills", st->best_effort);
 	json_set_nonempty(j, "label", st->required_label);
 	json_set_nonempty(j, "rack", st->preferred_rack);
 	json_set_nonempty(j, "image", st->image);
@@ -64,18 +64,18 @@
 	return j;
 }
 
-/* A step from JSON. */
+/* Decodes a step. */
 static void step_parse(const json_t *j, struct job_step *st)
 {
 	const json_t *after = json_object_get(j, "after");
 	json_t *v;
 	size_t i;
 
-	st->count = (unsigned)int_of(j, "count");
-	st->need.cpu = int_of(j, "cpu");
-	st->need.memory = int_of(j, "memory");
-	st->need.gpus = int_of(j, "gpus");
-	st->estimated_ms = (uint32_t)int_of(j, "estimated_ms");
+	st->count = (unsigned)int_member(j, "count");
+	st->need.cpu = int_member(j, "cpu");
+	st->need.memory = int_member(j, "memory");
+	st->need.gpus = int_member(j, "gpus");
+	st->estimated_ms = (uint32_t)int_member(j, "estimated_ms");
 	st->prerequisites = xcalloc(json_array_size(after) + 1,
 				    sizeof(*st->prerequisites));
 	json_array_foreach(after, i, v)
@@ -90,12 +90,12 @@
 	st->required_label = bstr_from_json(json_object_get(j, "label"));
 	st->preferred_rack = bstr_from_json(json_object_get(j, "rack"));
 	st->image = bstr_from_json(json_object_get(j, "image"));
-	st->max_per_worker = (unsigned)int_of(j, "apart");
-	st->target_latency_ms = (uint32_t)int_of(j, "target_ms");
-	st->max_unavailable = (unsigned)int_of(j, "may_miss");
+	st->max_per_worker = (unsigned)int_member(j, "apart");
+	st->target_latency_ms = (uint32_t)int_member(j, "target_ms");
+	st->max_unavailable = (unsigned)int_member(j, "may_miss");
 }
 
-/* The row of a job as it was accepted. */
+/* Returns the row of an accepted job. */
 bstr job_row_write(const struct job *j)
 {
 	json_t *steps = json_array(), *row;
@@ -115,7 +115,7 @@
 	return json_write(row);
 }
 
-/* A job from its row; NULL if it is none. */
+/* Returns a job decoded from its row, or NULL if the row is malformed. */
 struct job *job_row_read(const char *id, bstr text)
 {
 	json_t *row = json_read(text);
@@ -134,12 +134,12 @@
 	j->tenant = bstr_from_json(json_object_get(row, "tenant"));
 	j->route = bstr_from_json(json_object_get(row, "route"));
 	j->service = bstr_from_json(json_object_get(row, "service"));
-	j->submitted = int_of(row, "submitted");
+	j->submitted = int_member(row, "submitted");
 	j->body = xcalloc(1, sizeof(*j->body));
 	j->body->payload = bstr_from_json(json_object_get(row, "payload"));
-	j->body->repeat_count = (unsigned)int_of(row, "repeat");
-	j->body->first_at = int_of(row, "first_at");
-	j->body->interval_ms = int_of(row, "interval_ms");
+	j->body->repeat_count = (unsigned)int_member(row, "repeat");
+	j->body->first_at = int_member(row, "first_at");
+	j->body->interval_ms = int_member(row, "interval_ms");
 	j->body->step_count = json_array_size(steps);
 	j->body->steps = xcalloc(j->body->step_count, sizeof(*j->body->steps));
 	json_array_foreach(steps, i, v)
@@ -148,7 +148,10 @@
 	return j;
 }
 
-/* Whose job is it, by its row? */
+/*
+ * Sets tenant to the organisation in a job's row.  Returns false if the row is
+ * malformed.
+ */
 bool job_row_tenant(bstr text, bstr *tenant)
 {
 	json_t *row = json_read(text);
@@ -159,8 +162,8 @@
 	return ok;
 }
 
-/* The tasks of an occurrence that are done, a bit each, in hex. */
-static json_t *done_write(const struct occurrence *o)
+/* Encodes the completed tasks of an occurrence as a hexadecimal bit mask. */
+static json_t *done_tasks_write(const struct occurrence *o)
 {
 	size_t bytes = (o->task_count + 7) / 8;
 	uint8_t *bits = xcalloc(bytes, 1);
@@ -179,10 +182,10 @@
 }
 
 /*
- * The runs of a task that failed.  Their workers list these ends until they
- * are acknowledged, and a successor must not count them again.
+ * Encodes the numbers of a task's failed runs.  Their workers list these ends
+ * until they are acknowledged, and a successor must not count them again.
  */
-static json_t *fails_write(const struct task *t)
+static json_t *failed_runs_write(const struct task *t)
 {
 	json_t *runs = json_array();
 	unsigned i;
@@ -193,8 +196,8 @@
 	return runs;
 }
 
-/* Read them. */
-static void fails_read(const json_t *runs, struct task *t)
+/* Decodes the numbers of a task's failed runs. */
+static void failed_runs_read(const json_t *runs, struct task *t)
 {
 	size_t i;
 	json_t *v;
@@ -210,7 +213,7 @@
 	}
 }
 
-/* Progress of an occurrence: done, failures and checkpoints by task. */
+/* Encodes an occurrence's completed tasks, failed runs and checkpoints. */
 static json_t *occurrence_write(const struct occurrence *o)
 {
 	json_t *fails = json_object(), *saved = json_object();
@@ -224,16 +227,18 @@
 			continue;
 		snprintf(number, sizeof(number), "%u", i);
 		if (t->failure_count && !task_step(t)->long_running)
-			json_object_set_new(fails, number, fails_write(t));
+			json_object_set_new(fails, number,
+					    failed_runs_write(t));
 		if (t->checkpoint.bstr_len)
 			json_object_set_new(saved, number,
 					    bstr_to_json(t->checkpoint));
 	}
 	return json_pack("{s:I, s:o, s:o, s:o}", "k", (json_int_t)o->number,
-			 "done", done_write(o), "fails", fails, "saved", saved);
+			 "done", done_tasks_write(o), "fails", fails, "saved",
+			 saved);
 }
 
-/* The row of a job's progress. */
+/* Returns the row of a job's progress. */
 bstr progress_write(const struct job *j)
 {
 	const struct occurrence *o;
@@ -253,36 +258,39 @@
 	return json_write(row);
 }
 
-/* Read the state in a row of progress. */
-static bool fate_parse(const json_t *row, enum job_status *fate)
+/* Decodes the status in a row of progress.  Returns false if there is none. */
+static bool status_parse(const json_t *row, enum job_status *status)
 {
 	const char *word = json_string_value(json_object_get(row, "state"));
 	size_t i;
 
-	for (i = 0; word && i < NELEMS(fate_names); i++) {
-		if (strcmp(word, fate_names[i]) == 0) {
-			*fate = (enum job_status)i;
+	for (i = 0; word && i < NELEMS(job_status_names); i++) {
+		if (strcmp(word, job_status_names[i]) == 0) {
+			*status = (enum job_status)i;
 			return true;
 		}
 	}
 	return false;
 }
 
-/* What a caller wants to know of a row of progress; tenant is copied. */
-bool progress_peek(bstr text, bstr *tenant, enum job_status *fate,
+/*
+ * Decodes the parts of a row of progress that a caller's request needs; tenant
+ * is a copy.  Returns false if the row is malformed.
+ */
+bool progress_peek(bstr text, bstr *tenant, enum job_status *status,
 		   int64_t *ended)
 {
 	json_t *row = json_read(text);
-	bool ok = fate_parse(row, fate);
+	bool ok = status_parse(row, status);
 
 	*tenant = ok ? bstr_from_json(json_object_get(row, "tenant"))
 		     : BSTR_NONE;
-	*ended = int_of(row, "ended");
+	*ended = int_member(row, "ended");
 	json_decref(row);
 	return ok;
 }
 
-/* Set what an occurrence's progress tells. */
+/* Decodes an occurrence's progress. */
 static void occurrence_parse(struct occurrence *o, const json_t *j)
 {
 	size_t bytes = (o->task_count + 7) / 8;
@@ -299,7 +307,7 @@
 		t = &o->tasks[i];
 		snprintf(number, sizeof(number), "%u", i);
 		v = json_object_get(json_object_get(j, "fails"), number);
-		fails_read(v, t);
+		failed_runs_read(v, t);
 		v = json_object_get(json_object_get(j, "saved"), number);
 		bstr_free(&t->checkpoint);
 		t->checkpoint = bstr_from_json(v);
@@ -313,28 +321,28 @@
 	free(bits);
 }
 
-/* Set a job's progress from its row. */
+/* Sets a job's progress from its row.  Returns false if it is malformed. */
 bool progress_apply(struct job *j, bstr text)
 {
 	json_t *row = json_read(text), *v;
 	const json_t *occs = json_object_get(row, "times");
 	size_t i;
 
-	if (!fate_parse(row, &j->status)) {
+	if (!status_parse(row, &j->status)) {
 		json_decref(row);
 		return false;
 	}
-	j->ended = int_of(row, "ended");
+	j->ended = int_member(row, "ended");
 	json_array_foreach(occs, i, v) {
-		job_make_occurrence(j, (unsigned)int_of(v, "k"));
+		job_make_occurrence(j, (unsigned)int_member(v, "k"));
 		occurrence_parse(TAILQ_LAST(&j->occs, occurrence_list), v);
 	}
-	j->next_occurrence = (unsigned)int_of(row, "next");
+	j->next_occurrence = (unsigned)int_member(row, "next");
 	json_decref(row);
 	return true;
 }
 
-/* The row that says who owns the scheduling; released: nobody. */
+/* Returns the owner row; a released one names no holder. */
 bstr owner_row_write(const struct ownership *o, bool release)
 {
 	return json_write(json_pack(
@@ -343,15 +351,15 @@
 		(json_int_t)o->holder_seed, "settled", o->settled));
 }
 
-/* Read it. */
+/* Decodes the owner row.  Returns false if it is malformed. */
 bool owner_row_read(bstr text, struct ownership *o)
 {
 	json_t *row = json_read(text);
 	bool ok = json_is_integer(json_object_get(row, "epoch"));
 
 	if (ok) {
-		o->epoch = (uint64_t)int_of(row, "epoch");
-		o->holder_seed = (uint64_t)int_of(row, "life");
+		o->epoch = (uint64_t)int_member(row, "epoch");
+		o->holder_seed = (uint64_t)int_member(row, "life");
 		bstr_free(&o->holder);
 		o->holder = bstr_from_json(json_object_get(row, "vm"));
 		o->settled = json_is_true(json_object_get(row, "settled"));
@@ -360,7 +368,10 @@
 	return ok;
 }
 
-/* The owner's beat, with the waiting jobs of each queue. */
+/*
+ * Returns the row of the owner's heartbeat, with the number of waiting jobs of
+ * each queue.
+ */
 bstr heartbeat_row_write(struct sched *s)
 {
 	return json_write(json_pack(
@@ -371,7 +382,10 @@
 		"ceilings", ceilings_write(s), "admit", admissions_write(s)));
 }
 
-/* Read a beat: its epoch, and the counts. */
+/*
+ * Decodes the row of a heartbeat: its epoch, the ceilings, the counts of
+ * waiting jobs and the admissions.  Returns false if it is malformed.
+ */
 bool heartbeat_row_read(struct sched *s, bstr text, uint64_t *epoch)
 {
 	json_t *row = json_read(text);
@@ -380,10 +394,11 @@
 		json_decref(row);
 		return false;
 	}
-	*epoch = (uint64_t)int_of(row, "epoch");
+	*epoch = (uint64_t)int_member(row, "epoch");
 	json_decref(s->own.ceilings);
 	s->own.ceilings = json_incref(json_object_get(row, "ceilings"));
-	counts_read(s, json_object_get(row, "waiting"), int_of(row, "told_at"));
+	counts_read(s, json_object_get(row, "waiting"),
+		    int_member(row, "told_at"));
 	admissions_read(s, json_object_get(row, "admit"));
 	json_decref(row);
 	return true;
--- a/sched.c
+++ b/sched.c
@@ -1,13 +1,13 @@
 /*
- * The scheduler's reducer: it hands each event to the file whose subject it
- * is, and lets every subject look at the clock.
+ * The scheduler's reducer.  It passes each event to the file that handles it,
+ * and at each tick lets all files check their timeouts.
  */
 #include "sched-state.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Add an effect of a kind. */
+/* Adds an effect; the caller fills in the rest of it. */
 struct sched_effect *sched_effect_add(struct sched *s,
 				      enum sched_effect_kind kind)
 {
@@ -18,7 +18,7 @@
 	return fx;
 }
 
-/* Add an ask, and remember what its answer is for. */
+/* Adds a request to another service, and records what its answer is for. */
 struct request *sched_ask(struct sched *s, enum purpose purpose,
 			  enum ask_kind kind, int64_t deadline,
 			  struct ask **ask)
@@ -39,7 +39,7 @@
 	return rq;
 }
 
-/* Log a numbered event; fmt gives its fields, key=value. */
+/* Logs an event by its number; fmt formats its fields as key=value. */
 void sched_log(struct sched *s, uint32_t number, const char *fmt, ...)
 {
 	struct sched_effect *fx = sched_effect_add(s, EFFECT_LOG);
@@ -52,7 +52,7 @@
 	va_end(ap);
 }
 
-/* Count something. */
+/* Adds to a counter. */
 void sched_count(struct sched *s, enum counter_id id, uint64_t n)
 {
 	struct sched_effect *fx = sched_effect_add(s, EFFECT_COUNT);
@@ -61,7 +61,7 @@
 	fx->count.n = n;
 }
 
-/* Set a gauge. */
+/* Sets a gauge. */
 void sched_gauge(struct sched *s, enum counter_id id, uint64_t n)
 {
 	struct sched_effect *fx = sched_effect_add(s, EFFECT_GAUGE);
@@ -70,7 +70,7 @@
 	fx->count.n = n;
 }
 
-/* Add a time to a histogram. */
+/* Adds a duration to a histogram. */
 void sched_observe(struct sched *s, enum histogram_id id, int64_t ms)
 {
 	struct sched_effect *fx = sched_effect_add(s, EFFECT_OBSERVE);
@@ -80,19 +80,22 @@
 }
 
 /*
- * Does the store serve this VM?  After two failures in a row it does not,
- * until a request succeeds; the feeds go on asking.
+ * Returns true if the store serves this VM.  After two consecutive failures it
+ * doesn't, until a request succeeds; the feeds continue to send requests.
  */
 bool sched_store_is_up(const struct sched *s)
 {
 	return s->store_failures < 2;
 }
 
-/* Judge the store by an answer of it. */
-static void store_judge(struct sched *s, const struct answer *a)
+/* Updates the state of the store by the outcome of a request to it. */
+static void store_update_state(struct sched *s, const struct answer *a)
 {
 	if (a->outcome == OUT_REFUSED || a->outcome == OUT_UNKNOWN) {
-		/* What failed together, such as feeds cut at once, is one. */
+		/*
+		 * Simultaneous failures, such as several feeds cut at once,
+		 * count once.
+		 */
 		if (s->now - s->store_failed_at < STORE_FAILURE_GAP_MS)
 			return;
 		s->store_failed_at = s->now;
@@ -114,20 +117,20 @@
 	s->store_ok_at = s->now;
 }
 
-/* Is the purpose an exchange with the store? */
+/* Returns true if a request for this purpose goes to the store. */
 static bool purpose_is_store(enum purpose p)
 {
 	return p < FOR_POLL || p == FOR_WAVE_ROW;
 }
 
-/* Does an answer to it wait for something to happen? */
+/* Returns true if the answer to such a request waits for a change. */
 static bool purpose_is_feed(enum purpose p)
 {
 	return p == FOR_OPERATOR_FEED || p == FOR_OWNER_FEED ||
 	       p == FOR_WORKERS_FEED || p == FOR_JOBS_FEED;
 }
 
-/* Hand an answer to whoever asked. */
+/* Passes an answer to the file that sent the request. */
 static void answer_dispatch(struct sched *s, struct request *rq,
 			    struct answer *a)
 {
@@ -188,8 +191,8 @@
 	}
 }
 
-/* Take an answer. */
-static void answer_take(struct sched *s, struct answer *a)
+/* Handles an answer. */
+static void answer_process(struct sched *s, struct answer *a)
 {
 	struct request *rq;
 
@@ -199,7 +202,7 @@
 	HASH_DEL(s->requests, rq);
 	if (purpose_is_store(rq->purpose)) {
 		store_clock_update(s, a);
-		store_judge(s, a);
+		store_update_state(s, a);
 		if (!purpose_is_feed(rq->purpose))
 			sched_observe(s, HISTOGRAM_STORE, s->now - a->sent_at);
 	}
@@ -211,9 +214,10 @@
 }
 
 /*
- * A process that did not run for a while may have lost its ownership: it
- * gives no order before the store has told that it has not.  Answers that
- * waited come before the next tick, so each event is looked at.
+ * Detects that the process did not run for a while.  It may have lost its
+ * ownership meanwhile, so it sends no order until the store has confirmed the
+ * ownership.  Answers that waited are processed before the next tick, so this
+ * is checked at each event.
  */
 static void suspension_check(struct sched *s)
 {
@@ -228,7 +232,7 @@
 	s->last_event_at = s->now;
 }
 
-/* Say whether this VM wants new connections, when that changes. */
+/* Reports changes of whether this VM accepts new connections. */
 static void ready_tick(struct sched *s)
 {
 	bool ready = s->config && sched_store_is_up(s) && !s->stop_by;
@@ -242,25 +246,26 @@
 		  s->stop_by != 0);
 }
 
-/* A planned stop: finish what is under way, then end. */
+/* Ends the process in a planned stop, when its calls are done or time is up. */
 static void stop_tick(struct sched *s)
 {
-	bool leaves = s->now >= s->end_at && !s->calls;
+	bool may_end_early = s->now >= s->end_at && !s->calls;
 
 	if (!s->stop_by || s->ended)
 		return;
-	if (s->now < s->stop_by && !leaves)
+	if (s->now < s->stop_by && !may_end_early)
 		return;
 	s->ended = true;
 	sched_effect_add(s, EFFECT_END);
 }
 
 /*
- * Begin a planned stop.  One that is asked for as the process wakes may have
- * been asked for while it stood still, and its grace is then as good as over:
- * it would be killed in the midst of its calls.
+ * Begins a planned stop.  If the process has just resumed after a suspension,
+ * the stop may have been requested while it was suspended, and most of the
+ * grace period may be over; without a shorter one the process would be killed
+ * while it handles calls.
  */
-static void stop_take(struct sched *s)
+static void stop_begin(struct sched *s)
 {
 	if (s->stop_by)
 		return;
@@ -273,35 +278,35 @@
 	own_release(s);
 }
 
-/* A gauge's value for an age; one that is not known is as old as can be. */
-static uint64_t gauge_of(int64_t age)
+/* Returns the value of a gauge for an age; an unknown age is the maximum. */
+static uint64_t gauge_of_age(int64_t age)
 {
 	return age < 0 ? UINT32_MAX : (uint64_t)age;
 }
 
-/* Tell what this VM believes, once in a while. */
+/* Sets the gauges at intervals. */
 static void gauges_tick(struct sched *s)
 {
 	const struct worker *w;
-	uint64_t taking = 0;
+	uint64_t eligible = 0;
 
 	if (s->now < s->gauges_set_at)
 		return;
 	s->gauges_set_at = s->now + GAUGE_INTERVAL_MS;
 	for (w = s->workers; w; w = w->hh.next)
-		taking += worker_is_eligible(s, w);
+		eligible += worker_is_eligible(s, w);
 	sched_gauge(s, COUNT_OWNER, s->own.state == OWN_OWNER);
 	sched_gauge(s, COUNT_JOBS_OPEN, HASH_COUNT(s->jobs));
 	sched_gauge(s, COUNT_WORKERS_KNOWN, HASH_COUNT(s->workers));
-	sched_gauge(s, COUNT_WORKERS_TAKING, taking);
+	sched_gauge(s, COUNT_WORKERS_TAKING, eligible);
 	sched_gauge(s, COUNT_CONFIG_REVISION,
 		    s->config ? s->config->version : 0);
 	sched_gauge(s, COUNT_STORE_AGE, (uint64_t)(s->now - s->store_ok_at));
-	sched_gauge(s, COUNT_COUNTS_AGE, gauge_of(counts_age_ms(s)));
+	sched_gauge(s, COUNT_COUNTS_AGE, gauge_of_age(counts_age_ms(s)));
 }
 
-/* Look at the clock. */
-static void tick_take(struct sched *s)
+/* Handles a tick: checks all timeouts. */
+static void tick_process(struct sched *s)
 {
 	s->place_due = s->place_due || s->has_pending_tasks;
 	follow_tick(s);
@@ -318,7 +323,7 @@
 	stop_tick(s);
 }
 
-/* Take an event, give its effects. */
+/* Handles an event and appends its effects to out. */
 void sched_reduce(struct sched *s, const struct sched_event *ev,
 		  struct sched_effects *out)
 {
@@ -328,22 +333,22 @@
 	suspension_check(s);
 	switch (ev->kind) {
 	case EVENT_TICK:
-		tick_take(s);
+		tick_process(s);
 		break;
 	case EVENT_CALL:
 		call_receive(s, (struct call_in *)&ev->call);
 		break;
 	case EVENT_ANSWER:
-		answer_take(s, (struct answer *)&ev->answer);
+		answer_process(s, (struct answer *)&ev->answer);
 		break;
 	case EVENT_STOP:
-		stop_take(s);
+		stop_begin(s);
 		break;
 	}
 	/*
-	 * One look at all that waits serves a whole round of events: under
-	 * load a look for each would cost the owner more than its share of
-	 * the processor, and the queue would grow by that.
+	 * One placement pass serves a whole round of events.  Under load a pass
+	 * for each event would take more processor time than the owner has, and
+	 * the queue would grow because of that.
 	 */
 	if (s->place_due && !ev->more_follow && s->now >= s->place_at)
 		place_all(s);
@@ -352,7 +357,7 @@
 	s->effects = NULL;
 }
 
-/* Set up how a table is followed. */
+/* Returns the initial state of following a table. */
 static struct follow follow_make(enum table table, enum purpose get,
 				 enum purpose feed, uint32_t wait_ms,
 				 bool wanted)
@@ -364,7 +369,7 @@
 			       .wanted = wanted};
 }
 
-/* Make a scheduler that knows nothing yet. */
+/* Creates a scheduler that has read nothing yet. */
 struct sched *sched_new(const struct sched_options *o)
 {
 	struct sched *s = xcalloc(1, sizeof(*s));
@@ -394,7 +399,7 @@
 	return s;
 }
 
-/* Free the scheduler; what is under way is forgotten. */
+/* Frees a scheduler; requests in flight are abandoned. */
 void sched_free(struct sched *s)
 {
 	struct request *rq, *next_rq;
