--- a/sched-order.c
+++ b/sched-order.c
@@ -22,7 +22,7 @@
 
 /*
  * Returns what a task of a step needs of a worker.  Best-effort tasks use only
- * idle cores, so they need none.
+ * idle cores, so they need no CPU.
  */
 struct resources step_need(const struct job_step *st)
 {
@@ -224,7 +224,7 @@
 	o->run = t->run;
 }
 
-/* Stops a run that doesn't belong to the current state of any task. */
+/* Stops a stray run, which is not the current run of any task. */
 void run_stop(struct sched *s, struct worker *w, bstr task, uint64_t run)
 {
 	struct request *rq;
--- a/sched-pace.c
+++ b/sched-pace.c
@@ -1,20 +1,30 @@
 /*
- * Pacing of tasks that fill: they use what others leave idle, but disturb
- * the tasks that serve beside them, whose tail latency has a target.
+ * Throttling of best-effort tasks.  They use CPU that others leave idle, but
+ * slow down long-running tasks on the same worker that have a target tail
+ * latency.
  */
 #include "sched-state.h"
 
-/* From this share of the target on, what fills is slowed; below the lower
- * one it is let go again.  The tail is a rough figure of half a second. */
-#define TAIL_HIGH 0.8
-#define TAIL_LOW 0.5
-/* Steps are taken no faster than the figure can show them. */
-#define PACE_DOWN_MS 300
-#define PACE_UP_MS 1200
+/*
+ * Above the first share of the target latency best-effort tasks are throttled,
+ * below the second one they are released again.  The reported tail latency is a
+ * rough estimate over half a second.
+ */
+#define LATENCY_HIGH 0.8
+#define LATENCY_LOW 0.5
+/*
+ * Minimum intervals between changes, so that the reported latency shows the
+ * effect of the last one.
+ */
+#define PACE_DOWN_INTERVAL_MS 300
+#define PACE_UP_INTERVAL_MS 1200
 #define PACE_UP_STEP 25
 
-/* The worst tail of a worker's serving tasks, as a share of its target. */
-static double worker_tail(const struct worker *w)
+/*
+ * Returns the highest tail latency of a worker's tasks that have a target, as a
+ * share of the target.
+ */
+static double worker_latency_share(const struct worker *w)
 {
 	const struct task *t;
 	double worst = 0, share;
@@ -31,10 +41,10 @@
 	return worst;
 }
 
-/* Slow or release what fills on a worker. */
+/* Throttles or releases the best-effort tasks of a worker. */
 void pace_worker_tasks(struct sched *s, struct worker *w)
 {
-	double tail = worker_tail(w);
+	double latency_share = worker_latency_share(w);
 	struct task *t;
 
 	if (!policy_is_enabled(s, POLICY_PACING))
@@ -43,11 +53,12 @@
 		if (!task_step(t)->best_effort || t->phase != PHASE_RUNNING ||
 		    t->stopping)
 			continue;
-		if (tail > TAIL_HIGH && t->pace_percent &&
-		    s->now - t->paced_at >= PACE_DOWN_MS)
-			task_pace(s, t, tail > 1 ? 0 : t->pace_percent / 2);
-		else if (tail < TAIL_LOW && t->pace_percent < 100 &&
-			 s->now - t->paced_at >= PACE_UP_MS)
+		if (latency_share > LATENCY_HIGH && t->pace_percent &&
+		    s->now - t->paced_at >= PACE_DOWN_INTERVAL_MS)
+			task_pace(s, t,
+				  latency_share > 1 ? 0 : t->pace_percent / 2);
+		else if (latency_share < LATENCY_LOW && t->pace_percent < 100 &&
+			 s->now - t->paced_at >= PACE_UP_INTERVAL_MS)
 			task_pace(s, t,
 				  t->pace_percent + PACE_UP_STEP > 100
 					  ? 100
--- a/sched-place.c
+++ b/sched-place.c
@@ -352,17 +352,14 @@
 	       !c->needs_tickets;
 }
 
-/*
- * Computes the scores of the workers with indexes from (included) to to
- * (excluded) of the candidate's pool.
- */
+/* Computes the scores of the pool's workers from index first to end - 1. */
 static void scores_compute(struct sched *s, const struct candidate *c,
-			   const struct task *t, double *scores, size_t from,
-			   size_t to)
+			   const struct task *t, double *scores, size_t first,
+			   size_t end)
 {
 	size_t i;
 
-	for (i = from; i < to; i++)
+	for (i = first; i < end; i++)
 		scores[i] = worker_score(s, c, c->pool->workers[i], t);
 }
 
--- a/sched-policy.c
+++ b/sched-policy.c
@@ -1,17 +1,20 @@
 /*
- * Leaving out a mechanism, to measure what it is worth.
+ * Mechanisms that can be disabled, to measure the benefit of each.
  */
 #include "sched-state.h"
 
 #include <string.h>
 
-/* Is a mechanism in use? */
+/* Returns true if a mechanism is enabled. */
 bool policy_is_enabled(const struct sched *s, enum policy p)
 {
 	return !(s->options.disabled & (1U << p));
 }
 
-/* The mechanism of a word in the settings; POLICY_MAX: there is none. */
+/*
+ * Returns the mechanism with a word of the settings, or POLICY_MAX if there is
+ * none.
+ */
 enum policy policy_find(const char *word)
 {
 	static const char *const words[] = {
--- a/sched-tx.c
+++ b/sched-tx.c
@@ -1,11 +1,11 @@
 /*
- * Making transactions.
+ * Construction of store transactions.
  */
 #include "sched-state.h"
 
 #include <stdlib.h>
 
-/* Ask for a transaction, empty so far. */
+/* Adds a request for a transaction, which is empty at first. */
 struct tx *sched_tx(struct sched *s, enum purpose purpose, int64_t deadline,
 		    struct request **rq)
 {
@@ -16,7 +16,7 @@
 	return &ask->tx;
 }
 
-/* The part of a table that a row is in. */
+/* Returns the part of a table that holds a row. */
 unsigned row_part(enum table table, bstr key)
 {
 	char c = key.bstr_len ? key.bstr_val[0] : '0';
@@ -28,7 +28,7 @@
 	return 1 + 10 + ((unsigned)c - 'a') % 6;
 }
 
-/* Demand that a row still has a revision. */
+/* Adds the condition that a row still has a revision. */
 void tx_expect(struct tx *t, enum table table, bstr key, uint64_t revision)
 {
 	t->conditions = xrealloc(t->conditions, t->condition_count + 1,
@@ -41,10 +41,11 @@
 }
 
 /*
- * A condition did not hold.  If it was only that of a row which nobody but the
- * owner writes, and this VM still is the owner, then an earlier transaction
- * without an answer has been carried out after all: the answer tells the
- * revision of the row, and what was to be written is written again.
+ * Finds out why a condition failed.  Returns true if this VM is still the owner
+ * and the given row, which nobody but the owner writes, is newer than expected:
+ * an earlier transaction without an answer has been carried out after all.  In
+ * that case revision is set to that of the row, and the row is to be written
+ * again.
  */
 bool tx_row_was_rewritten(const struct sched *s, const struct answer *a,
 			  enum table table, bstr key, uint64_t *revision)
@@ -64,7 +65,7 @@
 	return owner && *revision > before;
 }
 
-/* Write a row; the value is moved. */
+/* Adds a write of a row; the value is moved. */
 void tx_write(struct tx *t, enum table table, bstr key, bstr value)
 {
 	t->writes = xrealloc(t->writes, t->write_count + 1, sizeof(*t->writes));
@@ -75,7 +76,7 @@
 		.value = value};
 }
 
-/* Remove a row. */
+/* Adds the removal of a row. */
 void tx_remove(struct tx *t, enum table table, bstr key)
 {
 	t->removes = xrealloc(t->removes, t->remove_count + 1,
