--- a/bamboofrontd.c
+++ b/bamboofrontd.c
@@ -1,6 +1,6 @@
 /*
- * bamboofrontd: the daemon.  The main thread is the reducer's; the edges
- * have threads of their own and meet it in the inbox.
+ * bamboofrontd: the daemon. The main thread runs the reducer. The edges run
+ * their own threads and pass events to the main thread through the inbox.
  */
 #include "record.h"
 
@@ -17,19 +17,19 @@
 #include <unistd.h>
 
 #define INBOX_SIZE 65536
-#define EVENTS_PER_ROUND 1024
-/* How much longer than timing.stop_ms a planned stop may take. */
+#define EVENTS_PER_ITERATION 1024
+/* A planned stop is forced this long after timing.stop_ms has passed. */
 #define STOP_MARGIN_MS 2000
-/* The edges have this long to end before the process is ended for them. */
-#define EDGES_END_SECONDS 15
+/* Time limit to stop the edges; after it SIGALRM ends the process. */
+#define EDGES_STOP_SECONDS 15
 
-/* An event or effect that waits for another round. */
-struct waiting {
-	TAILQ_ENTRY(waiting) entry;
+/* An event or effect that is kept for a later iteration of the main loop. */
+struct deferred {
+	TAILQ_ENTRY(deferred) entry;
 	event *ev;
 	effect *fx;
 };
-TAILQ_HEAD(waiting_list, waiting);
+TAILQ_HEAD(deferred_list, deferred);
 
 struct daemon {
 	struct settings settings;
@@ -42,13 +42,14 @@
 	struct state *state;
 	struct recorder *recorder;
 	struct effects effects;
-	struct waiting_list own;     /* events of the daemon's making */
-	struct waiting_list answers; /* an edge's queue was full */
+	struct deferred_list self_events; /* events made by the daemon itself */
+	/* answers that an edge with a full queue did not accept */
+	struct deferred_list unsent_answers;
 	int signal_fd;
 	int64_t tick_at;
 	int64_t stop_by; /* 0: not stopping */
-	bool exit;	 /* the reducer is done */
-	bool forced;	 /* ended without it */
+	bool exit;	 /* the reducer has emitted FX_EXIT */
+	bool forced;	 /* stop without waiting for FX_EXIT */
 };
 
 struct options {
@@ -59,57 +60,59 @@
 	int version;
 };
 
-/* Keep an event for the next round. */
-static void own_add(struct daemon *d, event *ev)
+/* Queues an event for the next iteration of the main loop. */
+static void self_event_add(struct daemon *d, event *ev)
 {
-	struct waiting *w = xcalloc(1, sizeof(*w));
+	struct deferred *df = xcalloc(1, sizeof(*df));
 
-	w->ev = ev;
-	TAILQ_INSERT_TAIL(&d->own, w, entry);
+	df->ev = ev;
+	TAILQ_INSERT_TAIL(&d->self_events, df, entry);
 }
 
-/* Tell the reducer that a request to the platform was not sent. */
-static void platform_refused(struct daemon *d, uint64_t req)
+/* Reports to the reducer that a request to the platform was not sent. */
+static void report_platform_refused(struct daemon *d, uint64_t req)
 {
 	event *ev = event_new(EV_PLATFORM);
 
 	ev->body.event_body_u.platform.req = req;
 	ev->body.event_body_u.platform.outcome = PLATFORM_REFUSED;
-	own_add(d, ev);
+	self_event_add(d, ev);
 }
 
-/* Tell the reducer that a worker was not reached. */
-static void worker_not_sent(struct daemon *d, const fx_worker *fx)
+/* Reports to the reducer that a request to a worker was not sent. */
+static void report_worker_not_sent(struct daemon *d, const fx_worker *fx)
 {
 	event *ev = event_new(EV_WORKER);
 
 	ev->body.event_body_u.worker.req = fx->req;
 	ev->body.event_body_u.worker.vm = bstr_copy(fx->vm);
 	ev->body.event_body_u.worker.outcome = WORKER_NOT_SENT;
-	own_add(d, ev);
+	self_event_add(d, ev);
 }
 
-/* Tell the reducer that a message to a peer was not sent. */
-static void peer_lost(struct daemon *d, bstr peer)
+/* Reports to the reducer that a message to a peer was not sent. */
+static void report_peer_lost(struct daemon *d, bstr peer)
 {
 	event *ev = event_new(EV_PEER_LOST);
 
 	ev->body.event_body_u.lost = bstr_copy(peer);
-	own_add(d, ev);
+	self_event_add(d, ev);
 }
 
 /*
- * What becomes of an effect that its edge has no room for.  The reducer
- * waits for an outcome of each request; without one a job would hang for
- * good, so the daemon reports the failure itself.  An answer to a caller
- * has no outcome, but the caller waits for it: it is kept and tried again.
- * There are no more of those than open connections.
+ * Handles an effect that its edge did not accept because its queue is full.
+ * The reducer waits for an outcome of each request and a job would hang
+ * forever without one, so the daemon reports the failure itself. An answer to
+ * a caller or operator has no outcome, but its receiver waits for it, so it is
+ * kept and sent again later. The number of kept answers is limited by the
+ * number of open connections.
  */
-static void effect_unsent(struct daemon *d, effect *fx)
+static void effect_not_sent(struct daemon *d, effect *fx)
 {
-	struct waiting *w;
+	struct deferred *df;
 
-	log_event(LOG_OVERRUN, "no room for %s", effect_name(fx->kind));
+	log_event(LOG_OVERRUN, "edge queue is full, %s not sent",
+		  effect_name(fx->kind));
 	switch (fx->kind) {
 	case FX_COMMIT:
 	case FX_READ:
@@ -118,19 +121,19 @@
 	case FX_OBJECT_GET:
 	case FX_VM_LIST:
 	case FX_REBOOT:
-		platform_refused(d, effect_request_id(fx));
+		report_platform_refused(d, effect_request_id(fx));
 		break;
 	case FX_WORKER:
-		worker_not_sent(d, &fx->effect_u.worker);
+		report_worker_not_sent(d, &fx->effect_u.worker);
 		break;
 	case FX_PEER:
-		peer_lost(d, fx->effect_u.peer.to);
+		report_peer_lost(d, fx->effect_u.peer.to);
 		break;
 	case FX_ANSWER:
 	case FX_OP_REPLY:
-		w = xcalloc(1, sizeof(*w));
-		w->fx = fx;
-		TAILQ_INSERT_TAIL(&d->answers, w, entry);
+		df = xcalloc(1, sizeof(*df));
+		df->fx = fx;
+		TAILQ_INSERT_TAIL(&d->unsent_answers, df, entry);
 		return;
 	default:
 		break;
@@ -138,7 +141,10 @@
 	effect_free(fx);
 }
 
-/* Send an effect to its edge, which owns it then; false: no room. */
+/*
+ * Passes an effect to its edge, which then owns it. Returns false if the edge's
+ * queue is full; the caller still owns the effect then.
+ */
 static bool effect_send(struct daemon *d, effect *fx)
 {
 	switch (fx->kind) {
@@ -156,8 +162,8 @@
 }
 
 /*
- * Count.  A family that does not end in _total is a gauge: the amount is
- * its new value.
+ * Updates a counter or gauge. A family without _total in its name is a gauge,
+ * whose new value is the amount.
  */
 static void effect_count(const fx_count *fx)
 {
@@ -169,7 +175,10 @@
 		counter_set(fx->counter, fx->amount);
 }
 
-/* Carry out one effect; what it holds is moved or freed. */
+/*
+ * Executes an effect. Its contents are moved to an edge or freed; the effect
+ * itself is an element of the caller's array.
+ */
 static void effect_execute(struct daemon *d, effect *fx)
 {
 	effect *owned;
@@ -196,13 +205,16 @@
 		owned = xmalloc(sizeof(*owned));
 		*owned = *fx;
 		if (!effect_send(d, owned))
-			effect_unsent(d, owned);
+			effect_not_sent(d, owned);
 		return;
 	}
 	xdr_free(XDR_PROC(xdr_effect), (char *)fx);
 }
 
-/* One step: stamp the event, reduce it, carry out the effects. */
+/*
+ * Sets the time of an event, passes it to the reducer and executes the effects.
+ * Frees the event.
+ */
 static void daemon_step(struct daemon *d, event *ev)
 {
 	size_t i;
@@ -217,67 +229,76 @@
 	counter_add(COUNT_EFFECTS, d->effects.count);
 	for (i = 0; i < d->effects.count; i++)
 		effect_execute(d, &d->effects.list[i]);
-	d->effects.count = 0; /* each was moved or freed; the room stays */
-	/* A wake in the past would spin; the next millisecond is soon enough.
+	d->effects.count = 0; /* contents moved or freed; the array is reused */
+	/*
+	 * A tick time in the past would make the main loop spin; one
+	 * millisecond later is soon enough.
 	 */
 	if (d->tick_at <= ev->now)
 		d->tick_at = ev->now + 1;
 	event_free(ev);
 }
 
-/* Reduce the daemon's own events. */
-static void own_drain(struct daemon *d)
+/* Reduces the events made by the daemon itself. */
+static void self_events_drain(struct daemon *d)
 {
-	struct waiting_list now;
-	struct waiting *w;
-
-	/* What these events add is for the next round: no endless loop. */
-	TAILQ_INIT(&now);
-	TAILQ_CONCAT(&now, &d->own, entry);
-	while ((w = TAILQ_FIRST(&now))) {
-		TAILQ_REMOVE(&now, w, entry);
-		daemon_step(d, w->ev);
-		free(w);
+	struct deferred_list batch;
+	struct deferred *df;
+
+	/*
+	 * Events added meanwhile are left for the next iteration; otherwise
+	 * this loop might never end.
+	 */
+	TAILQ_INIT(&batch);
+	TAILQ_CONCAT(&batch, &d->self_events, entry);
+	while ((df = TAILQ_FIRST(&batch))) {
+		TAILQ_REMOVE(&batch, df, entry);
+		daemon_step(d, df->ev);
+		free(df);
 	}
 }
 
-/* Try again to send answers that found no room. */
-static void answers_drain(struct daemon *d)
+/* Sends answers again that an edge did not accept before. */
+static void answers_resend(struct daemon *d)
 {
-	struct waiting *w;
+	struct deferred *df;
 
-	while ((w = TAILQ_FIRST(&d->answers)) && effect_send(d, w->fx)) {
-		TAILQ_REMOVE(&d->answers, w, entry);
-		free(w);
+	while ((df = TAILQ_FIRST(&d->unsent_answers)) &&
+	       effect_send(d, df->fx)) {
+		TAILQ_REMOVE(&d->unsent_answers, df, entry);
+		free(df);
 	}
 }
 
-/* Reduce a tick if it is due. */
-static void tick_drain(struct daemon *d)
+/* Runs a tick if one is due. */
+static void tick_run_if_due(struct daemon *d)
 {
 	if (!d->exit && clock_now() >= d->tick_at)
 		daemon_step(d, event_new(EV_TICK));
 }
 
-/* Reduce what the edges sent, ticks in between; false: there may be more. */
+/*
+ * Reduces events from the edges, and ticks that become due meanwhile. Returns
+ * true if the inbox was emptied, false if it may hold more events.
+ */
 static bool inbox_drain(struct daemon *d)
 {
 	event *ev;
 	int n;
 
 	mailbox_clear_wakeup(d->inbox);
-	for (n = 0; n < EVENTS_PER_ROUND && !d->exit; n++) {
+	for (n = 0; n < EVENTS_PER_ITERATION && !d->exit; n++) {
 		ev = mailbox_take(d->inbox);
 		if (!ev)
 			return true;
 		daemon_step(d, ev);
-		tick_drain(d);
+		tick_run_if_due(d);
 	}
 	return false;
 }
 
-/* A signal: the first asks for a planned stop, the second ends at once. */
-static void signal_drain(struct daemon *d)
+/* Handles signals: the first starts a planned stop, the second forces it. */
+static void signals_handle(struct daemon *d)
 {
 	struct signalfd_siginfo info;
 
@@ -288,24 +309,24 @@
 		}
 		d->stop_by = clock_now() + d->settings.timing.stop_ms +
 			     STOP_MARGIN_MS;
-		log_debug("signal %u", info.ssi_signo);
+		log_debug("received signal %u", info.ssi_signo);
 		daemon_step(d, event_new(EV_STOP));
 	}
 }
 
-/* How long the main thread may sleep. */
-static int daemon_sleep(const struct daemon *d, bool drained)
+/* Returns the time in milliseconds for which the main thread may sleep. */
+static int daemon_poll_timeout(const struct daemon *d, bool drained)
 {
 	int64_t left = d->tick_at - clock_now();
 
-	if (!drained || !TAILQ_EMPTY(&d->own) || left <= 0)
+	if (!drained || !TAILQ_EMPTY(&d->self_events) || left <= 0)
 		return 0;
-	if (!TAILQ_EMPTY(&d->answers))
+	if (!TAILQ_EMPTY(&d->unsent_answers))
 		return 1;
 	return left < INT32_MAX ? (int)left : INT32_MAX;
 }
 
-/* Reduce events until the reducer is done or the stop takes too long. */
+/* Runs the main loop until the reducer exits or the stop is forced. */
 static void daemon_loop(struct daemon *d)
 {
 	struct pollfd p[] = {
@@ -316,23 +337,24 @@
 
 	d->tick_at = clock_now();
 	while (!d->exit && !d->forced) {
-		if (poll(p, NELEMS(p), daemon_sleep(d, drained)) < 0 &&
+		if (poll(p, NELEMS(p), daemon_poll_timeout(d, drained)) < 0 &&
 		    errno != EINTR)
 			abort();
-		signal_drain(d);
-		answers_drain(d);
-		own_drain(d);
+		signals_handle(d);
+		answers_resend(d);
+		self_events_drain(d);
 		drained = inbox_drain(d);
-		tick_drain(d);
+		tick_run_if_due(d);
 		if (!d->exit && d->stop_by && clock_now() > d->stop_by)
 			d->forced = true;
 	}
-	answers_drain(d);
+	answers_resend(d);
 }
 
 /*
- * Tell starters the ports.  The file appears whole or not at all, so that
- * whoever waits for it never reads a half.
+ * Writes the ports to a file for the program that started the daemon. The file
+ * is renamed into place, so that a program that polls for it never reads a
+ * partial one.
  */
 static bool daemon_announce(const struct daemon *d, const char *path,
 			    struct error *e)
@@ -358,18 +380,19 @@
 	return ok;
 }
 
-/* Make the reducer's state, and the recording of it if one is wanted. */
-static bool daemon_state(struct daemon *d, const char *record, struct error *e)
+/* Creates the reducer's state and opens the recording, if requested. */
+static bool daemon_create_state(struct daemon *d, const char *record,
+				struct error *e)
 {
 	const struct address *a = &d->settings.peers.listen;
 	char *peer_address;
 	uint64_t seed;
 
 	/*
-	 * Never a fixed one: the incarnation and with it the ids of
-	 * transactions follow from the seed.  A VM that starts again with
-	 * the same would send ids that the table has seen, be told that they
-	 * are committed, and nothing would be written.
+	 * The seed must differ at each start, because the incarnation and the
+	 * transaction ids are derived from it. If a VM restarted with the same
+	 * seed, it would reuse transaction ids; the table would report these
+	 * as committed already and write nothing.
 	 */
 	randombytes_buf(&seed, sizeof(seed));
 	peer_address = xasprintf(strchr(a->host, ':') ? "[%s]:%u" : "%s:%u",
@@ -383,8 +406,8 @@
 }
 
 /*
- * Start the edges: those towards the platform and workers first, callers
- * last, so that nothing comes in before it can be dealt with.
+ * Starts the edges: platform and workers first, callers last, so that no
+ * request arrives before it can be processed.
  */
 static bool daemon_start(struct daemon *d, const struct options *o,
 			 struct error *e)
@@ -393,8 +416,8 @@
 
 	d->inbox = mailbox_new(INBOX_SIZE);
 	effects_init(&d->effects);
-	TAILQ_INIT(&d->own);
-	TAILQ_INIT(&d->answers);
+	TAILQ_INIT(&d->self_events);
+	TAILQ_INIT(&d->unsent_answers);
 	d->platform = edge_platform_start(s, d->inbox, e);
 	if (!d->platform)
 		return false;
@@ -402,7 +425,7 @@
 	if (!d->worker)
 		return false;
 	d->peer = edge_peer_start(s, d->inbox, e);
-	if (!d->peer || !daemon_state(d, o->record, e))
+	if (!d->peer || !daemon_create_state(d, o->record, e))
 		return false;
 	d->operator= edge_operator_start(s, d->inbox, e);
 	if (!d->operator)
@@ -413,30 +436,34 @@
 	return !o->announce || daemon_announce(d, o->announce, e);
 }
 
-/* Free a list of what still waits. */
-static void waiting_free(struct waiting_list *list)
+/* Frees a list with the events and effects in it. */
+static void deferred_free(struct deferred_list *list)
 {
-	struct waiting *w;
+	struct deferred *df;
 
-	while ((w = TAILQ_FIRST(list))) {
-		TAILQ_REMOVE(list, w, entry);
-		event_free(w->ev);
-		effect_free(w->fx);
-		free(w);
+	while ((df = TAILQ_FIRST(list))) {
+		TAILQ_REMOVE(list, df, entry);
+		event_free(df->ev);
+		effect_free(df->fx);
+		free(df);
 	}
 }
 
-/* End the edges, callers first, and free everything. */
-static bool daemon_end(struct daemon *d)
+/*
+ * Stops the edges, callers first, and frees everything. Returns false if the
+ * recording is incomplete.
+ */
+static bool daemon_stop(struct daemon *d)
 {
-	bool whole;
+	bool recorded;
 	event *ev;
 
 	/*
-	 * An edge thread that hangs would keep a stopped VM from being
-	 * replaced; the alarm ends the process with a bad status.
+	 * If an edge's thread hung, the process would not exit and its VM
+	 * could not be replaced. The alarm ends the process with a failure
+	 * status.
 	 */
-	alarm(EDGES_END_SECONDS);
+	alarm(EDGES_STOP_SECONDS);
 	if (d->caller)
 		edge_caller_stop(d->caller);
 	if (d->operator)
@@ -450,20 +477,20 @@
 	while ((ev = mailbox_take(d->inbox)))
 		event_free(ev);
 	mailbox_free(d->inbox);
-	waiting_free(&d->own);
-	waiting_free(&d->answers);
+	deferred_free(&d->self_events);
+	deferred_free(&d->unsent_answers);
 	effects_free(&d->effects);
-	whole = recorder_close(d->recorder);
+	recorded = recorder_close(d->recorder);
 	if (d->state)
 		state_free(d->state);
 	close(d->signal_fd);
 	settings_free(&d->settings);
-	return whole;
+	return recorded;
 }
 
 /*
- * Take SIGTERM and SIGINT from a descriptor.  Called before any thread is
- * made, so that all of them block these signals.
+ * Returns a descriptor that receives SIGTERM and SIGINT. Must be called before
+ * any thread is created, so that all threads block these signals.
  */
 static int signals_open(void)
 {
@@ -481,11 +508,11 @@
 	return fd;
 }
 
-/* Run until a signal asks for a stop. */
+/* Runs the daemon and returns its exit status. */
 static int daemon_run(struct daemon *d, const struct options *o,
 		      struct error *e)
 {
-	bool started, good;
+	bool started, clean;
 	char *text;
 
 	d->signal_fd = signals_open();
@@ -504,28 +531,28 @@
 		log_event(LOG_START_FAILED, "%s", text);
 		free(text);
 	}
-	/* Without a signal, the reducer ended because it must not go on. */
-	good = started && d->exit && d->stop_by;
+	/* Without a signal, the reducer exited because it must not continue. */
+	clean = started && d->exit && d->stop_by;
 	if (d->forced)
-		log_event(LOG_STOP_FORCED, "a second signal, or no end within "
-					   "timing.stop_ms");
-	return daemon_end(d) && good ? 0 : 1;
+		log_event(LOG_STOP_FORCED, "second signal, or the stop took "
+					   "longer than timing.stop_ms");
+	return daemon_stop(d) && clean ? 0 : 1;
 }
 
-/* Read the command line; false: usage, said on standard error. */
-static bool options_read(int argc, const char **argv, struct options *o)
+/* Parses the command line; on failure prints the usage and returns false. */
+static bool options_parse(int argc, const char **argv, struct options *o)
 {
 	const struct poptOption table[] = {
 		{"settings", 's', POPT_ARG_STRING, &o->settings, 0,
 		 "read the settings from FILE", "FILE"},
 		{"check", 'c', POPT_ARG_STRING, &o->check, 0,
-		 "check the settings in FILE and end", "FILE"},
+		 "check the settings in FILE and exit", "FILE"},
 		{"record", 'r', POPT_ARG_STRING, &o->record, 0,
-		 "record what the reducer does to FILE, a new file", "FILE"},
+		 "record events and effects to FILE, a new file", "FILE"},
 		{"announce", 'a', POPT_ARG_STRING, &o->announce, 0,
-		 "write the ports to FILE once it listens", "FILE"},
+		 "write the listening ports to FILE after startup", "FILE"},
 		{"version", 'V', POPT_ARG_NONE, &o->version, 0,
-		 "print the version and end", NULL},
+		 "print the version and exit", NULL},
 		POPT_AUTOHELP POPT_TABLEEND};
 	poptContext c = poptGetContext("bamboofrontd", argc, argv, table, 0);
 	const char *arg;
@@ -548,7 +575,7 @@
 	return ok;
 }
 
-/* Load the settings and run, or only check them. */
+/* Loads the settings and runs the daemon, or only checks the settings. */
 static int daemon_main(const struct options *o)
 {
 	const char *path = o->check ? o->check : o->settings;
@@ -578,7 +605,7 @@
 
 	if (sodium_init() < 0 || curl_global_init(CURL_GLOBAL_DEFAULT))
 		return 1;
-	if (options_read(argc, (const char **)argv, &o)) {
+	if (options_parse(argc, (const char **)argv, &o)) {
 		if (o.version) {
 			printf("bamboofrontd " BAMBOOFRONT_VERSION "\n");
 			rc = 0;
