--- a/edge-peer.c
+++ b/edge-peer.c
@@ -1,3 +1,8 @@
+/*
+ * The edge to the other entry VMs (peers). One RPC server receives batches of
+ * messages. For sending, each peer has a bounded queue and a thread that sends
+ * the queue in batches and ends when the peer has been idle.
+ */
 #include "bamboofront.h"
 
 #include <errno.h>
@@ -17,24 +22,24 @@
 #define BATCH_MESSAGES_MAX 1024
 #define BATCH_BYTES_MAX (256u << 10)
 
-struct queued {
-	TAILQ_ENTRY(queued) entry;
+struct queued_message {
+	TAILQ_ENTRY(queued_message) entry;
 	effect *fx;
 	size_t bytes;
 };
-TAILQ_HEAD(queue, queued);
+TAILQ_HEAD(queue, queued_message);
 
-/* One peer's queue and the thread that sends it. */
+/* The send queue of a peer and the thread that sends its messages. */
 struct sender {
 	TAILQ_ENTRY(sender) entry;
 	struct edge_peer *edge;
 	bstr to;
 	pthread_t thread;
-	pthread_cond_t cond; /* something is queued, or the edge stops */
+	pthread_cond_t cond; /* a message was queued, or the edge is stopping */
 	struct queue queue;
 	size_t messages;
 	size_t bytes;
-	/* The rest is the thread's own. */
+	/* Used only by the sender's thread. */
 	bstr address;
 	struct rpc_client *rpc;
 };
@@ -45,26 +50,30 @@
 	struct mailbox *inbox;
 	struct replay_guard *guard;
 	struct rpc_server *server;
-	pthread_mutex_t mutex; /* of all below and of the queues */
+	pthread_mutex_t mutex; /* protects the members below and the queues */
 	bool stopping;
 	struct sender_list senders;
-	struct sender_list ended; /* to be joined */
+	struct sender_list ended; /* threads to be joined */
 	size_t sender_count;
 	pthread_cond_t all_ended; /* sender_count is 0 */
 };
 
 /*
- * What a batch is sealed for.  It names the receiver, so that a batch that
- * somebody copied off the wire fits no other VM that has the same key, and
- * one meant for a VM that was replaced is refused by its successor.
+ * Returns the purpose under which a batch is sealed. It names the receiver.
+ * All VMs share one key, so without the name a captured batch could be replayed
+ * to another VM, and the successor of a replaced VM would accept a batch that
+ * was meant for its predecessor.
  */
 static char *peer_purpose(bstr to)
 {
 	return xasprintf("bamboofront peer v1 deliver to %.*s", BSTR_ARG(to));
 }
 
-/* Hand the messages of a batch to the reducer; false: it takes no more. */
-static bool edge_deliver(struct edge_peer *edge, peer_batch *batch)
+/*
+ * Posts the messages of a batch to the reducer. Returns false if the inbox is
+ * full.
+ */
+static bool edge_post_messages(struct edge_peer *edge, peer_batch *batch)
 {
 	event *ev;
 	u_int i;
@@ -72,7 +81,10 @@
 	for (i = 0; i < batch->messages.messages_len; i++) {
 		ev = event_new(EV_PEER);
 		ev->body.event_body_u.peer.from = bstr_copy(batch->from);
-		/* Moved, not copied: what is left is freed as a ping. */
+		/*
+		 * The message is moved. The cleared one left in the batch gets
+		 * a kind without a body, for the later xdr_free.
+		 */
 		ev->body.event_body_u.peer.message =
 			batch->messages.messages_val[i];
 		memset(&batch->messages.messages_val[i], 0,
@@ -89,10 +101,11 @@
 }
 
 /*
- * DELIVER.  The acknowledgement says that the batch is in the inbox, no
- * more; without it the sender takes every message of the batch as lost.
+ * Handles DELIVER. The reply only confirms that all messages of the batch are
+ * in the inbox. A sender without it regards every message of the batch as lost.
  */
-static void edge_call(void *arg, uint64_t call, const sealed *envelope)
+static void edge_handle_deliver(void *arg, uint64_t call,
+				const sealed *envelope)
 {
 	struct edge_peer *edge = arg;
 	char *purpose = peer_purpose(edge->settings->vm);
@@ -110,9 +123,9 @@
 			sizeof(batch)) ||
 	    !bstr_eq(batch.from, envelope->from)) {
 		counter_add(COUNT_DROPPED_PEER_GARBAGE, 1);
-		log_event(LOG_BAD_INPUT, "peers: a batch does not decode");
+		log_event(LOG_BAD_INPUT, "peers: cannot decode a batch");
 		rpc_server_fail(edge->server, call, GARBAGE_ARGS);
-	} else if (edge_deliver(edge, &batch)) {
+	} else if (edge_post_messages(edge, &batch)) {
 		rpc_server_reply(edge->server, call, XDR_PROC(xdr_void), NULL);
 	} else {
 		rpc_server_fail(edge->server, call, SYSTEM_ERR);
@@ -120,10 +133,9 @@
 	xdr_free(XDR_PROC(xdr_peer_batch), (char *)&batch);
 }
 
-/* Free a queue with its messages. */
 static void queue_free(struct queue *q)
 {
-	struct queued *m;
+	struct queued_message *m;
 
 	while ((m = TAILQ_FIRST(q))) {
 		TAILQ_REMOVE(q, m, entry);
@@ -132,8 +144,8 @@
 	}
 }
 
-/* Has the time passed until which a message may be sent? */
-static bool message_late(const struct queued *m)
+/* Returns true if the deadline of a message has passed. */
+static bool message_expired(const struct queued_message *m)
 {
 	int64_t deadline = m->fx->effect_u.peer.deadline;
 
@@ -141,17 +153,18 @@
 }
 
 /*
- * Move what makes up the next batch: one address, bounded; under the lock.
- * False if the first message is too late to be sent: it is as good as lost.
+ * Moves messages from the queue into the next batch, up to the size limits. All
+ * messages of a batch have the same address. Returns false if the deadline of
+ * the first message has passed, which then counts as lost. Needs the mutex.
  */
-static bool sender_take(struct sender *sd, struct queue *batch)
+static bool sender_take_batch(struct sender *sd, struct queue *batch)
 {
-	struct queued *m;
+	struct queued_message *m;
 	size_t messages = 0, bytes = 0;
 	const bstr *address = NULL;
 
 	while ((m = TAILQ_FIRST(&sd->queue))) {
-		if (message_late(m))
+		if (message_expired(m))
 			return !TAILQ_EMPTY(batch);
 		if (address &&
 		    (messages >= BATCH_MESSAGES_MAX ||
@@ -170,45 +183,48 @@
 }
 
 /*
- * How long a batch may still be delivered.  A process that freezes with a
- * message in its hands and thaws later must not deliver it: a home that has
- * waited for the message's end may have sent the work elsewhere, and it
- * would run twice.  The wall clock is read before the remaining time is: a
- * freeze between the two makes the envelope's deadline earlier, never later,
- * and the receiver refuses it after that.
+ * Returns for how many milliseconds a batch may still be delivered. A process
+ * that is suspended while it sends a message must not deliver it after it
+ * resumes: the owner of the job may have waited until the message expired and
+ * then dispatched the job elsewhere, so that it would run twice. The caller
+ * reads the wall clock before it calls this. A suspension between the two only
+ * makes the deadline of the envelope earlier, never later, and the receiver
+ * refuses the envelope after its deadline.
  */
-static int64_t batch_life(const struct queue *q)
+static int64_t batch_time_left(const struct queue *q)
 {
-	int64_t life = SEAL_LIFE_MS, left;
-	const struct queued *m;
+	int64_t time_left = SEAL_LIFE_MS, left;
+	const struct queued_message *m;
 
 	TAILQ_FOREACH(m, q, entry) {
 		left = m->fx->effect_u.peer.deadline - clock_now();
-		if (m->fx->effect_u.peer.deadline && left < life)
-			life = left;
+		if (m->fx->effect_u.peer.deadline && left < time_left)
+			time_left = left;
 	}
-	return life;
+	return time_left;
 }
 
-/* Encode and seal a batch. */
-static void sender_seal(const struct sender *sd, struct queue *q, sealed *out)
+/* Encodes and seals a batch. */
+static void sender_seal_batch(const struct sender *sd, struct queue *q,
+			      sealed *out)
 {
 	const struct settings *s = sd->edge->settings;
 	char *purpose = peer_purpose(sd->to);
 	peer_batch batch = {.from = s->vm};
-	int64_t wall = clock_wall(); /* before batch_life: see there */
-	struct queued *m;
+	int64_t wall = clock_wall(); /* must precede batch_time_left */
+	struct queued_message *m;
 	bstr body;
 	u_int n = 0;
 
 	TAILQ_FOREACH(m, q, entry)
 		n++;
 	batch.messages.messages_val = xcalloc(n, sizeof(peer_message));
-	TAILQ_FOREACH(m, q, entry) /* refers to the effect's message */
+	TAILQ_FOREACH(m, q, entry) /* shallow copies, owned by the effects */
 		batch.messages.messages_val[batch.messages.messages_len++] =
 			m->fx->effect_u.peer.message;
 	body = xdr_encode(XDR_PROC(xdr_peer_batch), &batch);
-	seal(out, purpose, s->vm, body, wall + batch_life(q), s->peers.key);
+	seal(out, purpose, s->vm, body, wall + batch_time_left(q),
+	     s->peers.key);
 	counter_add(COUNT_PEER_MESSAGES, n);
 	counter_add(COUNT_PEER_BYTES, body.bstr_len);
 	free(batch.messages.messages_val);
@@ -216,14 +232,14 @@
 	free(purpose);
 }
 
-/* Close the connection; the next batch opens a fresh one. */
+/* Closes the connection; the next batch opens a new one. */
 static void sender_disconnect(struct sender *sd)
 {
 	rpc_client_close(sd->rpc);
 	sd->rpc = NULL;
 }
 
-/* Have a connection to the address that the batch is for. */
+/* Reuses the connection to an address, or opens one. */
 static bool sender_connect(struct sender *sd, bstr address, int64_t deadline)
 {
 	if (sd->rpc && bstr_eq(sd->address, address) &&
@@ -236,8 +252,11 @@
 	return sd->rpc;
 }
 
-/* Send a batch; one deadline covers connecting, sending and the answer. */
-static bool sender_send(struct sender *sd, struct queue *batch)
+/*
+ * Sends a batch and waits for the reply. One deadline covers connecting,
+ * sending and the reply.
+ */
+static bool sender_send_batch(struct sender *sd, struct queue *batch)
 {
 	int64_t deadline = clock_now() + sd->edge->settings->peers.timeout_ms;
 	bstr address = TAILQ_FIRST(batch)->fx->effect_u.peer.address;
@@ -249,7 +268,7 @@
 			  BSTR_ARG(address));
 		return false;
 	}
-	sender_seal(sd, batch, &envelope);
+	sender_seal_batch(sd, batch, &envelope);
 	stat = rpc_client_call(sd->rpc, DELIVER, &envelope, XDR_PROC(xdr_void),
 			       NULL, deadline);
 	xdr_free(XDR_PROC(xdr_sealed), (char *)&envelope);
@@ -257,7 +276,8 @@
 		return true;
 	if (stat == RPC_CANTENCODEARGS) {
 		counter_add(COUNT_REFUSED_BODY_TOO_LARGE, 1);
-		log_event(LOG_BAD_INPUT, "peer %.*s: a message over the bound",
+		log_event(LOG_BAD_INPUT,
+			  "peer %.*s: message exceeds the size limit",
 			  BSTR_ARG(sd->to));
 	}
 	log_debug("peer %.*s: %s", BSTR_ARG(sd->to), clnt_sperrno(stat));
@@ -265,8 +285,11 @@
 	return false;
 }
 
-/* Sleep until the sender is signalled or a time has passed. */
-static int sender_sleep(struct sender *sd, int64_t ms)
+/*
+ * Waits until the sender is signalled or the time has passed. Returns the
+ * result of pthread_cond_timedwait. Needs the mutex.
+ */
+static int sender_timedwait(struct sender *sd, int64_t ms)
 {
 	struct timespec ts;
 
@@ -281,13 +304,13 @@
 }
 
 /*
- * A failure: what is queued goes with the batch, and the reducer is told
- * once.  Every message that it sent before it takes that event may be lost;
- * what it sends after is covered by an event of its own.  The event must
- * reach it, or it would wait for answers that never come, so a full inbox is
- * tried again until the edge stops.  Under the lock.
+ * Handles a failed batch: drops the queue as well and posts one EV_PEER_LOST to
+ * the reducer. The event covers every message that the reducer sent before it
+ * takes the event; loss of a later one is reported by another event. If the
+ * event got lost, the reducer would wait for replies that never come, so a full
+ * inbox is retried until the edge stops. Needs the mutex.
  */
-static void sender_lost(struct sender *sd)
+static void sender_report_lost(struct sender *sd)
 {
 	struct edge_peer *edge = sd->edge;
 	event *ev = event_new(EV_PEER_LOST);
@@ -298,18 +321,21 @@
 	while (!edge->stopping) {
 		if (mailbox_put(edge->inbox, ev))
 			return;
-		sender_sleep(sd, INBOX_RETRY_MS);
+		sender_timedwait(sd, INBOX_RETRY_MS);
 	}
 	event_free(ev);
 }
 
-/* Sleep until something is queued; false: the thread is to end. */
+/*
+ * Waits until a message is queued. Returns false if the thread must end because
+ * the edge stops or the peer was idle. Needs the mutex.
+ */
 static bool sender_wait(struct sender *sd)
 {
 	while (TAILQ_EMPTY(&sd->queue)) {
 		if (sd->edge->stopping)
 			return false;
-		if (sender_sleep(sd, rpc_timeouts.sender_idle_ms) ==
+		if (sender_timedwait(sd, rpc_timeouts.sender_idle_ms) ==
 			    ETIMEDOUT &&
 		    TAILQ_EMPTY(&sd->queue))
 			return false;
@@ -318,9 +344,9 @@
 }
 
 /*
- * A sender's thread.  It ends when its peer has been sent nothing for a
- * while, so that VMs that were replaced leave no threads behind, and when
- * the edge stops, after a last try to send what is queued.
+ * The thread of a sender. It ends when it had nothing to send for
+ * sender_idle_ms, so that replaced VMs leave no threads behind. When the edge
+ * stops, it ends after an attempt to send the queued messages.
  */
 static void *sender_run(void *arg)
 {
@@ -331,13 +357,13 @@
 
 	pthread_mutex_lock(&edge->mutex);
 	while (sender_wait(sd)) {
-		ok = sender_take(sd, &batch);
+		ok = sender_take_batch(sd, &batch);
 		pthread_mutex_unlock(&edge->mutex);
-		ok = ok && sender_send(sd, &batch);
+		ok = ok && sender_send_batch(sd, &batch);
 		queue_free(&batch);
 		pthread_mutex_lock(&edge->mutex);
 		if (!ok)
-			sender_lost(sd);
+			sender_report_lost(sd);
 	}
 	TAILQ_REMOVE(&edge->senders, sd, entry);
 	TAILQ_INSERT_TAIL(&edge->ended, sd, entry);
@@ -348,8 +374,8 @@
 	return NULL;
 }
 
-/* Join and free the senders that have ended; the lock is not held. */
-static void edge_reap(struct edge_peer *edge)
+/* Joins and frees the senders that have ended. Takes the mutex. */
+static void edge_join_ended(struct edge_peer *edge)
 {
 	struct sender *sd;
 
@@ -369,8 +395,11 @@
 	}
 }
 
-/* Find a peer's sender, or start one; NULL at the bound.  Under the lock. */
-static struct sender *edge_sender(struct edge_peer *edge, bstr to)
+/*
+ * Returns the sender of a peer, which is started if necessary, or NULL if there
+ * are SENDERS_MAX. Needs the mutex.
+ */
+static struct sender *edge_find_or_start_sender(struct edge_peer *edge, bstr to)
 {
 	pthread_condattr_t attr;
 	struct sender *sd;
@@ -394,18 +423,18 @@
 	return sd;
 }
 
-/* Queue a message for its peer; false at a bound. */
+/* Queues a message for its peer. Returns false if a limit is reached. */
 bool edge_peer_send(struct edge_peer *edge, effect *fx)
 {
-	struct queued *m;
+	struct queued_message *m;
 	struct sender *sd;
 	size_t bytes;
 
 	bytes = xdr_sizeof(XDR_PROC(xdr_peer_message),
 			   &fx->effect_u.peer.message);
-	edge_reap(edge);
+	edge_join_ended(edge);
 	pthread_mutex_lock(&edge->mutex);
-	sd = edge_sender(edge, fx->effect_u.peer.to);
+	sd = edge_find_or_start_sender(edge, fx->effect_u.peer.to);
 	if (!sd || sd->messages >= QUEUE_MESSAGES_MAX ||
 	    sd->bytes + bytes > QUEUE_BYTES_MAX) {
 		pthread_mutex_unlock(&edge->mutex);
@@ -422,7 +451,7 @@
 	return true;
 }
 
-/* Start the peers' listener; NULL with findings on failure. */
+/* Starts the peers' listener. Returns NULL with errors on failure. */
 struct edge_peer *edge_peer_start(const struct settings *s,
 				  struct mailbox *inbox, struct error *e)
 {
@@ -433,7 +462,7 @@
 		.version = BAMBOO_PEER_V1,
 		.procedure = DELIVER,
 		.max_connections = s->peers.max_connections,
-		.on_call = edge_call,
+		.on_call = edge_handle_deliver,
 		.arg = edge,
 	};
 
@@ -456,13 +485,12 @@
 	return NULL;
 }
 
-/* The port that was bound. */
 uint16_t edge_peer_port(const struct edge_peer *edge)
 {
 	return rpc_server_port(edge->server);
 }
 
-/* Stop: each sender tries once more to send what it has queued. */
+/* Stops the edge. Each sender first tries to send its queued messages. */
 void edge_peer_stop(struct edge_peer *edge)
 {
 	struct sender *sd;
@@ -475,7 +503,7 @@
 	while (edge->sender_count)
 		pthread_cond_wait(&edge->all_ended, &edge->mutex);
 	pthread_mutex_unlock(&edge->mutex);
-	edge_reap(edge);
+	edge_join_ended(edge);
 	pthread_cond_destroy(&edge->all_ended);
 	pthread_mutex_destroy(&edge->mutex);
 	replay_guard_free(edge->guard);
