--- a/edge-platform.c
+++ b/edge-platform.c
@@ -1,3 +1,8 @@
+/*
+ * The edge to the platform: sends effects as HTTP requests to the platform's
+ * table, object and VM services, validates the responses and posts one
+ * EV_PLATFORM for each effect.
+ */
 #include "http-client.h"
 #include "json-read.h"
 
@@ -6,12 +11,12 @@
 #include <string.h>
 
 #define REQUESTS_MAX 1024
-#define ANSWER_MAX (16 << 20)
+#define RESPONSE_MAX (16 << 20)
 #define SCAN_PAGE 500
 #define SCAN_PAGES_MAX 4096
-#define SCAN_BYTES_MAX (64 << 20) /* of all its pages */
-#define SCAN_TIMEOUTS 8		  /* a scan may take so many times timeout_ms */
-#define SCAN_PAUSE_MS 100	  /* if a refusal does not say how long */
+#define SCAN_BYTES_MAX (64 << 20) /* sum of all pages */
+#define SCAN_TIMEOUTS 8		  /* time limit of a scan, in timeout_ms */
+#define SCAN_PAUSE_MS 100	  /* after a refusal without Retry-After */
 #define KEY_BYTES 1024
 #define NAME_BYTES 128
 #define ADDRESS_BYTES 64
@@ -23,7 +28,10 @@
 	uint32_t timeout_ms;
 };
 
-/* An effect under way, and the event that it is to become. */
+/*
+ * An effect in progress and the event in which its result is collected. http
+ * comes first: the callbacks of the HTTP client convert from it.
+ */
 struct exchange {
 	struct http_request http;
 	struct edge_platform *edge;
@@ -32,18 +40,18 @@
 	unsigned pages;
 	unsigned page_size;
 	size_t scan_bytes;
-	int64_t scan_until;
-	size_t room; /* for rows */
+	int64_t scan_deadline;
+	size_t row_capacity; /* of the event's rows */
 };
 
-/* Does the effect change what the platform keeps? */
+/* Returns true if the effect changes the state of the platform. */
 static bool effect_writes(const effect *fx)
 {
 	return fx->kind == FX_COMMIT || fx->kind == FX_OBJECT_PUT ||
 	       fx->kind == FX_REBOOT;
 }
 
-/* A commit's body. */
+/* Returns the body of a commit request. */
 static json_t *commit_json(const fx_commit *c)
 {
 	json_t *checks = json_array(), *writes = json_array(), *row;
@@ -71,7 +79,7 @@
 			 "checks", checks, "writes", writes);
 }
 
-/* A read's body. */
+/* Returns the body of a read request. */
 static json_t *read_json(const fx_read *r)
 {
 	json_t *keys = json_array();
@@ -82,7 +90,7 @@
 	return json_pack("{s:o}", "keys", keys);
 }
 
-/* The body of a scan's next page. */
+/* Returns the body of the request for the next page of a scan. */
 static json_t *scan_json(const struct exchange *x)
 {
 	const ev_platform *out = &x->ev->body.event_body_u.platform;
@@ -95,13 +103,13 @@
 			 bstr_to_json(after), "limit", (int)x->page_size);
 }
 
-/* Make the request's body, and count what is sent. */
+/* Builds the body of the request and updates the counters. */
 static bool exchange_build(struct http_request *r)
 {
 	struct exchange *x = (struct exchange *)r;
 	const effect *fx = x->fx;
 
-	bstr_free(&r->body); /* of the page before */
+	bstr_free(&r->body); /* of the previous page */
 	switch (fx->kind) {
 	case FX_COMMIT:
 		counter_add(COUNT_TABLE_COMMITS, 1);
@@ -128,16 +136,16 @@
 	return true;
 }
 
-/* Add a row to the event; the row is empty yet. */
+/* Appends an empty row to the event. */
 static table_row *row_add(struct exchange *x)
 {
 	ev_platform *out = &x->ev->body.event_body_u.platform;
 	table_row *row;
 
-	if (out->rows.rows_len == x->room) {
-		x->room = x->room ? 2 * x->room : 16;
-		out->rows.rows_val = xrealloc(out->rows.rows_val, x->room,
-					      sizeof(*row));
+	if (out->rows.rows_len == x->row_capacity) {
+		x->row_capacity = x->row_capacity ? 2 * x->row_capacity : 16;
+		out->rows.rows_val = xrealloc(out->rows.rows_val,
+					      x->row_capacity, sizeof(*row));
 	}
 	row = &out->rows.rows_val[out->rows.rows_len++];
 	memset(row, 0, sizeof(*row));
@@ -145,10 +153,10 @@
 }
 
 /*
- * Read a row.  A row that is there has a version from 1 and a value, one that
- * is not has version 0 and none.
+ * Parses a row. A row that exists has a version of at least 1 and a value; one
+ * that does not exist has version 0 and no value.
  */
-static bool row_read(const json_t *j, table_row *row)
+static bool row_parse(const json_t *j, table_row *row)
 {
 	json_t *value = json_object_get(j, "value");
 
@@ -160,7 +168,7 @@
 	return json_read_bytes(j, "value", &row->value);
 }
 
-/* Keys with a number each, to find them by; false: one is there twice. */
+/* Adds a key with a number to an index. Returns false for a duplicate key. */
 static bool index_add(json_t *index, bstr key, uint64_t n)
 {
 	if (!key.bstr_len ||
@@ -170,7 +178,10 @@
 				     json_integer((json_int_t)n));
 }
 
-/* Find a key and strike it out; false: it is not there, or not any more. */
+/*
+ * Removes a key from an index and sets its number. Returns false if the index
+ * does not contain the key.
+ */
 static bool index_take(json_t *index, bstr key, uint64_t *n)
 {
 	const json_t *v;
@@ -184,12 +195,12 @@
 }
 
 /*
- * Read the answer to a commit that was done: one row for each one written,
- * with a version above the one that was checked; a lower one belongs to an
- * earlier commit, of which this is a late answer.  Rows removed may be named,
- * with version 0.
+ * Parses the response to a successful commit: one row for each row written,
+ * with a version higher than the one checked. A version that is not higher
+ * means that this is a late response to an earlier commit. Removed rows may be
+ * included, with version 0.
  */
-static bool committed_read(struct exchange *x, const json_t *rows)
+static bool committed_parse(struct exchange *x, const json_t *rows)
 {
 	const fx_commit *c = &x->fx->effect_u.commit;
 	json_t *index = json_object(), *removed = json_object(), *j;
@@ -197,7 +208,7 @@
 	const table_check *check;
 	table_row *row;
 	bool ok = true;
-	uint64_t least;
+	uint64_t checked;
 	size_t i;
 
 	for (i = 0; i < c->writes.writes_len; i++) {
@@ -206,7 +217,7 @@
 	}
 	for (i = 0; i < c->checks.checks_len; i++) {
 		check = &c->checks.checks_val[i];
-		if (index_take(index, check->key, &least))
+		if (index_take(index, check->key, &checked))
 			index_add(index, check->key, check->revision);
 	}
 	json_array_foreach(rows, i, j) {
@@ -215,9 +226,9 @@
 		     json_read_u64(j, "version", &row->revision);
 		if (!ok)
 			break;
-		ok = row->revision ? index_take(index, row->key, &least) &&
-					     row->revision > least
-				   : index_take(removed, row->key, &least);
+		ok = row->revision ? index_take(index, row->key, &checked) &&
+					     row->revision > checked
+				   : index_take(removed, row->key, &checked);
 		if (!ok)
 			break;
 	}
@@ -228,16 +239,16 @@
 }
 
 /*
- * Read the answer to a commit that was refused: rows that were checked, with
- * another version than the one that was asked for.
+ * Parses the response to a commit with a conflict: the checked rows whose
+ * version differs from the expected one, at least one.
  */
-static bool conflict_read(struct exchange *x, const json_t *rows)
+static bool conflict_parse(struct exchange *x, const json_t *rows)
 {
 	const fx_commit *c = &x->fx->effect_u.commit;
 	json_t *index = json_object(), *j;
 	table_row *row;
 	bool ok = json_array_size(rows) > 0;
-	uint64_t asked;
+	uint64_t expected;
 	size_t i;
 
 	for (i = 0; i < c->checks.checks_len; i++)
@@ -245,8 +256,9 @@
 			  c->checks.checks_val[i].revision);
 	json_array_foreach(rows, i, j) {
 		row = row_add(x);
-		ok = row_read(j, row) && index_take(index, row->key, &asked) &&
-		     row->revision != asked;
+		ok = row_parse(j, row) &&
+		     index_take(index, row->key, &expected) &&
+		     row->revision != expected;
 		if (!ok)
 			break;
 	}
@@ -254,8 +266,11 @@
 	return ok;
 }
 
-/* Read the answer to a read: the keys asked for, each once, in any order. */
-static bool rows_read(struct exchange *x, const json_t *rows)
+/*
+ * Parses the response to a read, which must contain each requested key exactly
+ * once, in any order. The rows of the event are in the order of the request.
+ */
+static bool read_response_parse(struct exchange *x, const json_t *rows)
 {
 	const fx_read *r = &x->fx->effect_u.read;
 	ev_platform *out = &x->ev->body.event_body_u.platform;
@@ -273,7 +288,7 @@
 	for (i = 0; ok && i < r->keys.keys_len; i++) {
 		j = json_array_get(rows, i);
 		memset(&row, 0, sizeof(row));
-		ok = row_read(j, &row) && index_take(index, row.key, &at);
+		ok = row_parse(j, &row) && index_take(index, row.key, &at);
 		if (ok)
 			out->rows.rows_val[at] = row;
 		else
@@ -284,10 +299,11 @@
 }
 
 /*
- * Read a page of a scan: rows that are there, under the prefix, each key
- * above the last, so that pages can neither repeat nor go round.
+ * Parses a page of a scan. Its rows must exist and have the prefix. Each key
+ * must be greater than the one before, across pages as well, so that pages can
+ * neither repeat nor loop.
  */
-static bool page_read(struct exchange *x, const json_t *rows)
+static bool page_parse(struct exchange *x, const json_t *rows)
 {
 	const ev_platform *out = &x->ev->body.event_body_u.platform;
 	bstr prefix = x->fx->effect_u.scan.prefix, start;
@@ -301,7 +317,7 @@
 	counter_add(COUNT_TABLE_READS, n ? n : 1);
 	json_array_foreach(rows, i, j) {
 		row = row_add(x);
-		if (!row_read(j, row) || !row->revision ||
+		if (!row_parse(j, row) || !row->revision ||
 		    row->key.bstr_len < prefix.bstr_len)
 			return false;
 		start = bstr_ref(row->key.bstr_val, prefix.bstr_len);
@@ -314,8 +330,8 @@
 	return true;
 }
 
-/* Read one VM of the list. */
-static bool vm_read(const json_t *j, listed_vm *vm)
+/* Parses an entry of the list of VMs. */
+static bool vm_parse(const json_t *j, listed_vm *vm)
 {
 	return json_read_text(j, "vm", NAME_BYTES, &vm->vm) &&
 	       bstr_is_name(vm->vm, NAME_BYTES) &&
@@ -326,8 +342,8 @@
 	       json_read_bool(j, "leaving", &vm->leaving);
 }
 
-/* Read the list of VMs, each once. */
-static bool vms_read(struct exchange *x, const json_t *list)
+/* Parses the list of VMs, which must have no duplicates. */
+static bool vms_parse(struct exchange *x, const json_t *list)
 {
 	ev_platform *out = &x->ev->body.event_body_u.platform;
 	json_t *index = json_object();
@@ -342,51 +358,55 @@
 	}
 	for (i = 0; ok && i < n; i++) {
 		vm = &out->vms.vms_val[i];
-		ok = vm_read(json_array_get(list, i), vm) &&
+		ok = vm_parse(json_array_get(list, i), vm) &&
 		     index_add(index, vm->vm, i);
 	}
 	json_decref(index);
 	return ok;
 }
 
-/* Count a page; false: the scan has become too much. */
-static bool scan_count(struct exchange *x, const struct http_response *a)
+/* Counts a page of a scan. Returns false if the scan is over its limits. */
+static bool scan_count_page(struct exchange *x, const struct http_response *a)
 {
 	x->pages++;
 	x->scan_bytes += a->body.bstr_len;
 	return x->pages <= SCAN_PAGES_MAX && x->scan_bytes <= SCAN_BYTES_MAX;
 }
 
-/* Read the JSON of an answer that is not an error's. */
-static bool json_answer_read(struct exchange *x, const struct http_response *a,
-			     bool *more)
+/*
+ * Parses the JSON body of a response with status 200, or 409 for a commit. Sets
+ * more if the scan has another page.
+ */
+static bool json_response_parse(struct exchange *x,
+				const struct http_response *a, bool *more)
 {
 	json_t *j = json_read(a->body), *rows = json_object_get(j, "rows");
 	bool_t more_rows = FALSE;
 	bool ok = false;
 
 	if (x->fx->kind == FX_VM_LIST)
-		ok = vms_read(x, json_object_get(j, "vms"));
+		ok = vms_parse(x, json_object_get(j, "vms"));
 	else if (!json_is_array(rows))
 		ok = false;
 	else if (x->fx->kind == FX_READ)
-		ok = rows_read(x, rows);
+		ok = read_response_parse(x, rows);
 	else if (x->fx->kind == FX_COMMIT)
-		ok = a->status == 409 ? conflict_read(x, rows)
-				      : committed_read(x, rows);
+		ok = a->status == 409 ? conflict_parse(x, rows)
+				      : committed_parse(x, rows);
 	else if (x->fx->kind == FX_SCAN)
-		ok = scan_count(x, a) &&
+		ok = scan_count_page(x, a) &&
 		     json_read_bool(j, "more", &more_rows) &&
-		     page_read(x, rows) &&
+		     page_parse(x, rows) &&
 		     (!more_rows || json_array_size(rows) > 0);
 	*more = ok && more_rows;
 	json_decref(j);
 	return ok;
 }
 
-/* Read an answer that has a status. */
-static platform_outcome answer_read(struct exchange *x,
-				    const struct http_response *a, bool *more)
+/* Parses a response and returns the outcome that it stands for. */
+static platform_outcome response_parse(struct exchange *x,
+				       const struct http_response *a,
+				       bool *more)
 {
 	ev_platform *out = &x->ev->body.event_body_u.platform;
 	effect_kind kind = x->fx->kind;
@@ -419,19 +439,19 @@
 	}
 	if (a->status != 200 && !(a->status == 409 && kind == FX_COMMIT))
 		return PLATFORM_INVALID;
-	if (!json_answer_read(x, a, more))
+	if (!json_response_parse(x, a, more))
 		return PLATFORM_INVALID;
 	return a->status == 409 ? PLATFORM_CONFLICT : PLATFORM_OK;
 }
 
-/* What an exchange amounts to. */
+/* Returns the outcome of an exchange, which may have got no response. */
 static platform_outcome exchange_outcome(struct exchange *x,
 					 const struct http_response *a,
 					 bool *more)
 {
 	switch (a->outcome) {
 	case HTTP_OK:
-		return answer_read(x, a, more);
+		return response_parse(x, a, more);
 	case HTTP_NOT_SENT:
 		return PLATFORM_REFUSED;
 	case HTTP_NO_RESPONSE:
@@ -441,7 +461,6 @@
 	}
 }
 
-/* Free an exchange. */
 static void exchange_free(struct exchange *x)
 {
 	http_request_clear(&x->http);
@@ -450,7 +469,7 @@
 	free(x);
 }
 
-/* Count what became of a commit. */
+/* Updates the counters for the outcome of a commit. */
 static void commit_count(const fx_commit *c, platform_outcome outcome)
 {
 	if (outcome == PLATFORM_OK)
@@ -462,12 +481,13 @@
 }
 
 /*
- * May a scan go on with another request?  A refusal between two pages is the
- * platform's limit on reads, which a scan of a few thousand rows always
- * meets: begun anew it would meet it again, so it waits and goes on.
+ * Returns true if a scan continues with another request, which is then
+ * scheduled. A refusal between two pages is the platform's rate limit on reads,
+ * which a scan of a few thousand rows always reaches. A scan that started over
+ * would reach it again, so it pauses and then continues.
  */
-static bool scan_goes_on(struct exchange *x, const struct http_response *a,
-			 platform_outcome outcome, bool more)
+static bool scan_continue(struct exchange *x, const struct http_response *a,
+			  platform_outcome outcome, bool more)
 {
 	struct http_request *r = &x->http;
 	int64_t now = clock_now(), pause = 0;
@@ -477,31 +497,31 @@
 	if (outcome == PLATFORM_REFUSED && a->outcome == HTTP_OK && x->pages) {
 		pause = a->retry_after_ms ? a->retry_after_ms : SCAN_PAUSE_MS;
 	} else if (a->too_long && x->page_size > 1) {
-		/* Large rows: fewer of them fit into an answer. */
+		/* Large rows: request fewer of them per response. */
 		x->page_size /= 2;
 	} else if (outcome != PLATFORM_OK || !more) {
 		return false;
 	}
-	if (now + pause >= x->scan_until)
+	if (now + pause >= x->scan_deadline)
 		return false;
 	r->start_at = now + pause;
 	r->deadline = r->start_at + x->edge->timeout_ms;
-	if (r->deadline > x->scan_until)
-		r->deadline = x->scan_until;
+	if (r->deadline > x->scan_deadline)
+		r->deadline = x->scan_deadline;
 	return true;
 }
 
-/* Count an answer that makes no sense. */
-static void garbage_count(const struct exchange *x,
-			  const struct http_response *a)
+/* Counts and logs an invalid response. */
+static void invalid_response_count(const struct exchange *x,
+				   const struct http_response *a)
 {
 	counter_add(COUNT_DROPPED_PLATFORM_GARBAGE, 1);
 	log_event(LOG_BAD_INPUT, "platform %s: status %ld, %u bytes",
 		  x->http.url, a->status, a->body.bstr_len);
 }
 
-/* Drop what was read of an answer that is wrong or only a part. */
-static void event_clear(ev_platform *out)
+/* Drops what was parsed of an invalid or partial response. */
+static void event_reset(ev_platform *out)
 {
 	uint32_t retry_after_ms = out->retry_after_ms;
 
@@ -510,7 +530,10 @@
 	out->retry_after_ms = retry_after_ms;
 }
 
-/* Turn the outcome into the effect's one event, or ask for the next page. */
+/*
+ * Handles a response: posts the event of the effect, or returns the request for
+ * the next page of a scan.
+ */
 static struct http_request *exchange_done(struct http_request *r,
 					  const struct http_response *a)
 {
@@ -520,29 +543,29 @@
 	bool more = false;
 
 	outcome = exchange_outcome(x, a, &more);
-	if (scan_goes_on(x, a, outcome, more))
+	if (scan_continue(x, a, outcome, more))
 		return r;
 	if (outcome == PLATFORM_OK && more)
-		outcome = PLATFORM_UNKNOWN; /* a part is no answer */
+		outcome = PLATFORM_UNKNOWN; /* partial scan */
 	if (outcome == PLATFORM_INVALID) {
-		garbage_count(x, a);
-		/* The write may have been done, whatever was answered. */
+		invalid_response_count(x, a);
+		/* The write may have been executed nevertheless. */
 		if (effect_writes(x->fx))
 			outcome = PLATFORM_UNKNOWN;
 	}
 	if (outcome != PLATFORM_OK && outcome != PLATFORM_CONFLICT)
-		event_clear(out);
+		event_reset(out);
 	if (x->fx->kind == FX_COMMIT)
 		commit_count(&x->fx->effect_u.commit, outcome);
 	out->req = effect_request_id(x->fx);
 	out->outcome = outcome;
 	http_client_post(x->edge->client, x->edge->inbox, x->ev);
-	x->ev = NULL; /* the reducer's */
+	x->ev = NULL; /* owned by the reducer */
 	exchange_free(x);
 	return NULL;
 }
 
-/* The URL of an object, all that is special in a URL escaped. */
+/* Returns the URL of an object, with special characters escaped. */
 static char *object_url(const char *base, bstr name)
 {
 	char *url = xasprintf("%s/v1/objects/", base), *p;
@@ -563,8 +586,8 @@
 	return url;
 }
 
-/* Fill in method and URL. */
-static void exchange_address(struct exchange *x)
+/* Sets the method and URL of the request. */
+static void exchange_set_target(struct exchange *x)
 {
 	const effect *fx = x->fx;
 	struct http_request *r = &x->http;
@@ -600,7 +623,7 @@
 	}
 }
 
-/* Start the edge. */
+/* Starts the edge. Returns NULL with errors on failure. */
 struct edge_platform *edge_platform_start(const struct settings *s,
 					  struct mailbox *inbox,
 					  struct error *e)
@@ -628,7 +651,7 @@
 	return edge;
 }
 
-/* Send any effect that is a request to the platform. */
+/* Sends an effect that is a request to the platform. */
 bool edge_platform_send(struct edge_platform *edge, effect *fx)
 {
 	struct exchange *x = xcalloc(1, sizeof(*x));
@@ -638,21 +661,22 @@
 	x->fx = fx;
 	x->ev = event_new(EV_PLATFORM);
 	x->page_size = SCAN_PAGE;
-	x->scan_until = clock_now() + (int64_t)SCAN_TIMEOUTS * edge->timeout_ms;
+	x->scan_deadline = clock_now() +
+			   (int64_t)SCAN_TIMEOUTS * edge->timeout_ms;
 	r->queue_name = xstrdup("platform");
-	r->max_response = fx->kind == FX_OBJECT_GET ? BSTR_MAX : ANSWER_MAX;
+	r->max_response = fx->kind == FX_OBJECT_GET ? BSTR_MAX : RESPONSE_MAX;
 	r->deadline = clock_now() + edge->timeout_ms;
 	r->build = exchange_build;
 	r->done = exchange_done;
-	exchange_address(x);
+	exchange_set_target(x);
 	if (http_client_send(edge->client, r))
 		return true;
-	x->fx = NULL; /* still the caller's */
+	x->fx = NULL; /* still owned by the caller */
 	exchange_free(x);
 	return false;
 }
 
-/* Stop the edge; every effect sent has had its event. */
+/* Stops the edge. By then each effect sent has got its event. */
 void edge_platform_stop(struct edge_platform *edge)
 {
 	http_client_stop(edge->client);
