--- a/edge-worker.c
+++ b/edge-worker.c
@@ -1,3 +1,7 @@
+/*
+ * The edge to the workers: sends commands and watches (long polls) as HTTP
+ * requests, validates the reports and posts one EV_WORKER for each request.
+ */
 #include "http-client.h"
 #include "json-read.h"
 
@@ -5,7 +9,7 @@
 #include <string.h>
 
 #define REQUESTS_MAX 4096
-#define ANSWER_MAX (8 << 20)
+#define RESPONSE_MAX (8 << 20)
 #define TASKS_MAX 4096
 #define NAME_BYTES 128
 #define REASON_BYTES 1024
@@ -18,7 +22,10 @@
 	bool tls;
 };
 
-/* One exchange with a worker. */
+/*
+ * A request to a worker. http comes first: the callbacks of the HTTP client
+ * convert from it.
+ */
 struct exchange {
 	struct http_request http;
 	struct edge_worker *edge;
@@ -42,7 +49,7 @@
 	[TASK_FORGET] = "forget",
 };
 
-/* A task to start, as JSON. */
+/* Returns a task to start as JSON. */
 static json_t *start_json(const task_start *s)
 {
 	return json_pack(
@@ -54,7 +61,7 @@
 		"accelerators", (json_int_t)s->accelerators);
 }
 
-/* An order for a task, as JSON. */
+/* Returns an order for a task as JSON. */
 static json_t *order_json(const task_order *o)
 {
 	return json_pack("{s:o, s:s, s:I}", "task", bstr_to_json(o->task),
@@ -62,29 +69,32 @@
 			 (json_int_t)o->percent);
 }
 
-/* An address is host:port; anything else would end up in the URL. */
-static bool address_is_plain(bstr a)
+/*
+ * Returns true if an address contains only characters of host:port. Any other
+ * character would change the URL that is built from the address.
+ */
+static bool address_is_valid(bstr a)
 {
-	static const char good[] = "0123456789abcdefghijklmnopqrstuvwxyz"
-				   "ABCDEFGHIJKLMNOPQRSTUVWXYZ.-:[]";
+	static const char valid[] = "0123456789abcdefghijklmnopqrstuvwxyz"
+				    "ABCDEFGHIJKLMNOPQRSTUVWXYZ.-:[]";
 	u_int i;
 
 	if (!a.bstr_len || a.bstr_len > ADDRESS_BYTES)
 		return false;
 	for (i = 0; i < a.bstr_len; i++)
-		if (!a.bstr_val[i] || !strchr(good, a.bstr_val[i]))
+		if (!a.bstr_val[i] || !strchr(valid, a.bstr_val[i]))
 			return false;
 	return true;
 }
 
-/* Make the request's body. */
+/* Builds the body of the request. Returns false if the address is invalid. */
 static bool exchange_build(struct http_request *r)
 {
 	const fx_worker *w = &((struct exchange *)r)->fx->effect_u.worker;
 	json_t *j, *starts, *orders;
 	u_int i;
 
-	if (!address_is_plain(w->address))
+	if (!address_is_valid(w->address))
 		return false;
 	j = json_pack("{s:o, s:o, s:I, s:I}", "pool",
 		      bstr_to_json(w->cell.pool), "dc",
@@ -110,8 +120,8 @@
 	return true;
 }
 
-/* Read a task's state. */
-static bool state_read(const json_t *j, task_state *state)
+/* Parses the state of a task. */
+static bool state_parse(const json_t *j, task_state *state)
 {
 	const char *name = json_string_value(json_object_get(j, "state"));
 	size_t i;
@@ -125,11 +135,11 @@
 	return false;
 }
 
-/* Read one task of a report. */
-static bool task_read(const json_t *j, task_report *t)
+/* Parses a task of a report. */
+static bool task_parse(const json_t *j, task_report *t)
 {
 	return json_read_text(j, "task", NAME_BYTES, &t->task) &&
-	       t->task.bstr_len && state_read(j, &t->state) &&
+	       t->task.bstr_len && state_parse(j, &t->state) &&
 	       json_read_text(j, "reason", REASON_BYTES, &t->reason) &&
 	       json_read_bytes(j, "result", &t->result) &&
 	       json_read_u32(j, "ran_ms", &t->ran_ms) &&
@@ -137,21 +147,24 @@
 	       json_read_u32(j, "memory_mb", &t->memory_mb);
 }
 
-/* Count a task once more among those that a report may name. */
-static void named_add(json_t *named, bstr task)
+/* Allows a report to contain a task once more. */
+static void allowed_add(json_t *allowed, bstr task)
 {
 	json_int_t n;
 
 	n = json_integer_value(
-		json_object_getn(named, task.bstr_val, task.bstr_len));
-	json_object_setn_new(named, task.bstr_val, task.bstr_len,
+		json_object_getn(allowed, task.bstr_val, task.bstr_len));
+	json_object_setn_new(allowed, task.bstr_val, task.bstr_len,
 			     json_integer(n + 1));
 }
 
-/* Take a task from those that a report may name; false: not, or too often. */
-static bool named_take(json_t *named, bstr task)
+/*
+ * Consumes one permission for a report to contain a task. Returns false if
+ * there is none left.
+ */
+static bool allowed_take(json_t *allowed, bstr task)
 {
-	json_t *n = json_object_getn(named, task.bstr_val, task.bstr_len);
+	json_t *n = json_object_getn(allowed, task.bstr_val, task.bstr_len);
 
 	if (json_integer_value(n) < 1)
 		return false;
@@ -160,45 +173,47 @@
 }
 
 /*
- * Read the tasks of a report.  A command is answered with tasks that it
- * names, as often as it names them: any other belongs to another request, so
- * the answer is not this one's.  A watch names none; each comes once.
+ * Parses the tasks of a report. The report on a command may contain a task only
+ * as often as the command does; otherwise it is the response to another request
+ * and invalid here. A watch lists no tasks; its report may contain any task
+ * once.
  */
-static bool tasks_read(const json_t *list, const fx_worker *w, ev_worker *ev)
+static bool tasks_parse(const json_t *list, const fx_worker *w, ev_worker *ev)
 {
-	json_t *named;
+	json_t *allowed;
 	task_report *t;
 	bool ok = true;
 	size_t i, n = json_array_size(list);
 
 	if (!json_is_array(list) || n > TASKS_MAX)
 		return false;
-	named = json_object();
+	allowed = json_object();
 	for (i = 0; i < w->starts.starts_len; i++)
-		named_add(named, w->starts.starts_val[i].task);
+		allowed_add(allowed, w->starts.starts_val[i].task);
 	for (i = 0; i < w->orders.orders_len; i++)
-		named_add(named, w->orders.orders_val[i].task);
+		allowed_add(allowed, w->orders.orders_val[i].task);
 	ev->tasks.tasks_val = xcalloc(n, sizeof(*t));
 	ev->tasks.tasks_len = (u_int)n;
 	for (i = 0; ok && i < n; i++) {
 		t = &ev->tasks.tasks_val[i];
-		ok = task_read(json_array_get(list, i), t);
+		ok = task_parse(json_array_get(list, i), t);
 		if (ok && w->watch &&
-		    !json_object_getn(named, t->task.bstr_val,
+		    !json_object_getn(allowed, t->task.bstr_val,
 				      t->task.bstr_len))
-			named_add(named, t->task);
-		ok = ok && named_take(named, t->task);
+			allowed_add(allowed, t->task);
+		ok = ok && allowed_take(allowed, t->task);
 	}
-	json_decref(named);
+	json_decref(allowed);
 	return ok;
 }
 
 /*
- * Read a report.  It must come from the VM addressed: an address that was
- * given to another VM leads to a worker that knows nothing of this one's
- * tasks.  A worker that accepted the request has seen its epoch.
+ * Parses a report. It must come from the VM that was addressed: if the address
+ * was reassigned to another VM, the worker there has no record of this VM's
+ * tasks. The epoch must not be lower than that of the request, because a worker
+ * that accepts a request has seen its epoch.
  */
-static bool report_read(const json_t *j, const fx_worker *w, ev_worker *ev)
+static bool report_parse(const json_t *j, const fx_worker *w, ev_worker *ev)
 {
 	bstr name = BSTR_NONE;
 	bool ok;
@@ -211,19 +226,22 @@
 	       ev->boot_id.bstr_len && json_read_u64(j, "epoch", &ev->epoch) &&
 	       ev->epoch >= w->epoch && json_read_u64(j, "seq", &ev->seq) &&
 	       json_read_u32(j, "slots", &ev->slots) &&
-	       tasks_read(json_object_get(j, "tasks"), w, ev);
+	       tasks_parse(json_object_get(j, "tasks"), w, ev);
 }
 
-/* Read a refusal for a stale epoch; one that names no higher is none. */
-static bool stale_read(const json_t *j, const fx_worker *w, ev_worker *ev)
+/*
+ * Parses a refusal because of a stale epoch, which is valid only if it contains
+ * a higher epoch.
+ */
+static bool stale_parse(const json_t *j, const fx_worker *w, ev_worker *ev)
 {
 	return json_read_u64(j, "epoch", &ev->epoch) && ev->epoch > w->epoch &&
 	       json_read_text(j, "boot", NAME_BYTES, &ev->boot_id);
 }
 
-/* Read an answer with a status. */
-static worker_outcome answer_read(const struct http_response *a,
-				  const fx_worker *w, ev_worker *ev)
+/* Parses a response and returns the outcome that it stands for. */
+static worker_outcome response_parse(const struct http_response *a,
+				     const fx_worker *w, ev_worker *ev)
 {
 	bool ok = false;
 	json_t *j;
@@ -234,15 +252,14 @@
 		return WORKER_INVALID;
 	j = json_read(a->body);
 	if (j)
-		ok = a->status == 200 ? report_read(j, w, ev)
-				      : stale_read(j, w, ev);
+		ok = a->status == 200 ? report_parse(j, w, ev)
+				      : stale_parse(j, w, ev);
 	json_decref(j);
 	if (!ok)
 		return WORKER_INVALID;
 	return a->status == 200 ? WORKER_OK : WORKER_STALE;
 }
 
-/* Free an exchange. */
 static void exchange_free(struct exchange *x)
 {
 	http_request_clear(&x->http);
@@ -250,7 +267,7 @@
 	free(x);
 }
 
-/* Turn the outcome into the effect's one event. */
+/* Handles a response: posts the event of the effect. */
 static struct http_request *exchange_done(struct http_request *r,
 					  const struct http_response *a)
 {
@@ -261,7 +278,7 @@
 
 	switch (a->outcome) {
 	case HTTP_OK:
-		out->outcome = answer_read(a, w, out);
+		out->outcome = response_parse(a, w, out);
 		break;
 	case HTTP_NOT_SENT:
 		out->outcome = WORKER_NOT_SENT;
@@ -274,7 +291,7 @@
 		break;
 	}
 	if (out->outcome == WORKER_INVALID) {
-		/* Nothing of a report that is wrong in part is passed on. */
+		/* No part of an invalid report reaches the reducer. */
 		xdr_free(XDR_PROC(xdr_ev_worker), (char *)out);
 		memset(out, 0, sizeof(*out));
 		out->outcome = WORKER_INVALID;
@@ -289,7 +306,7 @@
 	return NULL;
 }
 
-/* Start the edge. */
+/* Starts the edge. Returns NULL with errors on failure. */
 struct edge_worker *edge_worker_start(const struct settings *s,
 				      struct mailbox *inbox, struct error *e)
 {
@@ -312,7 +329,7 @@
 	return NULL;
 }
 
-/* Send FX_WORKER. */
+/* Sends an FX_WORKER. */
 bool edge_worker_send(struct edge_worker *edge, effect *fx)
 {
 	const fx_worker *w = &fx->effect_u.worker;
@@ -322,14 +339,15 @@
 	x->edge = edge;
 	x->fx = fx;
 	r->method = "POST";
-	r->max_response = ANSWER_MAX;
+	r->max_response = RESPONSE_MAX;
 	r->deadline = clock_now() + edge->timeout_ms +
 		      (w->watch ? w->wait_ms : 0);
 	r->build = exchange_build;
 	r->done = exchange_done;
 	/*
-	 * Commands and watches have queues and places of their own: a watch
-	 * is a long poll, and a command must not wait for its end.
+	 * Commands and watches have separate queues, each with half of the
+	 * connections: a watch is a long poll, and a command must not wait
+	 * until it ends.
 	 */
 	r->queue_name = xasprintf("%s %.*s", w->watch ? "watch" : "command",
 				  BSTR_ARG(w->address));
@@ -338,12 +356,12 @@
 			   w->watch ? "watch" : "command");
 	if (http_client_send(edge->client, r))
 		return true;
-	x->fx = NULL; /* still the caller's */
+	x->fx = NULL; /* still owned by the caller */
 	exchange_free(x);
 	return false;
 }
 
-/* Stop the edge; every effect sent has had its event. */
+/* Stops the edge. By then each effect sent has got its event. */
 void edge_worker_stop(struct edge_worker *edge)
 {
 	http_client_stop(edge->client);
