--- a/edge-caller-conn.c
+++ b/edge-caller-conn.c
@@ -1,17 +1,21 @@
+/*
+ * Connections of the callers' HTTP server: the connection table and the watcher
+ * thread, which enforces deadlines and detects clients that disconnect.
+ */
 #include "edge-caller.h"
 
 #include <ck_pr.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
 
-/* The id of a connection's present call; under its lock. */
+/* Returns the ID of a connection's current call. Needs the conn's lock. */
 uint64_t caller_conn_call(const struct edge_caller *edge, const struct conn *cn)
 {
 	return cn->generation << SLOT_BITS | (uint64_t)(cn - edge->conns);
 }
 
-/* Put an EV_CALL_GONE; false: the inbox is full. */
-static bool gone_put(struct edge_caller *edge, uint64_t call)
+/* Posts an EV_CALL_GONE. Returns false if the inbox is full. */
+static bool gone_post(struct edge_caller *edge, uint64_t call)
 {
 	event *ev = event_new(EV_CALL_GONE);
 
@@ -23,17 +27,20 @@
 }
 
 /*
- * Tell the reducer that nobody waits for a connection's call any more; under
- * its lock.  With a full inbox the call is kept and the watcher tries again:
- * were it lost, the reducer would hold the call for good.  There are never
- * more than calls were put into the inbox, and a full inbox takes none.
+ * Reports to the reducer that nobody waits for a connection's call any more.
+ * Needs the conn's lock.
+ *
+ * If the inbox is full, the call is kept in a list that the watcher retries. If
+ * the report got lost, the reducer would hold the call forever. The list is
+ * bounded: it never has more entries than calls were put into the inbox, and a
+ * full inbox accepts no more calls.
  */
 void caller_conn_notify_gone(struct edge_caller *edge, const struct conn *cn)
 {
 	uint64_t call = caller_conn_call(edge, cn);
 
 	pthread_mutex_lock(&edge->lock);
-	if (!gone_put(edge, call)) {
+	if (!gone_post(edge, call)) {
 		if (edge->unsent_gone_count == edge->unsent_gone_capacity) {
 			edge->unsent_gone_capacity =
 				edge->unsent_gone_capacity * 2 + 16;
@@ -46,17 +53,17 @@
 	pthread_mutex_unlock(&edge->lock);
 }
 
-/* Put what caller_conn_notify_gone could not. */
+/* Posts the reports that caller_conn_notify_gone could not post. */
 static void gone_retry(struct edge_caller *edge)
 {
 	pthread_mutex_lock(&edge->lock);
 	while (edge->unsent_gone_count &&
-	       gone_put(edge, edge->unsent_gone[edge->unsent_gone_count - 1]))
+	       gone_post(edge, edge->unsent_gone[edge->unsent_gone_count - 1]))
 		edge->unsent_gone_count--;
 	pthread_mutex_unlock(&edge->lock);
 }
 
-/* Set when what is awaited of a connection is overdue. */
+/* Sets the deadline of a connection, see conn_expire. */
 void caller_conn_set_deadline(struct conn *cn, uint32_t ms)
 {
 	pthread_mutex_lock(&cn->lock);
@@ -64,7 +71,10 @@
 	pthread_mutex_unlock(&cn->lock);
 }
 
-/* End a connection's call and let its thread go on; under its lock. */
+/*
+ * Ends the call of a connection in the given state and resumes the connection.
+ * Needs the conn's lock.
+ */
 void caller_conn_resume(struct edge_caller *edge, struct conn *cn,
 			enum conn_state state)
 {
@@ -74,16 +84,17 @@
 }
 
 /*
- * Act on a passed deadline; under the connection's lock.
+ * Handles a deadline that has passed. Needs the conn's lock.
  *
- * A call: the reducer answers every call by its own deadline.  Should it
- * fail to (a lost answer between entry VMs, a fault of ours), the caller
- * would hang until its own patience ends and know nothing.  It is told the
- * truth, that the state is unknown, and can ask again by its idempotency
- * key.  That is enough because nothing is decided here: the job goes on.
+ * Pending call: the reducer answers each call by its own deadline. If it does
+ * not (an answer between entry VMs was lost, or there is a bug), the caller
+ * would hang until its own timeout without any information. It gets the answer
+ * that the outcome is unknown, and can repeat the request with its idempotency
+ * key. That is enough because nothing is decided here: the job continues.
  *
- * A request or answer under way: a peer that sends or reads a byte now and
- * then, or none, would hold its connection for good.
+ * Request or reply in transfer: the connection is closed. A client that sends
+ * or reads only a byte now and then, or nothing, would otherwise occupy the
+ * connection forever.
  */
 static void conn_expire(struct edge_caller *edge, struct conn *cn)
 {
@@ -98,7 +109,7 @@
 	shutdown(cn->fd, SHUT_RDWR);
 }
 
-/* Look at every deadline. */
+/* Checks the deadlines of all connections. */
 static void watcher_sweep(struct edge_caller *edge)
 {
 	int64_t now = clock_now();
@@ -117,8 +128,11 @@
 	}
 }
 
-/* A client has closed its side of a connection. */
-static void watcher_left(struct edge_caller *edge, uint64_t id)
+/*
+ * Handles a client that has closed its side of a connection. id consists of the
+ * incarnation and the slot number.
+ */
+static void watcher_client_closed(struct edge_caller *edge, uint64_t id)
 {
 	struct conn *cn = &edge->conns[id & SLOT_MASK];
 
@@ -134,8 +148,8 @@
 }
 
 /*
- * The watcher's thread.  MHD doesn't look at a suspended connection, so a
- * client that leaves is seen here, and deadlines are looked at here.
+ * The watcher thread. MHD does not poll suspended connections, so this thread
+ * detects clients that disconnect and checks the deadlines.
  */
 void *edge_caller_watch(void *arg)
 {
@@ -149,7 +163,7 @@
 			       (int)edge->timing.sweep_ms);
 		for (i = 0; i < n; i++)
 			if (evs[i].data.u64 != UINT64_MAX)
-				watcher_left(edge, evs[i].data.u64);
+				watcher_client_closed(edge, evs[i].data.u64);
 		now = clock_now();
 		if (now < next)
 			continue;
@@ -160,7 +174,7 @@
 	return NULL;
 }
 
-/* Take a slot for a new connection; NULL if there is none. */
+/* Allocates a slot for a new connection. Returns NULL if none is free. */
 static struct conn *conn_open(struct edge_caller *edge,
 			      struct MHD_Connection *mhd)
 {
@@ -192,13 +206,13 @@
 	cn->over_limit = over;
 	cn->deadline = clock_now() + edge->timing.idle_ms;
 	ev.data.u64 = cn->incarnation << SLOT_BITS | slot;
-	/* a connection that can't be watched is served, and swept */
+	/* On failure the connection is served, and closed by its deadline. */
 	epoll_ctl(edge->epoll, EPOLL_CTL_ADD, cn->fd, &ev);
 	pthread_mutex_unlock(&cn->lock);
 	return cn;
 }
 
-/* Give a slot back.  MHD closes the socket only after this. */
+/* Releases a slot. MHD closes the socket after this. */
 static void conn_close(struct edge_caller *edge, struct conn *cn)
 {
 	pthread_mutex_lock(&cn->lock);
@@ -210,7 +224,7 @@
 	pthread_mutex_unlock(&edge->lock);
 }
 
-/* MHD opened or closed a connection. */
+/* Callback of MHD for an opened or closed connection. */
 void edge_caller_connection(void *cls, struct MHD_Connection *mhd,
 			    void **context,
 			    enum MHD_ConnectionNotificationCode code)
@@ -224,8 +238,9 @@
 }
 
 /*
- * Take a new connection?  Those above the limit are taken as long as there
- * are spare slots, and told; the rest are closed without a word.
+ * Callback of MHD that returns whether a new connection is accepted. While
+ * there are spare slots, a connection over the limit is accepted and its
+ * requests are answered with 503. Others are closed without an answer.
  */
 enum MHD_Result edge_caller_accept(void *cls, const struct sockaddr *sa,
 				   socklen_t len)
--- a/edge-caller.c
+++ b/edge-caller.c
@@ -1,3 +1,7 @@
+/*
+ * Starts and stops the callers' HTTP server, which is built on libmicrohttpd
+ * (MHD), and delivers the reducer's answers to suspended connections.
+ */
 #include "edge-caller.h"
 
 #include <arpa/inet.h>
@@ -13,22 +17,23 @@
 #define CALLER_IDLE_MS 30000
 #define CALLER_MARGIN_MS 5000
 #define CALLER_SWEEP_MS 250
-#define CALLER_SPARE 64	    /* connections that are told of the limit */
-#define CALLER_MEMORY 32768 /* libmicrohttpd's, a connection */
-#define CALLER_STOP_MS 2000 /* answers leave within, at a stop */
+#define CALLER_SPARE_SLOTS 64	/* for connections to refuse with 503 */
+#define CALLER_POOL_BYTES 32768 /* MHD's memory per connection */
+#define CALLER_DRAIN_MS 2000	/* time limit to send answers during a stop */
 
 /*
- * MHD refuses by itself what it can't parse, and calls no handler then; the
- * line it logs is the only trace, so the refusal is counted here.
+ * Logger callback of MHD, which counts refusals. MHD refuses requests that
+ * it cannot parse without calling the request handler. Its log message is then
+ * the only sign of the refusal.
  */
-static void edge_caller_logged(void *cls, const char *fmt, va_list ap)
+static void mhd_log_callback(void *cls, const char *fmt, va_list ap)
 {
-	static const char refused[] =
+	static const char refusal[] =
 		"Error processing request (HTTP response code is %u";
 	unsigned http;
 
 	(void)cls;
-	if (strncmp(fmt, refused, strlen(refused)) != 0)
+	if (strncmp(fmt, refusal, strlen(refusal)) != 0)
 		return;
 	http = va_arg(ap, unsigned);
 	counter_add(http == 431 || http == 414 ? COUNT_REFUSED_HEADER_TOO_LARGE
@@ -36,7 +41,7 @@
 		    1);
 }
 
-/* Read the whole of a file; NULL if it can't be read. */
+/* Returns the text of a file. NULL: it is unreadable, empty or too long. */
 static char *file_read(const char *path)
 {
 	char *text = xcalloc(1, 65536);
@@ -54,13 +59,13 @@
 	return NULL;
 }
 
-/* Start libmicrohttpd's daemon. */
-static void daemon_start(struct edge_caller *edge, const struct settings *s,
-			 struct error *e)
+/* Starts the MHD daemon. On failure adds errors and leaves daemon NULL. */
+static void mhd_start(struct edge_caller *edge, const struct settings *s,
+		      struct error *e)
 {
 	unsigned flags = MHD_USE_EPOLL_INTERNAL_THREAD |
 			 MHD_ALLOW_SUSPEND_RESUME | MHD_USE_ERROR_LOG;
-	struct MHD_OptionItem ops[4] = {{MHD_OPTION_END, 0, NULL}};
+	struct MHD_OptionItem options[4] = {{MHD_OPTION_END, 0, NULL}};
 	union {
 		struct sockaddr sa;
 		struct sockaddr_in in;
@@ -78,47 +83,47 @@
 		addr.in6.sin6_port = htons(s->callers.listen.port);
 		flags |= MHD_USE_IPv6;
 	} else {
-		error_add(e, "callers.listen", "%s is no IP number", host);
+		error_add(e, "callers.listen", "%s is not an IP address", host);
 		return;
 	}
 	if (s->callers.tls_cert && s->callers.tls_key) {
 		cert = file_read(s->callers.tls_cert);
 		key = file_read(s->callers.tls_key);
 		if (!cert)
-			error_add(e, "callers.tls_cert", "can't read %s",
+			error_add(e, "callers.tls_cert", "cannot read %s",
 				  s->callers.tls_cert);
 		if (!key)
-			error_add(e, "callers.tls_key", "can't read %s",
+			error_add(e, "callers.tls_key", "cannot read %s",
 				  s->callers.tls_key);
 		flags |= MHD_USE_TLS;
-		ops[n++] = (struct MHD_OptionItem){MHD_OPTION_HTTPS_MEM_CERT, 0,
-						   cert};
-		ops[n++] = (struct MHD_OptionItem){MHD_OPTION_HTTPS_MEM_KEY, 0,
-						   key};
+		options[n++] = (struct MHD_OptionItem){
+			MHD_OPTION_HTTPS_MEM_CERT, 0, cert};
+		options[n++] = (struct MHD_OptionItem){MHD_OPTION_HTTPS_MEM_KEY,
+						       0, key};
 	}
 	if (threads > 1)
-		ops[n++] = (struct MHD_OptionItem){MHD_OPTION_THREAD_POOL_SIZE,
-						   threads, NULL};
-	ops[n] = (struct MHD_OptionItem){MHD_OPTION_END, 0, NULL};
+		options[n++] = (struct MHD_OptionItem){
+			MHD_OPTION_THREAD_POOL_SIZE, threads, NULL};
+	options[n] = (struct MHD_OptionItem){MHD_OPTION_END, 0, NULL};
 	if (!e->count) {
 		edge->daemon = MHD_start_daemon(
 			flags, 0, edge_caller_accept, edge, edge_caller_handle,
-			edge, MHD_OPTION_EXTERNAL_LOGGER, edge_caller_logged,
+			edge, MHD_OPTION_EXTERNAL_LOGGER, mhd_log_callback,
 			edge, MHD_OPTION_SOCK_ADDR, &addr.sa,
 			MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-			(size_t)CALLER_MEMORY, MHD_OPTION_CONNECTION_LIMIT,
+			(size_t)CALLER_POOL_BYTES, MHD_OPTION_CONNECTION_LIMIT,
 			edge->slot_total * (threads ? threads : 1),
 			MHD_OPTION_STRICT_FOR_CLIENT, 1,
 			MHD_OPTION_NOTIFY_CONNECTION, edge_caller_connection,
 			edge, MHD_OPTION_NOTIFY_COMPLETED,
-			edge_caller_completed, edge, MHD_OPTION_ARRAY, ops,
+			edge_caller_completed, edge, MHD_OPTION_ARRAY, options,
 			MHD_OPTION_END);
 		if (!edge->daemon)
 			error_add(e, "callers.listen",
-				  "can't listen on %s port %u%s", host,
+				  "cannot listen on %s port %u%s", host,
 				  s->callers.listen.port,
-				  cert ? ", or the certificate and key don't "
-					 "fit"
+				  cert ? ", or the certificate and key do not "
+					 "match"
 				       : "");
 	}
 	free(cert);
@@ -127,7 +132,7 @@
 	free(key);
 }
 
-/* Free an edge whose threads have ended. */
+/* Frees an edge whose threads have ended. */
 static void edge_caller_free(struct edge_caller *edge)
 {
 	uint32_t i;
@@ -144,7 +149,7 @@
 	free(edge);
 }
 
-/* Make an edge with all its slots free, and the watcher's descriptors. */
+/* Creates an edge with free slots only and with the watcher's descriptors. */
 static struct edge_caller *edge_caller_new(const struct settings *s,
 					   const struct caller_timing *t,
 					   struct mailbox *inbox)
@@ -159,9 +164,9 @@
 	edge->limits.max_body = s->callers.max_body;
 	edge->limits.max_wait_ms = s->callers.max_wait_ms;
 	edge->max_connections = s->callers.max_connections;
-	if (edge->max_connections > SLOT_MASK - CALLER_SPARE)
-		edge->max_connections = SLOT_MASK - CALLER_SPARE;
-	edge->slot_total = edge->max_connections + CALLER_SPARE;
+	if (edge->max_connections > SLOT_MASK - CALLER_SPARE_SLOTS)
+		edge->max_connections = SLOT_MASK - CALLER_SPARE_SLOTS;
+	edge->slot_total = edge->max_connections + CALLER_SPARE_SLOTS;
 	edge->conns = xcalloc(edge->slot_total, sizeof(*edge->conns));
 	edge->free_slots = xcalloc(edge->slot_total, sizeof(*edge->free_slots));
 	for (i = edge->slot_total; i-- > 0;) {
@@ -181,7 +186,7 @@
 	return edge;
 }
 
-/* Start, with times of one's own. */
+/* Starts the edge with the given timeouts, which tests shorten. */
 struct edge_caller *edge_caller_start_timed(const struct settings *s,
 					    const struct caller_timing *t,
 					    struct mailbox *inbox,
@@ -193,7 +198,7 @@
 	if (sodium_init() < 0)
 		abort();
 	edge = edge_caller_new(s, t, inbox);
-	daemon_start(edge, s, e);
+	mhd_start(edge, s, e);
 	if (!edge->daemon) {
 		edge_caller_free(edge);
 		return NULL;
@@ -205,7 +210,7 @@
 	return edge;
 }
 
-/* Start the callers' edge; NULL and findings if it can't listen. */
+/* Starts the edge. Returns NULL with errors if it cannot listen. */
 struct edge_caller *edge_caller_start(const struct settings *s,
 				      struct mailbox *inbox, struct error *e)
 {
@@ -215,55 +220,55 @@
 	return edge_caller_start_timed(s, &t, inbox, e);
 }
 
-/* The port that is listened on. */
 uint16_t edge_caller_port(const struct edge_caller *edge)
 {
 	return edge->port;
 }
 
-/* Say whether the balancer should send callers here. */
+/* Sets the state that the readiness check of load balancers reports. */
 void edge_caller_ready(struct edge_caller *edge, bool ready)
 {
 	ck_pr_store_int(&edge->ready, ready);
 }
 
 /*
- * Give an answer to the call that it is for.  Never blocks for long: locks
- * are held for a few assignments, and MHD's thread does the encoding.  There
- * is no queue that could be full, so this always takes the effect.
+ * Delivers an answer to the connection of its call. Does not block for long:
+ * locks are held only for a few assignments and MHD's threads encode the
+ * answer. There is no queue that could be full, so it always takes the effect
+ * and returns true.
  */
 bool edge_caller_send(struct edge_caller *edge, effect *fx)
 {
 	uint64_t call = fx->effect_u.answer.call;
 	uint64_t slot = call & SLOT_MASK;
-	bool taken = false;
+	bool delivered = false;
 	struct conn *cn;
 
 	if (fx->kind == FX_ANSWER && slot < edge->slot_total) {
 		cn = &edge->conns[slot];
 		pthread_mutex_lock(&cn->lock);
-		taken = cn->state == CONN_PENDING &&
-			cn->generation == call >> SLOT_BITS;
-		if (taken) {
+		delivered = cn->state == CONN_PENDING &&
+			    cn->generation == call >> SLOT_BITS;
+		if (delivered) {
 			cn->answer = fx;
 			caller_conn_resume(edge, cn, CONN_ANSWERED);
 		}
 		pthread_mutex_unlock(&cn->lock);
 	}
-	if (!taken) {
+	if (!delivered) {
 		counter_add(COUNT_DROPPED_LATE, 1);
 		effect_free(fx);
 	}
 	return true;
 }
 
-/* Wait until no request is under way, but not long. */
+/* Waits until no request is active, for at most CALLER_DRAIN_MS. */
 static void edge_caller_drain(struct edge_caller *edge)
 {
 	struct timespec until;
 
 	clock_gettime(CLOCK_MONOTONIC, &until);
-	until.tv_sec += CALLER_STOP_MS / 1000;
+	until.tv_sec += CALLER_DRAIN_MS / 1000;
 	pthread_mutex_lock(&edge->lock);
 	while (edge->active_requests &&
 	       !pthread_cond_timedwait(&edge->idle_cond, &edge->lock, &until))
@@ -272,19 +277,19 @@
 }
 
 /*
- * Stop.  Calls still pending are answered as unknown; MHD must have no
- * suspended connection when it stops.
+ * Stops the edge. Pending calls are answered with an unknown outcome, because
+ * MHD must not have suspended connections when it stops.
  */
 void edge_caller_stop(struct edge_caller *edge)
 {
-	uint64_t one = 1;
+	uint64_t wakeup = 1;
 	struct conn *cn;
 	int listener;
 	uint32_t i;
 
 	ck_pr_store_int(&edge->stopping, 1);
-	if (write(edge->wake, &one, sizeof(one)) < 0)
-		log_debug("the watcher wakes by its tick");
+	if (write(edge->wake, &wakeup, sizeof(wakeup)) < 0)
+		log_debug("cannot wake the watcher before its next sweep");
 	pthread_join(edge->watcher, NULL);
 	listener = MHD_quiesce_daemon(edge->daemon);
 	for (i = 0; i < edge->slot_total; i++) {
