--- a/edge-operator.c
+++ b/edge-operator.c
@@ -1,3 +1,8 @@
+/*
+ * The edge to operators: an RPC server that authenticates requests, posts them
+ * to the reducer and sends its replies. The counters of this process are
+ * answered without the reducer.
+ */
 #include "bamboofront.h"
 
 #include <sodium.h>
@@ -19,7 +24,7 @@
 	op_kind kind;
 	const struct operator_key *signer;
 	char nonce[24];
-	bstr secret; /* key create: shown to the operator if it is made */
+	bstr secret; /* OP_KEY_CREATE: sent to the operator on success */
 };
 
 struct edge_operator {
@@ -28,11 +33,11 @@
 	struct mailbox *replies;
 	struct replay_guard *guard;
 	struct rpc_server *server;
-	struct pending *pending[PENDING_MAX + 1]; /* by deadline */
+	struct pending *pending[PENDING_MAX + 1]; /* sorted by deadline */
 	size_t pending_count;
 };
 
-/* Free a call; the secret leaves no trace in memory. */
+/* Frees a call and erases its secret from memory. */
 static void pending_free(struct pending *p)
 {
 	if (p->secret.bstr_len)
@@ -41,8 +46,8 @@
 	free(p);
 }
 
-/* Forget the i-th call. */
-static void edge_forget(struct edge_operator *edge, size_t i)
+/* Removes and frees the i-th call. */
+static void edge_remove_pending(struct edge_operator *edge, size_t i)
 {
 	pending_free(edge->pending[i]);
 	edge->pending_count--;
@@ -50,8 +55,8 @@
 		(edge->pending_count - i) * sizeof(struct pending *));
 }
 
-/* Find a call; pending_count if it is not there. */
-static size_t edge_find(const struct edge_operator *edge, uint64_t call)
+/* Returns the index of a call, or pending_count if there is none. */
+static size_t edge_find_pending(const struct edge_operator *edge, uint64_t call)
 {
 	size_t i;
 
@@ -61,8 +66,8 @@
 	return i;
 }
 
-/* Does a command change anything? */
-static bool op_changes(op_kind kind)
+/* Returns true if an operation changes any state. */
+static bool op_is_change(op_kind kind)
 {
 	switch (kind) {
 	case OP_POOL_SHOW:
@@ -84,9 +89,9 @@
 	}
 }
 
-/* Seal an encoded reply and send it. */
-static void edge_send(struct edge_operator *edge, const struct pending *p,
-		      bstr body)
+/* Seals an encoded reply and sends it. */
+static void edge_send_sealed(struct edge_operator *edge,
+			     const struct pending *p, bstr body)
 {
 	char *purpose = operator_reply_purpose(p->nonce);
 	sealed envelope;
@@ -100,34 +105,35 @@
 }
 
 /*
- * Send a reply.  One that no envelope can hold would never arrive, and the
- * operator would read a change that took effect as unknown; the status of a
- * change goes out without its document, a question is refused.
+ * Sends a reply. If it is too large for an envelope, it would never arrive, and
+ * the operator would regard the outcome of a change as unknown although it took
+ * effect. A change is then answered with its status (and the secret of a new
+ * key) but without its document; a query is refused.
  */
 static void edge_reply(struct edge_operator *edge, const struct pending *p,
 		       const op_reply *reply)
 {
 	bstr body = xdr_encode(XDR_PROC(xdr_op_reply), reply);
-	op_reply brief = {
-		.status = op_changes(p->kind) ? reply->status : OP_REFUSED,
+	op_reply short_reply = {
+		.status = op_is_change(p->kind) ? reply->status : OP_REFUSED,
 		.reason = bstr_lit("answer-too-large"),
-		.detail = bstr_lit("the document is over the bound"),
+		.detail = bstr_lit("the document exceeds the size limit"),
 		.secret = reply->secret,
 	};
 
 	if (!body.bstr_len || body.bstr_len > BSTR_MAX) {
 		bstr_free(&body);
-		body = xdr_encode(XDR_PROC(xdr_op_reply), &brief);
+		body = xdr_encode(XDR_PROC(xdr_op_reply), &short_reply);
 		counter_add(COUNT_REFUSED_BODY_TOO_LARGE, 1);
 	}
-	edge_send(edge, p, body);
+	edge_send_sealed(edge, p, body);
 	bstr_free(&body);
 }
 
-/* Reply without the reducer, and forget the call. */
-static void edge_reply_own(struct edge_operator *edge, const struct pending *p,
-			   op_status status, const char *reason,
-			   const char *detail)
+/* Replies to a call without the reducer and removes the call. */
+static void edge_reply_local(struct edge_operator *edge,
+			     const struct pending *p, op_status status,
+			     const char *reason, const char *detail)
 {
 	op_reply reply = {
 		.status = status,
@@ -136,29 +142,30 @@
 		.retry_after_ms = status == OP_INVALID ? 0 : RETRY_AFTER_MS};
 
 	edge_reply(edge, p, &reply);
-	edge_forget(edge, edge_find(edge, p->call));
+	edge_remove_pending(edge, edge_find_pending(edge, p->call));
 }
 
-/* Answer what the edge knows itself. */
-static void edge_counters(struct edge_operator *edge, const struct pending *p)
+/* Replies to OP_COUNTERS and removes the call. */
+static void edge_reply_counters(struct edge_operator *edge,
+				const struct pending *p)
 {
 	json_t *json = counter_json();
 	char *text = json_dumps(json, JSON_COMPACT);
 	op_reply reply = {.status = OP_OK, .body = bstr_lit(text)};
 
 	edge_reply(edge, p, &reply);
-	edge_forget(edge, edge_find(edge, p->call));
+	edge_remove_pending(edge, edge_find_pending(edge, p->call));
 	json_decref(json);
 	free(text);
 }
 
 /*
- * Hand a request to the reducer.  The secret of a new key is made here and
- * stays here: only its salted hash goes into the event, so that neither a
- * recording nor the table ever holds it.
+ * Posts a request to the reducer. The secret of a new key is generated and kept
+ * here. The event contains only its salted hash, so that neither a recording
+ * nor the table ever contains the secret.
  */
-static void edge_forward(struct edge_operator *edge, struct pending *p,
-			 event *ev)
+static void edge_post_request(struct edge_operator *edge, struct pending *p,
+			      event *ev)
 {
 	op_key *key = &ev->body.event_body_u.operate.request.op_request_u.key;
 
@@ -172,14 +179,14 @@
 		return;
 	event_free(ev);
 	counter_add(COUNT_REFUSED_OVERLOAD, 1);
-	edge_reply_own(edge, p, OP_UNAVAILABLE, "overload",
-		       "too much waits to be decided");
+	edge_reply_local(edge, p, OP_UNAVAILABLE, "overload",
+			 "the queue of requests is full");
 }
 
-/* Take a request from an operator whose seal held. */
-static void edge_request(struct edge_operator *edge, uint64_t call,
-			 const struct operator_key *signer,
-			 const sealed *envelope)
+/* Handles a request from an authenticated operator. */
+static void edge_handle_request(struct edge_operator *edge, uint64_t call,
+				const struct operator_key *signer,
+				const sealed *envelope)
 {
 	struct pending *p = xcalloc(1, sizeof(*p));
 	event *ev = event_new(EV_OPERATE);
@@ -196,27 +203,30 @@
 	p->kind = req->kind;
 	if (ok && p->kind != OP_COUNTERS &&
 	    edge->pending_count <= PENDING_MAX) {
-		edge_forward(edge, p, ev);
+		edge_post_request(edge, p, ev);
 		return;
 	}
 	event_free(ev);
 	if (!ok) {
 		counter_add(COUNT_REFUSED_MALFORMED, 1);
-		edge_reply_own(edge, p, OP_INVALID, "malformed",
-			       "the request does not decode");
+		edge_reply_local(edge, p, OP_INVALID, "malformed",
+				 "cannot decode the request");
 	} else if (p->kind == OP_COUNTERS) {
-		edge_counters(edge, p);
+		edge_reply_counters(edge, p);
 	} else {
 		counter_add(COUNT_REFUSED_OVERLOAD, 1);
-		edge_reply_own(edge, p, OP_UNAVAILABLE, "overload",
-			       "too many calls await their answer");
+		edge_reply_local(edge, p, OP_UNAVAILABLE, "overload",
+				 "too many calls are waiting for a reply");
 	}
 }
 
-/* Check who calls; NULL, with the result, if the seal does not hold. */
-static const struct operator_key *edge_identify(struct edge_operator *edge,
-						const sealed *envelope,
-						enum seal_result *result)
+/*
+ * Verifies the seal of an envelope and returns the key of the operator that
+ * signed it. Returns NULL and sets result if the seal is rejected.
+ */
+static const struct operator_key *edge_authenticate(struct edge_operator *edge,
+						    const sealed *envelope,
+						    enum seal_result *result)
 {
 	const struct operator_key *k = edge->settings->operators.keys;
 	size_t i;
@@ -232,24 +242,25 @@
 	return NULL;
 }
 
-/* OPERATE. */
-static void edge_call(void *arg, uint64_t call, const sealed *envelope)
+/* Handles OPERATE. */
+static void edge_handle_operate(void *arg, uint64_t call,
+				const sealed *envelope)
 {
 	struct edge_operator *edge = arg;
 	const struct operator_key *signer;
 	enum seal_result result;
 
-	signer = edge_identify(edge, envelope, &result);
+	signer = edge_authenticate(edge, envelope, &result);
 	if (signer)
-		edge_request(edge, call, signer, envelope);
+		edge_handle_request(edge, call, signer, envelope);
 	else
 		rpc_server_deny(edge->server, call, result);
 }
 
-/* Pass the reducer's reply on; the secret goes out only with OP_OK. */
-static void edge_answer(struct edge_operator *edge, const fx_op_reply *fx)
+/* Sends the reducer's reply. Includes the secret only with OP_OK. */
+static void edge_handle_reply(struct edge_operator *edge, const fx_op_reply *fx)
 {
-	size_t i = edge_find(edge, fx->call);
+	size_t i = edge_find_pending(edge, fx->call);
 	const struct pending *p;
 	op_reply reply = fx->reply;
 
@@ -263,16 +274,17 @@
 		reply.secret = secret_seal(p->secret, p->signer->key, p->nonce);
 	edge_reply(edge, p, &reply);
 	bstr_free(&reply.secret);
-	edge_forget(edge, i);
+	edge_remove_pending(edge, i);
 }
 
 /*
- * Take the reducer's replies, then answer calls that got none in time.  The
- * safeguard: a reply that never comes would leave the operator's command
- * hanging and its connection of no use; a truthful "unknown" for a change,
- * or "come back" for a question, ends both.
+ * Sends the reducer's replies, then answers calls whose deadline has passed.
+ * Returns the next deadline. If the reducer's reply never came, the operator's
+ * command would hang and its connection would stay occupied. An answer at the
+ * deadline ends both: "unknown" for a change, since it may have taken effect,
+ * or "unavailable" for a query, which can be repeated.
  */
-static int64_t edge_turn(void *arg, int64_t now)
+static int64_t edge_loop(void *arg, int64_t now)
 {
 	struct edge_operator *edge = arg;
 	const struct pending *p;
@@ -280,7 +292,7 @@
 
 	while ((fx = mailbox_take(edge->replies))) {
 		if (fx->kind == FX_OP_REPLY)
-			edge_answer(edge, &fx->effect_u.op_reply);
+			edge_handle_reply(edge, &fx->effect_u.op_reply);
 		effect_free(fx);
 	}
 	while (edge->pending_count) {
@@ -288,17 +300,17 @@
 		if (p->deadline > now)
 			return p->deadline;
 		counter_add(COUNT_REFUSED_DEADLINE, 1);
-		if (op_changes(p->kind))
-			edge_reply_own(edge, p, OP_UNKNOWN, "no-answer",
-				       "it may have taken effect");
+		if (op_is_change(p->kind))
+			edge_reply_local(edge, p, OP_UNKNOWN, "no-answer",
+					 "it may have taken effect");
 		else
-			edge_reply_own(edge, p, OP_UNAVAILABLE, "no-answer",
-				       "no answer in time");
+			edge_reply_local(edge, p, OP_UNAVAILABLE, "no-answer",
+					 "no answer in time");
 	}
 	return INT64_MAX;
 }
 
-/* Start the operators' listener; NULL with findings on failure. */
+/* Starts the operators' listener. Returns NULL with errors on failure. */
 struct edge_operator *edge_operator_start(const struct settings *s,
 					  struct mailbox *inbox,
 					  struct error *e)
@@ -310,8 +322,8 @@
 		.version = BAMBOO_OPERATOR_V1,
 		.procedure = OPERATE,
 		.max_connections = s->operators.max_connections,
-		.on_call = edge_call,
-		.on_loop = edge_turn,
+		.on_call = edge_handle_operate,
+		.on_loop = edge_loop,
 		.arg = edge,
 	};
 
@@ -330,19 +342,18 @@
 	return NULL;
 }
 
-/* The port that was bound. */
 uint16_t edge_operator_port(const struct edge_operator *edge)
 {
 	return rpc_server_port(edge->server);
 }
 
-/* Send the reducer's reply. */
+/* Queues the reducer's reply. Returns false if the queue is full. */
 bool edge_operator_send(struct edge_operator *edge, effect *fx)
 {
 	return mailbox_put(edge->replies, fx);
 }
 
-/* Stop: replies that were sent before still go out. */
+/* Stops the edge. Replies queued before the call are still sent. */
 void edge_operator_stop(struct edge_operator *edge)
 {
 	effect *fx;
