--- a/caller-decode.c
+++ b/caller-decode.c
@@ -1,3 +1,7 @@
+/*
+ * Decodes and validates the requests of callers: method, path, header fields,
+ * query arguments and JSON body.
+ */
 #include "caller.h"
 
 #include <stdlib.h>
@@ -12,19 +16,19 @@
 	MEMBER_JSON
 };
 
-/* A member of a body: where it goes, and what it may be. */
+/* A member of a JSON body: where it is stored and which values are valid. */
 struct member {
 	const char *name;
 	enum member_kind kind;
 	size_t offset; /* in job_spec */
-	uint32_t min;  /* of a number, or of a string's bytes */
+	uint32_t min;  /* of a number, or of a string's length in bytes */
 	uint32_t max;
-	bool needed;
+	bool required;
 };
 
-#define MEMBER(name, kind, field, min, max, needed)                     \
-	{                                                               \
-		name, kind, offsetof(job_spec, field), min, max, needed \
+#define MEMBER(name, kind, field, min, max, required)                     \
+	{                                                                 \
+		name, kind, offsetof(job_spec, field), min, max, required \
 	}
 static const struct member submit_members[] = {
 	MEMBER("pool", MEMBER_NAME, pool, 1, CALLER_POOL_MAX, true),
@@ -46,12 +50,12 @@
 	MEMBER("label", MEMBER_TEXT, label, 1, CALLER_LABEL_MAX, true),
 };
 
-/* Every path, the method it takes and what the pair means. */
+/* All pairs of path and method with their routes. */
 static const struct {
-	const char *path; /* one that ends in '/' is followed by a job */
+	const char *path; /* if it ends in '/', a job ID follows */
 	const char *method;
 	enum caller_route route;
-	const char *allow; /* of the whole path */
+	const char *allow; /* all methods of the path */
 } routes[] = {
 	{"/v1/jobs", "POST", ROUTE_SUBMIT, "POST"},
 	{"/v1/jobs/", "GET", ROUTE_GET, "GET, DELETE"},
@@ -65,7 +69,7 @@
 	{"/metrics", "HEAD", ROUTE_METRICS, "GET, HEAD"},
 };
 
-/* Header fields that may come once only, and what is read of each. */
+/* Header fields that are evaluated, each of which may occur only once. */
 enum {
 	FIELD_AUTHORIZATION,
 	FIELD_KEY,
@@ -81,7 +85,7 @@
 	"Transfer-Encoding", "Expect",		"Host",
 };
 
-/* Refuse; the first refusal stands. */
+/* Sets the problem of a refused request, unless one is set already. */
 void caller_refuse(struct caller_problem *p, uint32_t http, const char *reason,
 		   enum counter_id counter, const char *fmt, ...)
 {
@@ -98,7 +102,6 @@
 	va_end(ap);
 }
 
-/* Free what a problem holds. */
 void caller_problem_free(struct caller_problem *p)
 {
 	error_free(&p->findings);
@@ -106,7 +109,6 @@
 	p->detail = NULL;
 }
 
-/* Free what a call holds. */
 void caller_call_free(struct caller_call *c)
 {
 	xdr_free(XDR_PROC(xdr_caller_request), (char *)&c->request);
@@ -114,7 +116,10 @@
 	caller_problem_free(&c->problem);
 }
 
-/* Is this an idempotency key: 1 to 128 visible ASCII characters? */
+/*
+ * Returns true if key is a valid idempotency key: 1 to CALLER_KEY_MAX visible
+ * ASCII characters.
+ */
 bool caller_key_is_valid(bstr key)
 {
 	u_int i;
@@ -125,14 +130,14 @@
 	return i && i <= CALLER_KEY_MAX;
 }
 
-/* Same text, letters of either case? */
-static bool bstr_is_token(bstr b, const char *s)
+/* Returns true if b equals s, ignoring case. */
+static bool bstr_eq_nocase(bstr b, const char *s)
 {
 	return b.bstr_len == strlen(s) &&
 	       !strncasecmp(b.bstr_val, s, b.bstr_len);
 }
 
-/* Read a whole decimal number from min to max. */
+/* Parses a decimal integer. Returns false unless it is from min to max. */
 static bool number_read(bstr text, uint32_t min, uint32_t max, uint32_t *n)
 {
 	uint64_t v = 0;
@@ -149,7 +154,7 @@
 	return i && v >= min;
 }
 
-/* Add a finding, unless enough are told already. */
+/* Adds a finding, up to CALLER_FINDINGS_MAX. */
 static void finding_add(struct caller_call *c, const char *place,
 			const char *fmt, ...) PRINTF_LIKE(3, 4);
 static void finding_add(struct caller_call *c, const char *place,
@@ -168,22 +173,22 @@
 	free(text);
 }
 
-/* Turn findings into a refusal; false if there are any. */
-static bool findings_end(struct caller_call *c)
+/* Refuses a call that has findings. Returns true if it has none. */
+static bool findings_check(struct caller_call *c)
 {
 	if (!c->problem.findings.count)
 		return true;
 	caller_refuse(&c->problem, 422, "spec-invalid", COUNT_REFUSED_SPEC,
-		      "%u members, arguments or header fields are wrong",
+		      "%u members, arguments or header fields are invalid",
 		      c->problem.findings.count);
 	return false;
 }
 
 /*
- * A job's id is a name.  Another text names no job, so the answer is the
- * same as for a job that never was.
+ * Sets the job ID of a request. A text that is not a valid name cannot be the
+ * ID of any job, so it is answered like the ID of a job that does not exist.
  */
-static void job_take(bstr job, struct caller_call *c)
+static void job_id_decode(bstr job, struct caller_call *c)
 {
 	if (!bstr_is_name(job, CALLER_JOB_MAX)) {
 		caller_refuse(&c->problem, 404, "job-unknown",
@@ -193,21 +198,24 @@
 	bstr_set(&c->request.body.caller_body_u.job.job, job);
 }
 
-/* Find what method and path mean. */
+/*
+ * Determines the route from method and path and sets the members of the request
+ * that depend on it.
+ */
 static bool route_find(const struct caller_head *h, struct caller_call *c)
 {
 	const char *allow = NULL;
 	size_t i, len;
-	bool deep;
+	bool has_job;
 
 	for (i = 0; i < NELEMS(routes); i++) {
 		len = strlen(routes[i].path);
-		deep = routes[i].path[len - 1] == '/';
-		if (h->path.bstr_len < len + deep ||
-		    (!deep && h->path.bstr_len != len) ||
+		has_job = routes[i].path[len - 1] == '/';
+		if (h->path.bstr_len < len + has_job ||
+		    (!has_job && h->path.bstr_len != len) ||
 		    memcmp(h->path.bstr_val, routes[i].path, len) != 0 ||
-		    (deep && memchr(h->path.bstr_val + len, '/',
-				    h->path.bstr_len - len)))
+		    (has_job && memchr(h->path.bstr_val + len, '/',
+				       h->path.bstr_len - len)))
 			continue;
 		allow = routes[i].allow;
 		if (!bstr_eq_str(h->method, routes[i].method))
@@ -231,9 +239,9 @@
 		c->request.body.kind = c->route == ROUTE_GET ? CALL_GET
 							     : CALL_CANCEL;
 		len = strlen("/v1/jobs/");
-		job_take(bstr_ref(h->path.bstr_val + len,
-				  h->path.bstr_len - len),
-			 c);
+		job_id_decode(bstr_ref(h->path.bstr_val + len,
+				       h->path.bstr_len - len),
+			      c);
 		break;
 	case ROUTE_CANCEL_LABEL:
 		c->request.body.kind = CALL_CANCEL_LABEL;
@@ -248,12 +256,13 @@
 }
 
 /*
- * Pick the header fields that count.  One that comes twice is refused: the
- * balancer in front and this program could each believe another of the two.
- * For the same reason a body has one measure of its length, not two.
+ * Selects the header fields that are evaluated. A request that contains one of
+ * them twice is refused, because the load balancer and this program might use
+ * different ones of the two. For the same reason, Content-Length and
+ * Transfer-Encoding together are refused.
  */
-static bool fields_pick(const struct caller_head *h, struct caller_call *c,
-			bstr fields[FIELD_COUNT])
+static bool fields_select(const struct caller_head *h, struct caller_call *c,
+			  bstr fields[FIELD_COUNT])
 {
 	bool seen[FIELD_COUNT] = {false};
 	size_t i, k, size = 0;
@@ -261,7 +270,7 @@
 	if (h->header_count > CALLER_FIELDS_MAX) {
 		caller_refuse(&c->problem, 431, "header-too-large",
 			      COUNT_REFUSED_HEADER_TOO_LARGE,
-			      "at most %d header fields", CALLER_FIELDS_MAX);
+			      "more than %d header fields", CALLER_FIELDS_MAX);
 		return false;
 	}
 	for (i = 0; i < h->header_count; i++) {
@@ -269,12 +278,13 @@
 
 		size += f->name.bstr_len + f->value.bstr_len + 4;
 		for (k = 0; k < FIELD_COUNT; k++) {
-			if (!bstr_is_token(f->name, field_names[k]))
+			if (!bstr_eq_nocase(f->name, field_names[k]))
 				continue;
 			if (seen[k])
 				caller_refuse(&c->problem, 400, "malformed",
 					      COUNT_REFUSED_MALFORMED,
-					      "%s comes twice", field_names[k]);
+					      "%s occurs twice",
+					      field_names[k]);
 			seen[k] = true;
 			fields[k] = f->value;
 		}
@@ -284,30 +294,33 @@
 		c->problem.http = 0;
 		caller_refuse(&c->problem, 431, "header-too-large",
 			      COUNT_REFUSED_HEADER_TOO_LARGE,
-			      "at most %d bytes of header fields",
+			      "more than %d bytes of header fields",
 			      CALLER_HEADER_MAX);
 	}
 	if (seen[FIELD_LENGTH] && seen[FIELD_ENCODING])
 		caller_refuse(&c->problem, 400, "malformed",
 			      COUNT_REFUSED_MALFORMED,
-			      "Content-Length and Transfer-Encoding together");
+			      "both Content-Length and Transfer-Encoding");
 	if (seen[FIELD_ENCODING] &&
-	    !bstr_is_token(fields[FIELD_ENCODING], "chunked"))
+	    !bstr_eq_nocase(fields[FIELD_ENCODING], "chunked"))
 		caller_refuse(&c->problem, 400, "malformed",
 			      COUNT_REFUSED_MALFORMED,
-			      "Transfer-Encoding can only be chunked");
+			      "Transfer-Encoding must be chunked");
 	if (seen[FIELD_EXPECT] &&
-	    !bstr_is_token(fields[FIELD_EXPECT], "100-continue"))
+	    !bstr_eq_nocase(fields[FIELD_EXPECT], "100-continue"))
 		caller_refuse(&c->problem, 417, "malformed",
 			      COUNT_REFUSED_MALFORMED,
-			      "only 100-continue can be expected");
+			      "Expect must be 100-continue");
 	if (seen[FIELD_KEY] && !fields[FIELD_KEY].bstr_len)
 		finding_add(c, "Idempotency-Key", "is empty");
 	return !c->problem.http;
 }
 
-/* Check that a secret was shown and take its key id and digest. */
-static bool secret_take(bstr field, struct caller_call *c)
+/*
+ * Takes the key ID and the digest of the secret from the Authorization field.
+ * Refuses the request if there is no well-formed secret.
+ */
+static bool authorization_decode(bstr field, struct caller_call *c)
 {
 	const size_t len = strlen("Bearer ");
 
@@ -316,19 +329,20 @@
 	    secret_split(bstr_ref(field.bstr_val + len, field.bstr_len - len),
 			 &c->request.key_id, &c->request.key_digest))
 		return true;
-	caller_refuse(&c->problem, 401, "key", COUNT_REFUSED_KEY, "%s",
-		      field.bstr_len
-			      ? "Authorization holds no key of this system"
-			      : "show a key: Authorization: Bearer bf_...");
+	caller_refuse(
+		&c->problem, 401, "key", COUNT_REFUSED_KEY, "%s",
+		field.bstr_len
+			? "Authorization does not contain a well-formed key"
+			: "a key is required: Authorization: Bearer bf_...");
 	return false;
 }
 
 /*
- * Take wait=SECONDS out of a Prefer field.  RFC 7240 has a server pass over
- * preferences that it doesn't know, so only a bad wait is a finding.
+ * Parses wait=SECONDS in a Prefer field. RFC 7240 requires a server to ignore
+ * preferences that it does not support, so only an invalid wait is a finding.
  */
-static void prefer_take(bstr field, const struct caller_limits *b,
-			struct caller_call *c)
+static void prefer_decode(bstr field, const struct caller_limits *b,
+			  struct caller_call *c)
 {
 	const char *p = field.bstr_val, *end = p + field.bstr_len, *next;
 	uint32_t seconds;
@@ -359,9 +373,9 @@
 	}
 }
 
-/* Take the query arguments; only a get has one. */
-static void queries_take(const struct caller_head *h,
-			 const struct caller_limits *b, struct caller_call *c)
+/* Parses the query arguments. Only ROUTE_GET has one, wait_ms. */
+static void queries_decode(const struct caller_head *h,
+			   const struct caller_limits *b, struct caller_call *c)
 {
 	size_t i, n = h->query_count;
 	bool seen = false;
@@ -369,7 +383,7 @@
 	char *name;
 
 	if (n > CALLER_FIELDS_MAX) {
-		finding_add(c, "query", "at most %d arguments",
+		finding_add(c, "query", "more than %d arguments",
 			    CALLER_FIELDS_MAX);
 		n = CALLER_FIELDS_MAX;
 	}
@@ -393,7 +407,7 @@
 			f->name.bstr_len < 64 ? f->name.bstr_len : 64));
 		finding_add(c, "query",
 			    seen && !strcmp(name, "wait_ms")
-				    ? "%s comes twice"
+				    ? "%s occurs twice"
 				    : "unknown argument %s",
 			    name);
 		free(name);
@@ -401,8 +415,9 @@
 }
 
 /*
- * Decode method, path and header.  False: refused, see c->problem.  Findings
- * alone don't refuse yet, so that the body's are told together with them.
+ * Decodes method, path and header fields. Returns false if the request is
+ * refused, see c->problem. Findings alone do not refuse it yet, so that they
+ * are reported together with those of the body.
  */
 bool caller_decode_head(const struct caller_head *h,
 			const struct caller_limits *b, struct caller_call *c)
@@ -412,25 +427,25 @@
 
 	memset(c, 0, sizeof(*c));
 	error_init(&c->problem.findings);
-	c->request.body.kind = CALL_CANCEL_LABEL; /* an arm to be freed */
-	if (!fields_pick(h, c, fields) || !route_find(h, c))
+	c->request.body.kind = CALL_CANCEL_LABEL; /* arm that can be freed */
+	if (!fields_select(h, c, fields) || !route_find(h, c))
 		return false;
 	if (fields[FIELD_LENGTH].bstr_len &&
 	    !number_read(fields[FIELD_LENGTH], 0, b->max_body, &length)) {
 		caller_refuse(&c->problem, 413, "body-too-large",
 			      COUNT_REFUSED_BODY_TOO_LARGE,
-			      "a body has at most %u bytes", b->max_body);
+			      "a body must not exceed %u bytes", b->max_body);
 		return false;
 	}
 	if (c->route >= ROUTE_HEALTH)
 		return true;
-	if (!secret_take(fields[FIELD_AUTHORIZATION], c))
+	if (!authorization_decode(fields[FIELD_AUTHORIZATION], c))
 		return false;
-	queries_take(h, b, c);
+	queries_decode(h, b, c);
 	if (c->route != ROUTE_SUBMIT)
 		return true;
 	if (fields[FIELD_PREFER].bstr_len)
-		prefer_take(fields[FIELD_PREFER], b, c);
+		prefer_decode(fields[FIELD_PREFER], b, c);
 	if (caller_key_is_valid(fields[FIELD_KEY]))
 		bstr_set(&c->request.body.caller_body_u.spec.key,
 			 fields[FIELD_KEY]);
@@ -441,8 +456,10 @@
 	return true;
 }
 
-/* Is there nothing of arrays and objects deeper than allowed? */
-static bool depth_fits(bstr text)
+/*
+ * Returns true if arrays and objects are nested at most CALLER_DEPTH_MAX deep.
+ */
+static bool depth_is_valid(bstr text)
 {
 	bool in_string = false;
 	unsigned depth = 0;
@@ -468,8 +485,8 @@
 	return true;
 }
 
-/* Make the JSON pointer of a member; a long name is cut. */
-static char *pointer_of(const char *name)
+/* Returns the JSON pointer of a member. A long name is truncated. */
+static char *json_pointer(const char *name)
 {
 	char text[72], *p = text;
 
@@ -481,7 +498,7 @@
 			*p++ = *name;
 		}
 	}
-	/* never within a character */
+	/* Do not truncate within a UTF-8 sequence. */
 	if (*name)
 		while (p > text && ((unsigned char)*name & 0xc0) == 0x80) {
 			p--;
@@ -491,8 +508,8 @@
 	return xstrdup(text);
 }
 
-/* Has a text a control character? */
-static bool has_control(bstr b)
+/* Returns true if b contains a control character. */
+static bool has_control_char(bstr b)
 {
 	u_int i;
 
@@ -503,14 +520,16 @@
 	return false;
 }
 
-/* Take a string member; NULL, or what was expected. */
-static char *string_take(const struct member *m, const json_t *v, bstr *to)
+/*
+ * Stores a string member. Returns NULL, or a text that says what was expected.
+ */
+static char *string_decode(const struct member *m, const json_t *v, bstr *to)
 {
 	bool name = m->kind == MEMBER_NAME;
 	bstr b = bstr_ref(json_string_value(v), json_string_length(v));
 
 	if (json_is_string(v) && b.bstr_len >= m->min && b.bstr_len <= m->max &&
-	    (name ? bstr_is_name(b, m->max) : !has_control(b))) {
+	    (name ? bstr_is_name(b, m->max) : !has_control_char(b))) {
 		bstr_set(to, b);
 		return NULL;
 	}
@@ -523,8 +542,11 @@
 			 m->min, m->max);
 }
 
-/* Take one member; NULL, or what was expected. */
-static char *member_take(const struct member *m, const json_t *v, void *at)
+/*
+ * Stores a member at its place in the job_spec. Returns NULL, or a text that
+ * says what was expected.
+ */
+static char *member_decode(const struct member *m, const json_t *v, void *at)
 {
 	bstr *text = at;
 	bool_t *flag = at;
@@ -534,7 +556,7 @@
 	switch (m->kind) {
 	case MEMBER_NAME:
 	case MEMBER_TEXT:
-		return string_take(m, v, text);
+		return string_decode(m, v, text);
 	case MEMBER_BOOL:
 		if (!json_is_boolean(v))
 			return xstrdup("expected true or false");
@@ -555,10 +577,10 @@
 	return NULL;
 }
 
-/* Take all members of a body, and find those unknown or missing. */
-static void members_take(struct caller_call *c, const json_t *body,
-			 const struct member *members, size_t count,
-			 job_spec *spec)
+/* Stores all members of a body and reports unknown and missing ones. */
+static void members_decode(struct caller_call *c, const json_t *body,
+			   const struct member *members, size_t count,
+			   job_spec *spec)
 {
 	const char *name;
 	char *place, *text;
@@ -571,14 +593,14 @@
 	}
 	for (i = 0; i < count; i++) {
 		v = json_object_get(body, members[i].name);
-		place = pointer_of(members[i].name);
+		place = json_pointer(members[i].name);
 		if (v) {
-			text = member_take(&members[i], v,
-					   (char *)spec + members[i].offset);
+			text = member_decode(&members[i], v,
+					     (char *)spec + members[i].offset);
 			if (text)
 				finding_add(c, place, "%s", text);
 			free(text);
-		} else if (members[i].needed) {
+		} else if (members[i].required) {
 			finding_add(c, place, "is missing");
 		}
 		free(place);
@@ -589,19 +611,22 @@
 				break;
 		if (i < count)
 			continue;
-		place = pointer_of(name);
+		place = json_pointer(name);
 		finding_add(c, place, "unknown member");
 		free(place);
 	}
 }
 
-/* Parse a body as JSON that is safe to go on with. */
+/*
+ * Parses a body as JSON. Returns NULL and refuses the call if the body is not
+ * JSON, is nested too deep or contains an object with duplicate members.
+ */
 static json_t *body_parse(bstr body, struct caller_call *c)
 {
 	json_error_t err;
 	json_t *j;
 
-	if (!depth_fits(body)) {
+	if (!depth_is_valid(body)) {
 		caller_refuse(
 			&c->problem, 400, "malformed", COUNT_REFUSED_MALFORMED,
 			"JSON is nested more than %d deep", CALLER_DEPTH_MAX);
@@ -612,14 +637,14 @@
 	if (!j)
 		caller_refuse(&c->problem, 400, "malformed",
 			      COUNT_REFUSED_MALFORMED,
-			      "no JSON: line %d, column %d: %s", err.line,
+			      "invalid JSON: line %d, column %d: %s", err.line,
 			      err.column, err.text);
 	return j;
 }
 
-/* Settle the waiting of a submission once all its members are known. */
-static void wait_settle(struct caller_call *c, const struct caller_limits *b,
-			job_spec *s)
+/* Sets wait and timeout_ms of a submission after its members were decoded. */
+static void wait_resolve(struct caller_call *c, const struct caller_limits *b,
+			 job_spec *s)
 {
 	if (c->prefer_wait_ms)
 		s->wait = true;
@@ -631,14 +656,15 @@
 	}
 	if (s->wait && s->timeout_ms > b->max_wait_ms)
 		finding_add(c, "/timeout_ms",
-			    "expected at most %u from a caller that waits",
+			    "expected at most %u for a caller that waits",
 			    b->max_wait_ms);
 }
 
 /*
- * Decode the body, after the head.  False: refused, see c->problem.  A
- * payload is written anew from what was parsed, which can be longer than it
- * came (1e9 becomes 1000000000.0), so its length is bounded here too.
+ * Decodes the body, after the head. Returns false if the request is refused,
+ * see c->problem. A payload is encoded again from the parsed JSON. It can
+ * become longer by that (1e9 becomes 1000000000.0), so its length is checked
+ * again.
  */
 bool caller_decode_body(bstr body, const struct caller_limits *b,
 			struct caller_call *c)
@@ -649,7 +675,7 @@
 	if (body.bstr_len > b->max_body) {
 		caller_refuse(&c->problem, 413, "body-too-large",
 			      COUNT_REFUSED_BODY_TOO_LARGE,
-			      "a body has at most %u bytes", b->max_body);
+			      "a body must not exceed %u bytes", b->max_body);
 		return false;
 	}
 	switch (c->route) {
@@ -657,12 +683,12 @@
 		j = body_parse(body, c);
 		if (!j)
 			return false;
-		members_take(c, j, submit_members, NELEMS(submit_members), s);
-		wait_settle(c, b, s);
+		members_decode(c, j, submit_members, NELEMS(submit_members), s);
+		wait_resolve(c, b, s);
 		if (s->payload.bstr_len > b->max_body)
 			caller_refuse(&c->problem, 413, "body-too-large",
 				      COUNT_REFUSED_BODY_TOO_LARGE,
-				      "a payload has at most %u bytes",
+				      "a payload must not exceed %u bytes",
 				      b->max_body);
 		c->answer_ms = s->timeout_ms;
 		break;
@@ -670,8 +696,8 @@
 		j = body_parse(body, c);
 		if (!j)
 			return false;
-		members_take(c, j, cancel_members, NELEMS(cancel_members),
-			     &label);
+		members_decode(c, j, cancel_members, NELEMS(cancel_members),
+			       &label);
 		c->request.body.caller_body_u.label = label.label;
 		c->answer_ms = CALLER_CANCEL_MS;
 		break;
@@ -688,5 +714,5 @@
 		break;
 	}
 	json_decref(j);
-	return findings_end(c) && !c->problem.http;
+	return findings_check(c) && !c->problem.http;
 }
