--- a/bamboofront-replay.c
+++ b/bamboofront-replay.c
@@ -1,6 +1,6 @@
 /*
- * bamboofront-replay: feeds a recording's events to a fresh reducer and
- * prints the first effect that differs from the recorded ones.
+ * bamboofront-replay: replays the events of a recording with a new reducer and
+ * prints the first effect that differs from the recorded one.
  */
 #include "record.h"
 
@@ -9,7 +9,7 @@
 #include <sodium.h>
 #include <stdlib.h>
 
-/* Print one effect of a pair, or that there is none. */
+/* Prints the i-th effect of a list, or that the list has none. */
 static void effect_print(const char *what, const effect *list, size_t count,
 			 size_t i)
 {
@@ -22,7 +22,10 @@
 		printf("no effect %zu\n", i + 1);
 }
 
-/* Replay one step; false if it differed, which is printed. */
+/*
+ * Replays a step. Prints the difference and returns false if the effects differ
+ * from the recorded ones.
+ */
 static bool step_replay(struct state *st, const step *s, uint64_t number)
 {
 	u_int count = s->effects.effects_len;
@@ -47,7 +50,7 @@
 	return i < 0;
 }
 
-/* Replay a recording; the exit status. */
+/* Replays a recording and returns the exit status. */
 static int recording_replay(struct recording *r)
 {
 	struct state *st = state_new(recording_settings(r), recording_seed(r),
@@ -65,11 +68,11 @@
 	if (!same)
 		return 1;
 	if (result == RECORD_BAD) {
-		printf("step %" PRIu64 " can't be read\n", number + 1);
+		printf("cannot read step %" PRIu64 "\n", number + 1);
 		return 2;
 	}
 	if (result == RECORD_TRUNCATED)
-		printf("the last record is torn, it was left out\n");
+		printf("the last record is incomplete and was ignored\n");
 	if (result == RECORD_STOPPED)
 		printf("the daemon stopped recording after this\n");
 	printf("%" PRIu64 " steps, no difference\n", number);
--- a/caller-encode.c
+++ b/caller-encode.c
@@ -1,3 +1,4 @@
+/* Encodes the responses to callers. */
 #include "caller.h"
 
 #include <microhttpd.h>
@@ -10,21 +11,23 @@
 	[JOB_NOT_RUN] = "not-run", [JOB_UNKNOWN] = "unknown",
 };
 
-/* Name a state; a number that is none is no better than unknown. */
+/* Returns the name of a state; an invalid number is "unknown". */
 static const char *state_name(job_state state)
 {
 	return (unsigned)state < NELEMS(state_names) ? state_names[state]
 						     : "unknown";
 }
 
-/* Set a string member. */
 static void member_set(json_t *j, const char *name, bstr text)
 {
 	json_object_set_new(j, name, bstr_to_json(text));
 }
 
-/* Embed a result: as JSON if it is JSON, else as a string. */
-static json_t *result_json(bstr result)
+/*
+ * Returns a job's result as JSON: the value itself if it is valid JSON,
+ * otherwise a string.
+ */
+static json_t *result_to_json(bstr result)
 {
 	json_t *j;
 
@@ -35,7 +38,7 @@
 	return j ? j : bstr_to_json(result);
 }
 
-/* Add to an object what a caller may know of a job. */
+/* Adds the members of a job that a caller may see to an object. */
 static void job_add(json_t *j, const job_view *v)
 {
 	member_set(j, "job", v->job);
@@ -45,7 +48,7 @@
 	json_object_set_new(j, "state", json_string(state_name(v->state)));
 	member_set(j, "reason", v->reason);
 	member_set(j, "detail", v->detail);
-	json_object_set_new(j, "result", result_json(v->result));
+	json_object_set_new(j, "result", result_to_json(v->result));
 	member_set(j, "worker", v->worker);
 	json_object_set_new(j, "attempts", json_integer(v->attempts));
 	json_object_set_new(j, "queued_ms", json_integer(v->queued_ms));
@@ -55,8 +58,8 @@
 				    json_integer(v->retry_after_ms));
 }
 
-/* Make a list of the jobs of an answer. */
-static json_t *jobs_json(const caller_answer *a)
+/* Returns the jobs of an answer as a JSON array. */
+static json_t *jobs_to_json(const caller_answer *a)
 {
 	json_t *list = json_array(), *j;
 	u_int i;
@@ -69,31 +72,33 @@
 	return list;
 }
 
-/* Write a document as the body; the document is used up. */
-static void reply_json(struct caller_reply *r, json_t *j, const char *type)
+/* Encodes a document as the body of a reply and frees the document. */
+static void reply_set_json(struct caller_reply *r, json_t *j, const char *type)
 {
 	char *text = json_dumps(j, JSON_COMPACT);
 
 	json_decref(j);
 	if (!text)
-		abort(); /* every string came through bstr_to_json: a bug */
+		abort(); /* a bug: bstr_to_json makes only valid strings */
 	r->body.bstr_val = text;
 	r->body.bstr_len = (u_int)strlen(text);
 	r->type = type;
 }
 
 /*
- * Set the members of a problem document over those of a job, if there are
- * any: reason and detail are the answer's then, and the job's only if the
- * answer has none.
+ * Sets the members of a problem document in an object that may already contain
+ * those of a job. reason and detail replace the job's; the job's are kept only
+ * if the arguments are empty.
  */
 static void problem_set(json_t *j, uint32_t http, bstr reason, bstr detail,
 			uint32_t retry_after_ms)
 {
-	const char *kept = json_string_value(json_object_get(j, "reason"));
+	const char *job_reason = json_string_value(
+		json_object_get(j, "reason"));
 
 	if (!reason.bstr_len)
-		reason = bstr_lit(kept && *kept ? kept : "error");
+		reason = bstr_lit(job_reason && *job_reason ? job_reason
+							    : "error");
 	json_object_set_new(
 		j, "type",
 		json_sprintf("urn:bamboofront:problem:%.*s", BSTR_ARG(reason)));
@@ -102,20 +107,20 @@
 	json_object_set_new(j, "title",
 			    json_string(MHD_get_reason_phrase_for(http)));
 	json_object_set_new(j, "status", json_integer(http));
-	/* reason may be the text of the member that this replaces */
+	/* reason may point into the member that this call replaces. */
 	json_object_set_new(j, "reason", bstr_to_json(reason));
 	if (detail.bstr_len || !json_object_get(j, "detail"))
 		member_set(j, "detail", detail);
 	json_object_set_new(j, "retry_after_ms", json_integer(retry_after_ms));
 }
 
-/* Round up to the whole seconds that Retry-After takes. */
-static uint32_t seconds_of(uint32_t ms)
+/* Rounds up to the full seconds of a Retry-After header. */
+static uint32_t retry_after_seconds(uint32_t ms)
 {
 	return ms / 1000 + (ms % 1000 != 0);
 }
 
-/* Encode the reducer's answer to a call. */
+/* Encodes the reducer's answer to a call. */
 void caller_encode_answer(const struct caller_call *c, const caller_answer *a,
 			  struct caller_reply *r)
 {
@@ -126,27 +131,27 @@
 	memset(r, 0, sizeof(*r));
 	if (!retry_after_ms && !list && a->jobs.jobs_len)
 		retry_after_ms = a->jobs.jobs_val[0].retry_after_ms;
-	/* a status that HTTP has not is a fault of ours, and said so */
+	/* An invalid HTTP status is a bug and is reported as 500. */
 	r->http = a->http >= 200 && a->http <= 599 ? a->http : 500;
-	r->retry_after_s = seconds_of(retry_after_ms);
+	r->retry_after_s = retry_after_seconds(retry_after_ms);
 	if (list)
-		json_object_set_new(j, "jobs", jobs_json(a));
+		json_object_set_new(j, "jobs", jobs_to_json(a));
 	else if (a->jobs.jobs_len)
 		job_add(j, &a->jobs.jobs_val[0]);
 	if (c->route == ROUTE_SUBMIT)
 		member_set(j, "idempotency_key", c->key);
 	if (r->http >= 400) {
 		problem_set(j, r->http, a->reason, a->detail, retry_after_ms);
-		reply_json(r, j, "application/problem+json");
+		reply_set_json(r, j, "application/problem+json");
 		return;
 	}
 	if (c->route == ROUTE_SUBMIT && a->jobs.jobs_len)
 		r->location = bstr_printf("/v1/jobs/%.*s",
 					  BSTR_ARG(a->jobs.jobs_val[0].job));
-	reply_json(r, j, "application/json");
+	reply_set_json(r, j, "application/json");
 }
 
-/* Encode a refusal of the edge's own. */
+/* Encodes the problem of a request that the edge itself refused. */
 void caller_encode_problem(const struct caller_call *c,
 			   const struct caller_problem *p,
 			   struct caller_reply *r)
@@ -157,7 +162,7 @@
 
 	memset(r, 0, sizeof(*r));
 	r->http = p->http;
-	r->retry_after_s = seconds_of(p->retry_after_ms);
+	r->retry_after_s = retry_after_seconds(p->retry_after_ms);
 	if (p->outcome_unknown)
 		json_object_set_new(j, "state", json_string("unknown"));
 	problem_set(j, p->http, bstr_lit(p->reason), bstr_lit(p->detail),
@@ -176,10 +181,10 @@
 		}
 		json_object_set_new(j, "errors", list);
 	}
-	reply_json(r, j, "application/problem+json");
+	reply_set_json(r, j, "application/problem+json");
 }
 
-/* Encode plain text. */
+/* Encodes a plain text. */
 void caller_encode_text(uint32_t http, bstr text, struct caller_reply *r)
 {
 	memset(r, 0, sizeof(*r));
