--- a/edge-caller-conn.c
+++ b/edge-caller-conn.c
@@ -206,7 +206,7 @@
 	cn->over_limit = over;
 	cn->deadline = clock_now() + edge->timing.idle_ms;
 	ev.data.u64 = cn->incarnation << SLOT_BITS | slot;
-	/* On failure the connection is served, and closed by its deadline. */
+	/* If this fails, the connection is served until its deadline. */
 	epoll_ctl(edge->epoll, EPOLL_CTL_ADD, cn->fd, &ev);
 	pthread_mutex_unlock(&cn->lock);
 	return cn;
