--- a/tests/test-failure.c
+++ b/tests/test-failure.c
@@ -8,21 +8,25 @@
 #include "support-relay.h"
 
 /*
- * Failures of real processes, seen by callers and operators and judged by
- * the workers' log.  Each case has an installation of its own.
+ * Failure tests with real processes.  They check what callers and operators
+ * are answered against the workers' log of what ran.  Each test has an
+ * installation of its own.
  */
 
 TestSuite(failure, .timeout = 150);
 
-static const struct install_plan usual = {
+static const struct install_plan default_plan = {
 	.layout = "aab", .workers = 2, .slots = 8, .limit = 64};
 
-/* Which entry VM a fault meets. */
+/* The entry VM that fails. */
 enum victim { HOME, OWNER, ENTRY };
 
-/* Find the victim: home or cell's owner of a running job, or who took it. */
-static size_t victim_find(const struct install *in, enum victim victim,
-			  const struct load_job *j)
+/*
+ * Returns the entry VM that owns the home or the cell of a running job, or one
+ * that takes calls; SIZE_MAX if the owner is unknown.
+ */
+static size_t victim_vm(const struct install *in, enum victim victim,
+			const struct load_job *j)
 {
 	char *unit;
 	size_t i;
@@ -30,14 +34,14 @@
 	if (victim == OWNER)
 		return vm_owner(in, "cell/rounds/a");
 	if (victim == ENTRY)
-		return 0; /* each takes calls; this one shares its cell */
+		return 0; /* in the data centre of the cell */
 	unit = unit_of_job(j->id);
 	i = vm_owner(in, unit);
 	free(unit);
 	return i;
 }
 
-/* The first job of a kind that runs at a worker now, with its id known. */
+/* Returns the first accepted job of a kind that is running, or NULL. */
 static struct load_job *job_running(struct load *l, unsigned kind)
 {
 	size_t i;
@@ -50,12 +54,11 @@
 }
 
 /*
- * Callers have quick and long, repeatable and other work open while one
- * entry VM is killed, or stopped for longer than its lease and let go on.
- * They see calls without an answer, ask again through another VM under the
- * same key, and learn the true end of each: another VM reads the journal or
- * finds the tasks on the workers, and what the frozen one still believes is
- * fenced off by its lease and the epoch.
+ * Kills one entry VM under load, or freezes it for longer than its lease.
+ * Callers lose their connections, retry through another VM under the same key
+ * and must learn the actual result of each job: the new owner reads the journal
+ * or lists the tasks on the workers.  The expired lease and the epoch keep the
+ * frozen VM from acting on its outdated state.
  */
 static void outage(const char *name, enum victim victim, bool freeze)
 {
@@ -71,10 +74,10 @@
 	struct verdict v;
 	size_t vm;
 
-	install_start(&in, &usual);
+	install_start(&in, &default_plan);
 	load_start(&l);
 	cr_assert(EVENTUALLY(20, (j = job_running(&l, KIND_LONG))));
-	vm = victim_find(&in, victim, j);
+	vm = victim_vm(&in, victim, j);
 	cr_assert_neq(vm, SIZE_MAX);
 	vm_signal(&in, vm, freeze ? SIGSTOP : SIGKILL);
 	if (freeze) {
@@ -84,7 +87,7 @@
 	load_join(&l);
 	v = load_check(&l);
 	cr_expect_eq(v.wrong, 0);
-	cr_expect_eq(v.refused, 0, "work that was never taken");
+	cr_expect_eq(v.refused, 0, "some jobs were never accepted");
 	cr_expect_geq(v.done, l.count * 9 / 10);
 	load_free(&l);
 	install_stop(&in);
@@ -115,20 +118,20 @@
 	outage("freeze_entry", ENTRY, true);
 }
 
-/* Join the callers and judge what they saw; it must all be true. */
-static struct verdict judged(struct load *l)
+/* Waits for the callers and checks that all they were answered is true. */
+static struct verdict load_finish(struct load *l)
 {
 	struct verdict v;
 
 	load_join(l);
 	v = load_check(l);
 	cr_expect_eq(v.wrong, 0);
-	cr_expect_eq(v.refused, 0, "work that was never taken");
+	cr_expect_eq(v.refused, 0, "some jobs were never accepted");
 	load_free(l);
 	return v;
 }
 
-/* Callers with every kind of work. */
+/* Initialises a load that has jobs of every kind. */
 #define LOAD(installation, text, jobs_count)                                 \
 	{                                                                    \
 		.in = (installation), .name = (text), .count = (jobs_count), \
@@ -137,9 +140,9 @@
 	}
 
 /*
- * Every entry VM is lost and replaced, one after the other: callers see
- * calls without an answer, and the end of all they had accepted, from VMs
- * that weren't there when it was.
+ * Kills and replaces every entry VM in turn.  Callers lose some connections,
+ * but get the result of all accepted jobs, also from VMs that started after
+ * the job was accepted.
  */
 Test(failure, replace_one_by_one)
 {
@@ -147,22 +150,22 @@
 	struct load l = LOAD(&in, "replace_one_by_one", 150);
 	size_t i;
 
-	install_start(&in, &usual);
+	install_start(&in, &default_plan);
 	load_start(&l);
 	for (i = 0; i < in.vm_count; i++) {
 		cr_assert(EVENTUALLY(60, l.ended >= 10 + i * 30));
 		vm_signal(&in, i, SIGKILL);
 		vm_start(&in, i);
 	}
-	cr_expect_geq(judged(&l).done, 135);
+	cr_expect_geq(load_finish(&l).done, 135);
 	install_stop(&in);
 }
 
 /*
- * All entry VMs are lost at the same moment, and new ones come.  Callers
- * see nothing answer, then the new VMs: they know all that was accepted
- * from the platform's journal and the workers.  Nothing is in any VM.  A
- * task may lapse meanwhile, and is told as failed then.
+ * Kills all entry VMs at once, which loses all state in memory, and starts new
+ * ones.  These recover all accepted jobs from the journal on the platform and
+ * from the workers.  The lease of a task may expire meanwhile; such a job is
+ * reported as failed.
  */
 Test(failure, kill_all)
 {
@@ -171,7 +174,7 @@
 	size_t i;
 
 	l.may_fail = true;
-	install_start(&in, &usual);
+	install_start(&in, &default_plan);
 	load_start(&l);
 	cr_assert(EVENTUALLY(20, job_running(&l, KIND_LONG)));
 	for (i = 0; i < in.vm_count; i++)
@@ -180,15 +183,15 @@
 		vm_wait(&in, i);
 	for (i = 0; i < in.vm_count; i++)
 		vm_start(&in, i);
-	cr_expect_geq(judged(&l).done, 50);
+	cr_expect_geq(load_finish(&l).done, 50);
 	install_stop(&in);
 }
 
 /*
- * A planned stop of each VM under load, one after the other, each replaced
- * when it has ended.  Callers are told "stopping" or cut off, never
- * anything false; each process ends with status 0.  At last all stop with
- * nobody left to hand over to, and that is in good order too.
+ * Stops each VM in turn under load and replaces it once it has exited.
+ * Callers are answered "stopping" or lose the connection, but never get a false
+ * answer; each process exits with status 0.  Finally all VMs stop, the last
+ * without a peer to hand over to, and must exit with status 0 as well.
  */
 Test(failure, planned_stop)
 {
@@ -196,7 +199,7 @@
 	struct load l = LOAD(&in, "planned_stop", 150);
 	size_t i;
 
-	install_start(&in, &usual);
+	install_start(&in, &default_plan);
 	load_start(&l);
 	for (i = 0; i < in.vm_count; i++) {
 		cr_assert(EVENTUALLY(60, l.ended >= 10 + i * 30));
@@ -204,7 +207,7 @@
 		cr_expect_eq(vm_wait(&in, i), 0, "%s", in.vms[i].name);
 		vm_start(&in, i);
 	}
-	cr_expect_geq(judged(&l).done, 135);
+	cr_expect_geq(load_finish(&l).done, 135);
 	for (i = 0; i < in.vm_count; i++) {
 		vm_signal(&in, i, SIGTERM);
 		cr_expect_eq(vm_wait(&in, i), 0, "%s", in.vms[i].name);
@@ -213,9 +216,9 @@
 }
 
 /*
- * The connections to all workers go silent for good, while new ones work.
- * Callers see answers that are late by the workers' timeout, not by more:
- * a request that ran out of time gives up its connection.
+ * Established connections to all workers stop carrying data for good, while
+ * new ones work.  Answers are delayed by the workers' timeout and no more,
+ * because a request that times out closes its connection.
  */
 Test(failure, workers_silent)
 {
@@ -223,19 +226,19 @@
 	struct load l = LOAD(&in, "workers_silent", 100);
 	size_t i;
 
-	install_start(&in, &usual);
+	install_start(&in, &default_plan);
 	load_start(&l);
 	for (i = 1; i <= 2; i++) {
 		cr_assert(EVENTUALLY(40, l.ended >= i * 25));
 		workers_set_mode(&in, 0, "silent", NULL);
 		workers_set_mode(&in, 1, "silent", NULL);
 	}
-	cr_expect_geq(judged(&l).done, 95);
+	cr_expect_geq(load_finish(&l).done, 95);
 	install_stop(&in);
 }
 
-/* Set the relays between the entry VMs, not those to the platform. */
-static void peers_set(struct install *in, enum relay_mode mode)
+/* Sets the mode of the relays between entry VMs, not to the platform. */
+static void peer_relays_set(struct install *in, enum relay_mode mode)
 {
 	size_t i, k;
 
@@ -246,14 +249,14 @@
 }
 
 /*
- * The connections between all entry VMs go silent for good, while new ones
- * work.  Callers whose work is decided by another VM see it late by the
- * peers' timeout: forwarded requests are sent again on a fresh connection.
+ * Established connections between all entry VMs stop carrying data for good,
+ * while new ones work.  Calls that another VM decides are delayed by the peers'
+ * timeout, because forwarded requests are sent again on a new connection.
  */
 Test(failure, peers_silent)
 {
 	struct install in;
-	struct install_plan plan = usual;
+	struct install_plan plan = default_plan;
 	struct load l = LOAD(&in, "peers_silent", 100);
 	size_t i;
 
@@ -262,13 +265,16 @@
 	load_start(&l);
 	for (i = 1; i <= 2; i++) {
 		cr_assert(EVENTUALLY(40, l.ended >= i * 25));
-		peers_set(&in, RELAY_STALL);
+		peer_relays_set(&in, RELAY_STALL);
 	}
-	cr_expect_geq(judged(&l).done, 95);
+	cr_expect_geq(load_finish(&l).done, 95);
 	install_stop(&in);
 }
 
-/* Submit quick work to a VM; is it done, or refused with a time to return? */
+/*
+ * Submits a short job to a VM.  Returns true if it is done, or, if refused is
+ * set, if it is refused with status 503 and a Retry-After.
+ */
 static bool probe(const struct install *in, size_t vm, const char *name,
 		  bool repeat, bool refused)
 {
@@ -276,28 +282,29 @@
 	char key[40];
 	struct submission s = {
 		.key = key, .may_repeat = repeat, .wait = true, .run_ms = 5};
-	struct caller_response said;
-	bool so;
+	struct caller_response response;
+	bool ok;
 
 	snprintf(key, sizeof(key), "%s-probe-%u", name, ++serial);
-	said = submit(in, vm, &s);
-	so = refused ? said.status == 503 && said.retry_after
-		     : said.status == 200 &&
-			       !strcmp(response_text(&said, "state"), "done");
-	if (!so)
+	response = submit(in, vm, &s);
+	ok = refused ? response.status == 503 && response.retry_after
+		     : response.status == 200 &&
+			       !strcmp(response_text(&response, "state"),
+				       "done");
+	if (!ok)
 		fprintf(stderr, "%s at %s: %d %s %s\n", key, in->vms[vm].name,
-			said.status, response_text(&said, "state"),
-			response_text(&said, "reason"));
-	caller_response_free(&said);
-	return so;
+			response.status, response_text(&response, "state"),
+			response_text(&response, "reason"));
+	caller_response_free(&response);
+	return ok;
 }
 
 /*
- * The platform gives no answer for 20 s, then slow ones, then all is well.
- * Repeatable work whose caller waits goes on at every VM: it needs no claim
- * and peers vouch for the keys.  Other work is refused with a time to come
- * back, and is not run.  Afterwards it is accepted again within seconds, and
- * all that was accepted before has its end.
+ * The platform doesn't answer for 20 s, is slow for a while and then recovers.
+ * Every VM keeps running repeatable jobs whose caller waits, because these need
+ * no claim and peers confirm that the configuration with the keys is current.
+ * Other jobs are refused with a Retry-After and don't run.  After the recovery
+ * they are accepted within seconds, and all accepted jobs reach a final state.
  */
 Test(failure, platform_down)
 {
@@ -307,7 +314,7 @@
 	size_t i;
 
 	l.give_up_ms = 70000;
-	install_start(&in, &usual);
+	install_start(&in, &default_plan);
 	load_start(&l);
 	cr_assert(EVENTUALLY(20, job_running(&l, KIND_LONG)));
 	platform_set_fault(&in, "{'mode': 'down'}");
@@ -326,27 +333,30 @@
 	platform_set_fault(&in, "[]");
 	for (i = 0; i < in.vm_count; i++)
 		cr_expect(EVENTUALLY(15, probe(&in, i, "back", false, false)));
-	cr_expect_geq(judged(&l).done, 60);
+	cr_expect_geq(load_finish(&l).done, 60);
 	install_stop(&in);
 }
 
-/* Do all entry VMs refuse a key? */
+/* Returns true if all entry VMs refuse the second key. */
 static bool key_refused(const struct install *in)
 {
 	struct submission s = {.key = "withdrawn", .run_ms = 1};
-	struct caller_response said;
+	struct caller_response response;
 	size_t i, refused = 0;
 
 	for (i = 0; i < in->vm_count; i++) {
-		said = submit(in, i, &s);
-		refused += said.status == 401;
-		caller_response_free(&said);
+		response = submit(in, i, &s);
+		refused += response.status == 401;
+		caller_response_free(&response);
 	}
 	return refused == in->vm_count;
 }
 
-/* Make a second key; an installation whose callers use it is returned. */
-static struct install key_second(struct install *in)
+/*
+ * Creates a second key.  Returns a copy of the installation whose callers use
+ * it; its secret must be freed.
+ */
+static struct install key_create_second(struct install *in)
 {
 	op_request rq = {.kind = OP_KEY_CREATE};
 	struct install second;
@@ -364,7 +374,6 @@
 	return second;
 }
 
-/* Withdraw the second key. */
 static op_status key_withdraw(const struct install *in, size_t vm)
 {
 	op_request rq = {.kind = OP_KEY_WITHDRAW};
@@ -375,16 +384,16 @@
 }
 
 /*
- * A key is withdrawn at one VM.  Its owner sees every VM take it before and
- * refuse it within seconds after, and the other key goes on.
+ * A key that every VM accepts is withdrawn at one VM.  All VMs refuse it within
+ * seconds, and still accept the team's other key.
  */
 Test(failure, key_withdrawn)
 {
 	struct install in, second;
 	size_t i;
 
-	install_start(&in, &usual);
-	second = key_second(&in);
+	install_start(&in, &default_plan);
+	second = key_create_second(&in);
 	cr_expect_eq(key_withdraw(&in, 2), OP_OK);
 	cr_expect(EVENTUALLY(10, key_refused(&second)));
 	for (i = 0; i < in.vm_count; i++)
@@ -393,9 +402,9 @@
 	install_stop(&in);
 }
 
-/* Do all entry VMs show a VM in this pool? */
-static bool vm_shown(const struct install *in, const char *name,
-		     const char *want)
+/* Returns true if all entry VMs show a VM in this pool. */
+static bool vm_in_pool(const struct install *in, const char *name,
+		       const char *want)
 {
 	size_t i, same = 0;
 	char *state;
@@ -409,9 +418,9 @@
 }
 
 /*
- * The platform does what it is asked for but loses 3 of 10 answers.  Callers
- * and operators get true answers all the same: an outcome that is not known
- * is asked for again by its transaction's id, and no work runs twice.
+ * The platform carries out all requests but loses 3 of 10 answers.  Callers and
+ * operators still get true answers, because a request with an unknown outcome
+ * is repeated under the same transaction id, and no job runs twice.
  */
 Test(failure, platform_loses)
 {
@@ -420,8 +429,8 @@
 	op_status withdrawn, moved;
 
 	l.give_up_ms = 60000;
-	install_start(&in, &usual);
-	second = key_second(&in);
+	install_start(&in, &default_plan);
+	second = key_create_second(&in);
 	platform_set_fault(&in, "{'mode': 'lose', 'share': 0.3}");
 	load_start(&l);
 	cr_expect(EVENTUALLY(30, (withdrawn = key_withdraw(&in, 1)) !=
@@ -437,39 +446,41 @@
 	if (withdrawn == OP_OK)
 		cr_expect(EVENTUALLY(10, key_refused(&second)));
 	if (moved == OP_OK)
-		cr_expect(EVENTUALLY(30, vm_shown(&in, "b-2", "spare")));
-	cr_expect_geq(judged(&l).done, 90);
+		cr_expect(EVENTUALLY(30, vm_in_pool(&in, "b-2", "spare")));
+	cr_expect_geq(load_finish(&l).done, 90);
 	platform_set_fault(&in, "[]");
 	free(second.secret);
 	install_stop(&in);
 }
 
-/* The state that a VM tells of a job; malloced. */
-static char *state_told(const struct install *in, size_t vm, const char *job,
-			const char *method)
+/* Returns the state of a job in a VM's answer; to be freed. */
+static char *job_state_get(const struct install *in, size_t vm, const char *job,
+			   const char *method)
 {
 	char *path = xasprintf("/v1/jobs/%s", job), *state;
-	struct caller_response said = caller_ask(in, vm, method, path, NULL,
-						 NULL, 4000);
+	struct caller_response response = caller_ask(in, vm, method, path, NULL,
+						     NULL, 4000);
 
-	state = xstrdup(response_text(&said, "state"));
-	caller_response_free(&said);
+	state = xstrdup(response_text(&response, "state"));
+	caller_response_free(&response);
 	free(path);
 	return state;
 }
 
-/* Does a VM tell this state of a job? */
-static bool told(const struct install *in, size_t vm, const char *job,
-		 const char *want)
+static bool job_state_is(const struct install *in, size_t vm, const char *job,
+			 const char *want)
 {
-	char *state = state_told(in, vm, job, "GET");
+	char *state = job_state_get(in, vm, job, "GET");
 	bool same = !strcmp(state, want);
 
 	free(state);
 	return same;
 }
 
-/* Running jobs whose home and worker are in data centre b; how many. */
+/*
+ * Collects running jobs whose home and worker are in data centre b and returns
+ * their number.
+ */
 static size_t jobs_in_b(struct load *l, struct load_job **jobs, size_t most)
 {
 	size_t i, n = 0, b = l->in->vm_count - 1;
@@ -488,15 +499,16 @@
 }
 
 /*
- * A data centre is cut off from platform and peers while its work runs.  Its
- * callers see that work end, can ask for it and cancel it; new work is
- * refused with a time to come back once freshness is gone.  Callers
- * elsewhere wait.  When it is healed all learn the same true ends.
+ * A data centre is cut off from the platform and from its peers while jobs run
+ * there.  Its callers can still get and cancel these jobs and see them end.
+ * New jobs are refused with a Retry-After once the configuration there is no
+ * longer known to be current.  Callers elsewhere wait; once the network is
+ * restored, all get the same, actual results.
  */
 Test(failure, dc_cut)
 {
 	struct install in;
-	struct install_plan plan = usual;
+	struct install_plan plan = default_plan;
 	struct load l = {.in = &in,
 			 .name = "dc_cut",
 			 .count = 30,
@@ -516,28 +528,28 @@
 	nap_ms(FRESH_MS);
 	cr_expect(EVENTUALLY(10, probe(&in, 2, "cut", true, true)));
 	cr_expect(EVENTUALLY(10, probe(&in, 2, "cut", false, true)));
-	cr_expect(told(&in, 2, jobs[0]->id, "running"));
-	state = state_told(&in, 2, jobs[1]->id, "DELETE");
+	cr_expect(job_state_is(&in, 2, jobs[0]->id, "running"));
+	state = job_state_get(&in, 2, jobs[1]->id, "DELETE");
 	cr_expect_str_eq(state, "failed", "cancelled, but %s", state);
 	free(state);
-	cr_expect(EVENTUALLY(15, told(&in, 2, jobs[0]->id, "done")));
+	cr_expect(EVENTUALLY(15, job_state_is(&in, 2, jobs[0]->id, "done")));
 	relay_net_set(in.net, "b1", NULL, RELAY_PASS);
 	cr_expect(EVENTUALLY(15, probe(&in, 2, "healed", false, false)));
-	v = judged(&l);
+	v = load_finish(&l);
 	cr_expect_eq(v.done, 29);
 	cr_expect_eq(v.failed, 1);
 	install_stop(&in);
 }
 
 /*
- * A data centre is cut off from the platform alone.  Its peers vouch for its
- * freshness and take over what it owned there, so its callers see all kinds
- * of work done.
+ * A data centre is cut off from the platform only.  Its peers confirm that its
+ * configuration is current and take over its units, so jobs of all kinds from
+ * its callers are still done.
  */
 Test(failure, dc_cut_platform)
 {
 	struct install in;
-	struct install_plan plan = usual;
+	struct install_plan plan = default_plan;
 	struct load l = LOAD(&in, "dc_cut_platform", 100);
 
 	plan.relayed = true;
@@ -550,19 +562,20 @@
 	cr_expect(EVENTUALLY(10, probe(&in, 2, "vouched", false, false)));
 	nap_ms(2000);
 	relay_net_set(in.net, "b1", "platform", RELAY_PASS);
-	cr_expect_geq(judged(&l).done, 95);
+	cr_expect_geq(load_finish(&l).done, 95);
 	install_stop(&in);
 }
 
 /*
- * The home of work claims it but never hears so, and is cut off.  Another VM
- * reads the claims and runs the work.  When the first is back it believes
- * the work was not started in time; its callers must not be told so.
+ * The home of some jobs writes their claims, but the platform's answers are
+ * lost, and then the VM is cut off.  Another VM reads the claims and runs the
+ * jobs.  The first VM, once reconnected, still has the jobs as not started in
+ * time; it must not answer its callers so.
  */
 Test(failure, home_cut_after_claim)
 {
 	struct install in;
-	struct install_plan plan = usual;
+	struct install_plan plan = default_plan;
 	struct load l = LOAD(&in, "home_cut", 24);
 
 	plan.relayed = true;
@@ -584,8 +597,8 @@
 	install_stop(&in);
 }
 
-/* An operator's call in a thread of its own. */
-struct racer {
+/* An operator's request, made in a thread of its own. */
+struct operator_call {
 	const struct install *in;
 	size_t vm;
 	op_request rq;
@@ -593,37 +606,41 @@
 	pthread_t thread;
 };
 
-static void *racer_run(void *arg)
+static void *operator_call_run(void *arg)
 {
-	struct racer *r = arg;
+	struct operator_call *r = arg;
 
 	r->status = operate(r->in, r->vm, &r->rq, NULL, NULL);
 	return NULL;
 }
 
-/* Two operators at once; the winner, or 2 if it was not just one of them. */
-static size_t race(const struct install *in, struct racer r[2], op_status lost)
+/*
+ * Makes two operators' requests at once.  Returns the index of the one that
+ * got OP_OK while the other got loser_status, or 2 if that wasn't so.
+ */
+static size_t race(const struct install *in, struct operator_call r[2],
+		   op_status loser_status)
 {
 	size_t i;
 
 	for (i = 0; i < 2; i++) {
 		r[i].in = in;
 		r[i].vm = i;
-		pthread_create(&r[i].thread, NULL, racer_run, &r[i]);
+		pthread_create(&r[i].thread, NULL, operator_call_run, &r[i]);
 	}
 	for (i = 0; i < 2; i++)
 		pthread_join(r[i].thread, NULL);
-	fprintf(stderr, "two operators saw %d and %d\n", (int)r[0].status,
+	fprintf(stderr, "two operators got %d and %d\n", (int)r[0].status,
 		(int)r[1].status);
 	for (i = 0; i < 2; i++)
-		if (r[i].status == OP_OK && r[!i].status == lost)
+		if (r[i].status == OP_OK && r[!i].status == loser_status)
 			return i;
 	return 2;
 }
 
-/* The configuration that a VM shows, and its revision. */
-static json_t *config_shown(const struct install *in, size_t vm,
-			    uint64_t *revision)
+/* Returns the configuration that a VM shows, and its revision. */
+static json_t *config_get(const struct install *in, size_t vm,
+			  uint64_t *revision)
 {
 	op_request rq = {.kind = OP_CONFIG_SHOW};
 	json_t *j, *config;
@@ -635,16 +652,16 @@
 	return config;
 }
 
-/* Do all VMs show this revision with this share of the team? */
-static bool share_shown(const struct install *in, uint64_t revision,
-			int64_t share)
+/* Returns true if all VMs show this revision with this share of the team. */
+static bool share_in_effect(const struct install *in, uint64_t revision,
+			    int64_t share)
 {
 	size_t i, same = 0;
 	uint64_t shown;
 	json_t *j;
 
 	for (i = 0; i < in->vm_count; i++) {
-		j = config_shown(in, i, &shown);
+		j = config_get(in, i, &shown);
 		same += shown == revision &&
 			json_int(json_object_get(json_object_get(j, "teams"),
 						 "planning"),
@@ -655,22 +672,22 @@
 }
 
 /*
- * Two operators apply different configurations over the same revision at
- * two VMs.  One is told "accepted", the other gets a conflict, each time;
- * all VMs show the winner's within seconds.
+ * Two operators apply different configurations to the same revision at two VMs
+ * at once.  Each time one is accepted and the other gets a conflict; all VMs
+ * show the accepted configuration within seconds.
  */
 Test(failure, race_config)
 {
 	struct install in;
-	struct racer r[2] = {{0}};
+	struct operator_call r[2] = {{0}};
 	uint64_t revision;
-	size_t round, won, i;
+	size_t round, winner, i;
 	char *text[2];
 	json_t *j;
 
-	install_start(&in, &usual);
+	install_start(&in, &default_plan);
 	for (round = 0; round < 8; round++) {
-		j = config_shown(&in, 0, &revision);
+		j = config_get(&in, 0, &revision);
 		for (i = 0; i < 2; i++) {
 			json_object_set_new(
 				json_object_get(json_object_get(j, "teams"),
@@ -683,18 +700,19 @@
 				revision, bstr_lit(text[i])};
 		}
 		json_decref(j);
-		won = race(&in, r, OP_CONFLICT);
-		cr_expect_neq(won, 2);
+		winner = race(&in, r, OP_CONFLICT);
+		cr_expect_neq(winner, 2);
 		cr_expect(EVENTUALLY(
-			10, share_shown(&in, revision + 1,
-					(int64_t)(10 * round + won + 2))));
+			10,
+			share_in_effect(&in, revision + 1,
+					(int64_t)(10 * round + winner + 2))));
 		free(text[0]);
 		free(text[1]);
 	}
 	install_stop(&in);
 }
 
-/* Do the first two VMs, at which operators call, know a pool? */
+/* Returns true if both VMs that operators call know a pool. */
 static bool pool_known(const struct install *in, const char *pool)
 {
 	op_request rq = {.kind = OP_POOL_SHOW};
@@ -705,9 +723,9 @@
 }
 
 /*
- * Two operators move the same VM, which has work, to two pools at once.  One
- * is told that it moves, the other gets a conflict; when the work is done it
- * is in the winner's pool at all VMs.
+ * Two operators move the same busy worker VM to different pools at once.  One
+ * request is accepted, the other gets a conflict; once its tasks are done, all
+ * entry VMs show the worker in the pool of the accepted request.
  */
 Test(failure, race_move)
 {
@@ -716,13 +734,13 @@
 	bstr dc = bstr_lit("a");
 	op_request rq = {.kind = OP_POOL_CREATE};
 	struct load l = LOAD(&in, "race_move", 24);
-	struct racer r[2] = {{0}};
-	size_t won, i;
+	struct operator_call r[2] = {{0}};
+	size_t winner, i;
 
 	l.kinds = KIND_LONG;
 	l.long_ms = 4000;
 	l.threads = 24;
-	install_start(&in, &usual);
+	install_start(&in, &default_plan);
 	rq.op_request_u.pool = (op_pool){bstr_lit("other"), {1, &dc}, 1, false};
 	cr_expect_eq(operate(&in, 0, &rq, NULL, NULL), OP_OK);
 	cr_expect(EVENTUALLY(10, pool_known(&in, "other")));
@@ -732,23 +750,23 @@
 		r[i].rq = *OP_VM_REQUEST(OP_VM_MOVE, "a-1", pools[i]);
 		r[i].rq.op_request_u.vm.deadline_ms = 20000;
 	}
-	won = race(&in, r, OP_CONFLICT);
-	cr_expect_neq(won, 2);
-	cr_expect(EVENTUALLY(20, vm_shown(&in, "a-1", pools[won % 2])));
-	cr_expect_eq(judged(&l).done, 24);
+	winner = race(&in, r, OP_CONFLICT);
+	cr_expect_neq(winner, 2);
+	cr_expect(EVENTUALLY(20, vm_in_pool(&in, "a-1", pools[winner % 2])));
+	cr_expect_eq(load_finish(&l).done, 24);
 	install_stop(&in);
 }
 
 /*
- * Two operators drain two VMs of a pool whose budget is 1.  One drain is
- * accepted, the other refused by the budget.
+ * Two operators drain two VMs of a pool with a budget of 1 at once.  One drain
+ * is accepted, the other is refused because of the budget.
  */
 Test(failure, race_drain)
 {
 	struct install in;
-	struct racer r[2] = {{0}};
+	struct operator_call r[2] = {{0}};
 
-	install_start(&in, &usual);
+	install_start(&in, &default_plan);
 	r[0].rq = *OP_VM_REQUEST(OP_VM_DRAIN, "a-1", "");
 	r[1].rq = *OP_VM_REQUEST(OP_VM_DRAIN, "b-1", "");
 	cr_expect_neq(race(&in, r, OP_REFUSED), 2);
@@ -756,10 +774,10 @@
 }
 
 /*
- * The workers of a data centre restart, or one stops for longer than its
- * leases, with work on them.  Callers of repeatable work see it done; those
- * of other work are told that it may have run, or that it was stopped, and
- * it is not run again.
+ * Busy workers of a data centre restart, or one freezes for longer than its
+ * leases.  Repeatable jobs are run again and done; other jobs are not run
+ * again, and their callers are answered that the job may have run or was
+ * stopped.
  */
 static void workers_lost(const char *name, const char *mode, const char *worker)
 {
@@ -767,7 +785,7 @@
 	struct load l = LOAD(&in, name, 80);
 
 	l.may_fail = true;
-	install_start(&in, &usual);
+	install_start(&in, &default_plan);
 	load_start(&l);
 	cr_assert(EVENTUALLY(20, job_running(&l, KIND_LONG)));
 	workers_set_mode(&in, 0, mode, worker);
@@ -775,7 +793,7 @@
 		nap_ms(TASK_LEASE_MS + 2000);
 		workers_set_mode(&in, 0, "none", worker);
 	}
-	cr_expect_geq(judged(&l).done, 60);
+	cr_expect_geq(load_finish(&l).done, 60);
 	install_stop(&in);
 }
 
@@ -789,23 +807,24 @@
 }
 
 /*
- * A worker fails all it starts, at once, which makes it look free.  Callers
- * of repeatable work see it done by others; the worker gets little more.
+ * A worker fails every task immediately, so that it always has free slots and
+ * would attract further tasks.  Repeatable jobs are done by other workers, and
+ * the faulty one soon gets few tasks.
  */
 Test(failure, worker_fails_all)
 {
 	struct install in;
-	struct install_plan plan = usual;
+	struct install_plan plan = default_plan;
 	struct load l = LOAD(&in, "worker_fails_all", 300);
 
-	/* a quarter of a cell's workers, at the most, is set aside */
+	/* at most a quarter of a cell's workers is set aside */
 	plan.workers = 4;
 	l.may_fail = true;
 	l.kinds = KIND_REPEAT | KIND_WAIT;
 	install_start(&in, &plan);
 	workers_set_mode(&in, 0, "fail-all", "a-1");
 	load_start(&l);
-	cr_expect_geq(judged(&l).done, 295);
+	cr_expect_geq(load_finish(&l).done, 295);
 	fprintf(stderr, "worker_fails_all: %zu starts there\n",
 		worker_starts(&in, 0, "a-1"));
 	cr_expect_leq(worker_starts(&in, 0, "a-1"), 20);
@@ -813,8 +832,8 @@
 }
 
 /*
- * A worker says that it is leaving.  A few seconds later nothing is started
- * there any more, and no caller notices.
+ * A worker reports that it is leaving.  A few seconds later no more tasks are
+ * started there, and all jobs are done.
  */
 Test(failure, worker_leaving)
 {
@@ -825,26 +844,26 @@
 	l.kinds = KIND_WAIT;
 	l.threads = 4;
 	l.pace_ms = 100;
-	install_start(&in, &usual);
+	install_start(&in, &default_plan);
 	load_start(&l);
 	cr_assert(EVENTUALLY(10, worker_starts(&in, 0, "a-1") > 5));
 	workers_set_mode(&in, 0, "leave", "a-1");
 	nap_ms(4000);
 	before = worker_starts(&in, 0, "a-1");
-	cr_expect_lt(l.ended, l.count, "the load ended too soon");
-	cr_expect_eq(judged(&l).done, 400);
+	cr_expect_lt(l.ended, l.count, "the load ended before the worker left");
+	cr_expect_eq(load_finish(&l).done, 400);
 	cr_expect_eq(worker_starts(&in, 0, "a-1"), before);
 	install_stop(&in);
 }
 
-/* How many of so many jobs have an end, by any VM. */
-static size_t ends_told(const struct install *in, char (*ids)[96], size_t n)
+/* Returns how many of n jobs are final, asking the VMs in turn. */
+static size_t jobs_final(const struct install *in, char (*ids)[96], size_t n)
 {
 	size_t i, ends = 0;
 	char *state;
 
 	for (i = 0; i < n; i++) {
-		state = state_told(in, i % in->vm_count, ids[i], "GET");
+		state = job_state_get(in, i % in->vm_count, ids[i], "GET");
 		ends += !strcmp(state, "not-run") || !strcmp(state, "failed") ||
 			!strcmp(state, "done");
 		free(state);
@@ -853,42 +872,45 @@
 }
 
 /*
- * A submitter cancels 300 jobs by their label at once, some running, most
- * queued.  Each of them has an end within seconds, those told "not run" were
- * never started, and nothing goes on at the workers.
+ * A caller cancels 300 jobs by their label, some running, most queued.  Each
+ * is final within seconds, those reported as "not-run" were never started, and
+ * none still runs at the workers.
  */
 Test(failure, cancel_many)
 {
 	static char ids[300][96];
 	struct submission s = {.label = "tour", .run_ms = 20000};
 	struct truth t, all = {0};
-	struct caller_response said;
+	struct caller_response response;
 	size_t i, false_not_run = 0;
 	struct install in;
 	char key[32];
 
-	install_start(&in, &usual);
+	install_start(&in, &default_plan);
 	for (i = 0; i < 300; i++) {
 		snprintf(key, sizeof(key), "tour-%zu", i);
 		s.key = key;
-		said = submit(&in, i % in.vm_count, &s);
-		cr_assert_eq(said.status, 202, "submission %zu: %d %s", i,
-			     (int)said.status, response_text(&said, "reason"));
+		response = submit(&in, i % in.vm_count, &s);
+		cr_assert_eq(response.status, 202, "submission %zu: %d %s", i,
+			     (int)response.status,
+			     response_text(&response, "reason"));
 		snprintf(ids[i], sizeof(ids[i]), "%s",
-			 response_text(&said, "job"));
-		caller_response_free(&said);
+			 response_text(&response, "job"));
+		caller_response_free(&response);
 	}
-	said = caller_ask(&in, 1, "POST", "/v1/cancel", NULL,
-			  "{\"label\": \"tour\"}", 10000);
-	cr_expect_eq(said.status, 200);
-	cr_expect_eq(json_array_size(json_object_get(said.json, "jobs")), 300);
-	caller_response_free(&said);
-	cr_expect(EVENTUALLY(15, ends_told(&in, ids, 300) == 300));
+	response = caller_ask(&in, 1, "POST", "/v1/cancel", NULL,
+			      "{\"label\": \"tour\"}", 10000);
+	cr_expect_eq(response.status, 200);
+	cr_expect_eq(json_array_size(json_object_get(response.json, "jobs")),
+		     300);
+	caller_response_free(&response);
+	cr_expect(EVENTUALLY(15, jobs_final(&in, ids, 300) == 300));
 	for (i = 0; i < 300; i++) {
 		t = truth_of(&in, ids[i]);
 		all.running += t.running;
 		all.starts += t.starts;
-		false_not_run += t.starts && told(&in, 0, ids[i], "not-run");
+		false_not_run += t.starts &&
+				 job_state_is(&in, 0, ids[i], "not-run");
 	}
 	fprintf(stderr, "cancel_many: %u of 300 had been started\n",
 		all.starts);
@@ -897,59 +919,62 @@
 	install_stop(&in);
 }
 
-/*
- * The same work under the same key through all entry VMs at once, from 12
- * callers.  All learn of one job and its one end; it is started once.
- */
-struct twin {
+/* A submission with a key that others use at the same time. */
+struct duplicate {
 	const struct install *in;
 	size_t vm;
 	char id[96], state[16];
 	pthread_t thread;
 };
 
-static void *twin_run(void *arg)
+static void *duplicate_run(void *arg)
 {
 	struct submission s = {.key = "twins", .wait = true, .run_ms = 300};
-	struct twin *t = arg;
-	struct caller_response said = submit(t->in, t->vm, &s);
+	struct duplicate *t = arg;
+	struct caller_response response = submit(t->in, t->vm, &s);
 
-	snprintf(t->id, sizeof(t->id), "%s", response_text(&said, "job"));
+	snprintf(t->id, sizeof(t->id), "%s", response_text(&response, "job"));
 	snprintf(t->state, sizeof(t->state), "%s",
-		 response_text(&said, "state"));
-	caller_response_free(&said);
+		 response_text(&response, "state"));
+	caller_response_free(&response);
 	return NULL;
 }
 
+/*
+ * 12 callers submit the same job under the same key through all entry VMs at
+ * once.  All get the same job id and result, and the job is started once.
+ */
 Test(failure, same_key)
 {
 	struct install in;
-	struct twin twins[12];
+	struct duplicate duplicates[12];
 	size_t i;
 
-	install_start(&in, &usual);
-	for (i = 0; i < NELEMS(twins); i++) {
-		twins[i] = (struct twin){.in = &in, .vm = i % in.vm_count};
-		pthread_create(&twins[i].thread, NULL, twin_run, &twins[i]);
+	install_start(&in, &default_plan);
+	for (i = 0; i < NELEMS(duplicates); i++) {
+		duplicates[i] = (struct duplicate){.in = &in,
+						   .vm = i % in.vm_count};
+		pthread_create(&duplicates[i].thread, NULL, duplicate_run,
+			       &duplicates[i]);
 	}
-	for (i = 0; i < NELEMS(twins); i++) {
-		pthread_join(twins[i].thread, NULL);
-		cr_expect_str_eq(twins[i].state, "done");
-		cr_expect_str_eq(twins[i].id, twins[0].id);
+	for (i = 0; i < NELEMS(duplicates); i++) {
+		pthread_join(duplicates[i].thread, NULL);
+		cr_expect_str_eq(duplicates[i].state, "done");
+		cr_expect_str_eq(duplicates[i].id, duplicates[0].id);
 	}
-	cr_expect_eq(truth_of(&in, twins[0].id).starts, 1);
+	cr_expect_eq(truth_of(&in, duplicates[0].id).starts, 1);
 	install_stop(&in);
 }
 
 /*
- * A team with an upper limit of 6 has work open in two data centres, and the
- * owner of a cell is killed.  Callers see all of it done; the workers never
- * ran more than 6 of its tasks at once, and did use the limit.
+ * A team with an upper limit of 6 has jobs in two data centres, and the owner
+ * of a cell is killed.  The jobs are done; the workers never ran more than 6
+ * tasks of the team at once, and came close to the limit.
  */
 Test(failure, upper_limit)
 {
 	struct install in;
-	struct install_plan plan = usual;
+	struct install_plan plan = default_plan;
 	struct load l = LOAD(&in, "upper_limit", 160);
 
 	plan.limit = 6;
@@ -963,7 +988,7 @@
 	load_start(&l);
 	cr_assert(EVENTUALLY(40, l.ended > 50));
 	vm_signal(&in, vm_owner(&in, "cell/rounds/a"), SIGKILL);
-	cr_expect_geq(judged(&l).done, 150);
+	cr_expect_geq(load_finish(&l).done, 150);
 	fprintf(stderr, "upper_limit: at most %jd ran at once\n",
 		(intmax_t)max_running(&in));
 	cr_expect_leq(max_running(&in), 6);
