--- a/tests/support-fleet.c
+++ b/tests/support-fleet.c
@@ -7,71 +7,84 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PLATFORM_MS 1000 /* the edges' timeouts */
-#define WORKER_MS 2000
-#define PEER_MS 1000
+/* Timeouts of the edges. */
+#define PLATFORM_TIMEOUT_MS 1000
+#define WORKER_TIMEOUT_MS 2000
+#define PEER_TIMEOUT_MS 1000
+
 #define FRESH_MS 3000
-#define SETTLE_MS 20000 /* a lowered limit has come down by then */
-#define LEAVE_MS 8000	/* no new work to what has been leaving so long */
-#define JOBS 1024
-#define TASKS 96
-#define CALLS 8192
-#define LIMITS 256
+
+/* After this time without faults a lowered limit must hold. */
+#define SETTLE_MS 20000
+
+/* A worker that has been leaving or draining for this long gets no tasks. */
+#define LEAVING_MS 8000
+
+#define JOBS_MAX 1024
+#define TASKS_MAX 96
+#define CALLS_MAX 8192
+#define LIMIT_CHANGES_MAX 256
 
 enum { POOL_P, POOL_Q, POOLS };
 static const char *const pool_names[] = {"p", "q"};
 static const char *const dc_names[] = {"d0", "d1"};
 static const char *const team_names[] = {"a", "b"};
 
-enum queued_kind {
+enum queue_item_kind {
 	Q_EVENT,
 	Q_TICK,
-	Q_TABLE,
+	Q_PLATFORM,
 	Q_EXCHANGE,
-	Q_EXCHANGE_OVER,
-	Q_WATCH_OVER,
+	Q_EXCHANGE_TIMEOUT,
+	Q_WATCH_TIMEOUT,
 	Q_TASK_END,
-	Q_LEASE,
-	Q_HEAL,
+	Q_LEASE_END,
+	Q_FAULT_END,
 	Q_BOOT
 };
-struct queued {
+
+/* An occurrence at a simulated time; a, b and n depend on its kind. */
+struct queue_item {
 	int64_t at;
 	uint64_t seq;
-	enum queued_kind kind;
+	enum queue_item_kind kind;
 	unsigned a, b;
 	uint64_t n;
 	event *ev;
 	effect *fx;
 	struct exchange *x;
 };
+
 struct entry {
 	struct state *st;
 	char name[24];
 	unsigned gen;
-	bool up, frozen, stopping, cut;
-	int64_t offset; /* of its clock */
+	bool up, frozen, stopping, platform_cut;
+	int64_t clock_offset;
 	int64_t frozen_at, stop_at;
 	uint64_t revision;
-	event **held;
-	size_t held_count;
+	event **inbox;
+	size_t inbox_count;
 };
+
 struct exchange {
 	struct exchange *next;
 	unsigned slot, gen, worker, boot;
-	bool over, taken;
+	bool finished, taken;
 	effect *fx;
 };
-struct wtask {
+
+struct fake_task {
 	char id[128];
-	unsigned pool, dc, team, serial;
+	unsigned pool, dc, team, job;
 	task_state state;
 	const char *reason;
 	char result[64];
-	int64_t began, ends;
+	int64_t began_at, ends_at;
 	uint64_t seq;
 	bool fails, used;
 };
+
 struct fake_worker {
 	char name[8];
 	unsigned dc, boot;
@@ -80,38 +93,43 @@
 	int64_t frozen_at;
 	uint64_t epoch[POOLS], seq;
 	int64_t lease[POOLS][2];
-	struct wtask tasks[TASKS];
-	struct exchange *waiting[64]; /* watches, and what a frozen one has */
-	unsigned waiting_count;
-	/* the table's truth about it */
+	struct fake_task tasks[TASKS_MAX];
+	struct exchange *blocked[64]; /* watches; all, while it is frozen */
+	unsigned blocked_count;
+	/* as in the table's row */
 	unsigned pool;
 	vm_state state;
 	int64_t state_at;
 };
+
 struct fake_job {
-	bool may_repeat, wait, urgent, soft;
+	bool may_repeat, wait, urgent;
+	bool memory_only; /* not in the journal: may_repeat and wait */
 	unsigned team, pool, key, run_ms, timeout_ms;
 	bool fails, cancelled;
 	char id[96];
-	unsigned begun, checkpoints, submits;
-	bool not_run, said_refused, accepted, final;
+	unsigned start_count, checkpoints, submit_count;
+	bool not_run, refused, accepted, final;
 };
+
 struct fake_call {
 	unsigned slot, gen, job;
-	int64_t made_at;
+	int64_t sent_at;
 	enum { CALL_NONE, CALL_OF_JOB, CALL_OF_LABEL, CALL_OF_OPERATOR } kind;
 	bool submit, taken, answered, check;
 	op_kind op;
 	unsigned a, b;
 };
-struct limit {
+
+struct limit_change {
 	int64_t from;
 	unsigned amount;
 };
+
 struct fleet {
-	int64_t now, calm_since, fault_began;
+	int64_t now, fault_ended, fault_began;
 	uint64_t random, seq, events;
-	struct queued *heap;
+	struct queue_item *heap;
 	size_t heap_count, heap_room;
 	struct entry entries[FLEET_ENTRIES];
 	struct fake_worker workers[FLEET_WORKERS];
@@ -119,28 +137,30 @@
 	struct exchange *exchanges;
 	unsigned faults, platform_mode, late;
 	bool dc_cut, dc_platform_cut[2];
-	struct fake_job jobs[JOBS];
+	struct fake_job jobs[JOBS_MAX];
 	unsigned job_count;
-	struct fake_call calls[CALLS];
+	struct fake_call calls[CALLS_MAX];
 	unsigned call_count;
-	struct limit limits[FLEET_TEAMS][LIMITS], budgets[POOLS][LIMITS];
+	struct limit_change limits[FLEET_TEAMS][LIMIT_CHANGES_MAX],
+		budgets[POOLS][LIMIT_CHANGES_MAX];
 	unsigned limit_count[FLEET_TEAMS], budget_count[POOLS];
-	int64_t withdrawn_at[FLEET_TEAMS][FLEET_KEYS]; /* answered */
+	int64_t withdrawn_at[FLEET_TEAMS][FLEET_KEYS]; /* 0: not yet */
 	bstr digests[FLEET_TEAMS][FLEET_KEYS];
 	json_t *doc;
 	uint64_t revision;
-	unsigned figures[FLEET_COUNTERS];
-	char broken[512];
+	unsigned counters[FLEET_COUNTERS];
+	char violation[512];
 };
 
-#define BREAK(f, ...)                                              \
-	do {                                                       \
-		if (!(f)->broken[0])                               \
-			snprintf((f)->broken, sizeof((f)->broken), \
-				 __VA_ARGS__);                     \
+/* Records the violation of an invariant, unless there was one before. */
+#define VIOLATION(f, ...)                                                \
+	do {                                                             \
+		if (!(f)->violation[0])                                  \
+			snprintf((f)->violation, sizeof((f)->violation), \
+				 __VA_ARGS__);                           \
 	} while (0)
 
-/* With FLEET_TRACE set, what happens is told on standard error. */
+/* Prints what happens to standard error if FLEET_TRACE is set. */
 #define TRACE(f, ...)                                           \
 	do {                                                    \
 		if (!getenv("FLEET_TRACE"))                     \
@@ -157,13 +177,14 @@
 	return z % below;
 }
 
-/* The queue of what happens, a heap by time. */
-static bool queued_before(const struct queued *a, const struct queued *b)
+/* The event queue of the simulation, a heap ordered by time. */
+static bool queue_item_before(const struct queue_item *a,
+			      const struct queue_item *b)
 {
 	return a->at < b->at || (a->at == b->at && a->seq < b->seq);
 }
 
-static void queue_put(struct fleet *f, struct queued q)
+static void queue_put(struct fleet *f, struct queue_item q)
 {
 	size_t i = f->heap_count++, up;
 
@@ -172,23 +193,23 @@
 		f->heap = xrealloc(f->heap, f->heap_room, sizeof(*f->heap));
 	}
 	if (q.at < f->now)
-		q.at = f->now; /* a wake that is overdue */
+		q.at = f->now; /* an overdue wake */
 	q.seq = ++f->seq;
-	for (; i && queued_before(&q, &f->heap[up = (i - 1) / 2]); i = up)
+	for (; i && queue_item_before(&q, &f->heap[up = (i - 1) / 2]); i = up)
 		f->heap[i] = f->heap[up];
 	f->heap[i] = q;
 }
 
-static struct queued queue_take(struct fleet *f)
+static struct queue_item queue_take(struct fleet *f)
 {
-	struct queued top = f->heap[0], last = f->heap[--f->heap_count];
+	struct queue_item top = f->heap[0], last = f->heap[--f->heap_count];
 	size_t i = 0, k;
 
 	while ((k = 2 * i + 1) < f->heap_count) {
 		if (k + 1 < f->heap_count &&
-		    queued_before(&f->heap[k + 1], &f->heap[k]))
+		    queue_item_before(&f->heap[k + 1], &f->heap[k]))
 			k++;
-		if (!queued_before(&f->heap[k], &last))
+		if (!queue_item_before(&f->heap[k], &last))
 			break;
 		f->heap[i] = f->heap[k];
 		i = k;
@@ -197,26 +218,36 @@
 	return top;
 }
 
-/* Give an event to an entry VM after a time, if it still lives then. */
-static void entry_tell(struct fleet *f, unsigned slot, unsigned gen,
+/*
+ * Delivers an event to an entry VM after a delay, unless the VM's process has
+ * ended by then.
+ */
+static void entry_post(struct fleet *f, unsigned slot, unsigned gen,
 		       int64_t delay, event *ev)
 {
-	queue_put(f, (struct queued){.at = f->now + delay,
-				     .kind = Q_EVENT,
-				     .a = slot,
-				     .b = gen,
-				     .ev = ev});
+	queue_put(f, (struct queue_item){.at = f->now + delay,
+					 .kind = Q_EVENT,
+					 .a = slot,
+					 .b = gen,
+					 .ev = ev});
 }
 
-/* What was true at some moment since faults could have hidden the change. */
-static int64_t settled_since(const struct fleet *f)
+/*
+ * Returns the time since when a change may not have reached every VM.  A check
+ * of a limit must allow all values that held since then.  Faults delay the
+ * propagation, so that the time stays before their start until the fleet has
+ * been without faults for SETTLE_MS.
+ */
+static int64_t unsettled_since(const struct fleet *f)
 {
-	if (f->faults || f->now - f->calm_since < SETTLE_MS)
+	if (f->faults || f->now - f->fault_ended < SETTLE_MS)
 		return f->fault_began - SETTLE_MS;
 	return f->now - SETTLE_MS;
 }
 
-static unsigned limit_most(const struct limit *l, unsigned n, int64_t since)
+/* Returns the largest value that a limit had since a time. */
+static unsigned limit_max_since(const struct limit_change *l, unsigned n,
+				int64_t since)
 {
 	unsigned most = 0, i;
 
@@ -227,37 +258,37 @@
 	return most;
 }
 
-static void limit_note(struct limit *l, unsigned *n, int64_t now,
-		       unsigned amount)
+static void limit_record(struct limit_change *l, unsigned *n, int64_t now,
+			 unsigned amount)
 {
 	if (*n && l[*n - 1].amount == amount)
 		return;
-	if (*n < LIMITS)
-		l[(*n)++] = (struct limit){now, amount};
+	if (*n < LIMIT_CHANGES_MAX)
+		l[(*n)++] = (struct limit_change){now, amount};
 }
 
 static void fault_begin(struct fleet *f)
 {
-	if (!f->faults++ && f->now - f->calm_since >= SETTLE_MS)
+	if (!f->faults++ && f->now - f->fault_ended >= SETTLE_MS)
 		f->fault_began = f->now;
 }
 
 static void fault_end(struct fleet *f)
 {
 	if (!--f->faults)
-		f->calm_since = f->now;
+		f->fault_ended = f->now;
 }
 
-/* Begin a fault that ends after a time. */
+/* Starts a fault that ends after ms milliseconds. */
 static void fault_for(struct fleet *f, enum fleet_op op, unsigned a, unsigned b,
 		      int64_t ms)
 {
 	fault_begin(f);
-	queue_put(f, (struct queued){.at = f->now + ms,
-				     .kind = Q_HEAL,
-				     .a = op,
-				     .b = a,
-				     .n = b});
+	queue_put(f, (struct queue_item){.at = f->now + ms,
+					 .kind = Q_FAULT_END,
+					 .a = op,
+					 .b = a,
+					 .n = b});
 }
 
 static bool name_is(bstr b, const char *s)
@@ -281,7 +312,7 @@
 	return name.bstr_val[1] - '0';
 }
 
-/* How many places two documents differ in. */
+/* Returns in how many places two documents differ. */
 static size_t doc_changes(const json_t *from, const json_t *to)
 {
 	json_t *d = config_diff(from, to);
@@ -291,20 +322,20 @@
 	return n;
 }
 
-/* Note the limits, budgets and keys of a document that is in force now. */
-static void doc_note(struct fleet *f, const json_t *doc)
+/* Records the limits and budgets of a document that takes effect now. */
+static void limits_record(struct fleet *f, const json_t *doc)
 {
 	unsigned i;
 
 	for (i = 0; i < FLEET_TEAMS; i++)
-		limit_note(
+		limit_record(
 			f->limits[i], &f->limit_count[i], f->now,
 			(unsigned)json_integer_value(json_object_get(
 				json_object_get(json_object_get(doc, "teams"),
 						team_names[i]),
 				"limit")));
 	for (i = 0; i < POOLS; i++)
-		limit_note(
+		limit_record(
 			f->budgets[i], &f->budget_count[i], f->now,
 			(unsigned)json_integer_value(json_object_get(
 				json_object_get(json_object_get(doc, "pools"),
@@ -313,8 +344,9 @@
 }
 
 /*
- * Each new head has the next revision and differs from the last in what one
- * operator asked for, so nothing that was accepted is taken back.
+ * Checks a write of the configuration's head.  It must name a stored object,
+ * have the next revision and differ from the last one in one place: each
+ * request changes one, so that more would undo an accepted change.
  */
 static void check_head(struct fleet *f, bstr value)
 {
@@ -328,18 +360,18 @@
 			: NULL;
 
 	if (!doc)
-		BREAK(f, "config: the head names no object: %.*s (%.*s)",
-		      BSTR_ARG(name), o ? (int)o->value.bstr_len : 4,
-		      o ? o->value.bstr_val : "none");
+		VIOLATION(f, "config: the head names no object: %.*s (%.*s)",
+			  BSTR_ARG(name), o ? (int)o->value.bstr_len : 4,
+			  o ? o->value.bstr_val : "none");
 	else if (f->doc && revision != f->revision + 1)
-		BREAK(f, "config: revision %llu follows %llu",
-		      (unsigned long long)revision,
-		      (unsigned long long)f->revision);
+		VIOLATION(f, "config: revision %llu follows %llu",
+			  (unsigned long long)revision,
+			  (unsigned long long)f->revision);
 	else if (f->doc && doc_changes(f->doc, doc) > 1)
-		BREAK(f, "config: revision %llu undoes an accepted change",
-		      (unsigned long long)revision);
+		VIOLATION(f, "config: revision %llu undoes an accepted change",
+			  (unsigned long long)revision);
 	if (doc) {
-		doc_note(f, doc);
+		limits_record(f, doc);
 		json_decref(f->doc);
 		f->doc = doc;
 		f->revision = revision;
@@ -348,7 +380,10 @@
 	json_decref(head);
 }
 
-/* A VM's row changes; it must be empty when it changes its pool. */
+/*
+ * Checks a write of a VM's row: a worker that changes its pool or is out must
+ * not run tasks.
+ */
 static void check_vm(struct fleet *f, bstr value)
 {
 	struct fake_worker *w;
@@ -361,18 +396,19 @@
 	pool = name_index(row.pool, pool_names, POOLS);
 	if (row.state != w->state)
 		w->state_at = f->now;
-	for (i = 0; i < TASKS; i++)
+	for (i = 0; i < TASKS_MAX; i++)
 		if ((pool != w->pool || row.state == VM_OUT) &&
 		    w->tasks[i].used && w->tasks[i].state == TASK_RUNNING)
-			BREAK(f, "pool: %s moves or is out while it runs %s",
-			      w->name, w->tasks[i].id);
+			VIOLATION(f,
+				  "pool: %s moves or is out while it runs %s",
+				  w->name, w->tasks[i].id);
 	w->state = row.state;
 	w->pool = pool;
 	xdr_free(XDR_PROC(xdr_vm_row), (char *)&row);
 }
 
-/* Is a VM among those that are out, for whatever reason? */
-static bool out_has(const pool_row *row, bstr vm)
+/* Returns true if a pool's row lists a VM as out, for any reason. */
+static bool pool_row_has(const pool_row *row, bstr vm)
 {
 	u_int i;
 
@@ -383,9 +419,9 @@
 }
 
 /*
- * Drains never take more of a pool than its budget.  A VM that was out
- * already takes nothing: one that failed while it drained, and is heard
- * again, only has its reason changed.
+ * Checks a write of a pool's row: drains must not take more VMs out of a pool
+ * than its budget.  A VM that was out already doesn't count: if one that failed
+ * while it drained is heard from again, only its reason changes.
  */
 static void check_pool(struct fleet *f, bstr key, bstr value,
 		       const struct fake_row *old)
@@ -396,8 +432,8 @@
 	u_int i;
 
 	if (pool == POOLS) {
-		BREAK(f, "budget: a row of %.*s, which is no pool",
-		      BSTR_ARG(name));
+		VIOLATION(f, "budget: a row of %.*s, which is no pool",
+			  BSTR_ARG(name));
 		return;
 	}
 	if (!xdr_decode(XDR_PROC(xdr_pool_row), value, &row, sizeof(row)))
@@ -407,33 +443,34 @@
 			   sizeof(was));
 	for (i = 0; i < row.out_vms.out_vms_len; i++)
 		taken += row.out_vms.out_vms_val[i].reason == OUT_DRAIN &&
-			 !out_has(&was, row.out_vms.out_vms_val[i].vm);
-	if (taken && row.out_vms.out_vms_len > limit_most(f->budgets[pool],
-							  f->budget_count[pool],
-							  settled_since(f)))
-		BREAK(f, "budget: a drain makes %u VMs of %s out",
-		      row.out_vms.out_vms_len, pool_names[pool]);
+			 !pool_row_has(&was, row.out_vms.out_vms_val[i].vm);
+	if (taken &&
+	    row.out_vms.out_vms_len > limit_max_since(f->budgets[pool],
+						      f->budget_count[pool],
+						      unsettled_since(f)))
+		VIOLATION(f, "budget: a drain takes %u VMs of %s out",
+			  row.out_vms.out_vms_len, pool_names[pool]);
 	xdr_free(XDR_PROC(xdr_pool_row), (char *)&row);
 	xdr_free(XDR_PROC(xdr_pool_row), (char *)&was);
 }
 
-static bool key_begins(bstr key, const char *prefix)
+static bool key_has_prefix(bstr key, const char *prefix)
 {
 	size_t n = strlen(prefix);
 
 	return key.bstr_len > n && !memcmp(key.bstr_val, prefix, n);
 }
 
-/* Look at a write before it is done. */
-static void write_check(void *arg, const fx_commit *c, const table_write *w,
+/* Checks a write to the table before it takes effect. */
+static void check_write(void *arg, const fx_commit *c, const table_write *w,
 			const struct fake_row *old)
 {
 	struct fleet *f = arg;
 
 	TRACE(f, "write %.*s by %.*s", BSTR_ARG(w->key), BSTR_ARG(c->txid));
-	if (key_begins(w->key, "pool/"))
+	if (key_has_prefix(w->key, "pool/"))
 		check_pool(f, w->key, w->value, old);
-	if (key_begins(w->key, "vm/") && !w->remove)
+	if (key_has_prefix(w->key, "vm/") && !w->remove)
 		check_vm(f, w->value);
 	if (name_is(w->key, "config/head"))
 		check_head(f, w->value);
@@ -451,8 +488,7 @@
 			bstr_new("w"), f->workers[i].leaving};
 }
 
-/* Do what a request asks of the platform. */
-static void platform_do(struct fleet *f, const effect *fx, ev_platform *p)
+static void platform_execute(struct fleet *f, const effect *fx, ev_platform *p)
 {
 	if (fx->kind == FX_COMMIT)
 		fake_table_commit(&f->table, &fx->effect_u.commit, p);
@@ -470,16 +506,16 @@
 };
 
 /*
- * A request leaves for the platform.  Its edge waits so long and no longer:
- * what takes effect later was answered "unknown" before.
+ * Sends a request to the platform.  The edge gives up after its timeout and
+ * reports the outcome as unknown; the request may still take effect later.
  */
 static void platform_send(struct fleet *f, unsigned slot, effect *fx)
 {
 	struct entry *e = &f->entries[slot];
 	int64_t there = 1 + (int64_t)fleet_random(f, 4);
 	int64_t back = 1 + (int64_t)fleet_random(f, 4);
-	bool cut = e->cut || f->dc_platform_cut[slot % 2];
-	bool reaches = !cut, answered = !cut;
+	bool platform_cut = e->platform_cut || f->dc_platform_cut[slot % 2];
+	bool reaches = !platform_cut, answered = !platform_cut;
 	event *ev = event_new(EV_PLATFORM);
 	ev_platform *p = &ev->body.event_body_u.platform;
 
@@ -495,10 +531,10 @@
 		reaches = answered = false;
 		p->outcome = PLATFORM_REFUSED;
 		p->retry_after_ms = 100;
-		entry_tell(f, slot, e->gen, there, ev);
-	} else if (!answered || there + back > PLATFORM_MS) {
+		entry_post(f, slot, e->gen, there, ev);
+	} else if (!answered || there + back > PLATFORM_TIMEOUT_MS) {
 		answered = false;
-		entry_tell(f, slot, e->gen, PLATFORM_MS, ev);
+		entry_post(f, slot, e->gen, PLATFORM_TIMEOUT_MS, ev);
 	}
 	if (answered)
 		event_free(ev);
@@ -506,22 +542,22 @@
 		effect_free(fx);
 		return;
 	}
-	queue_put(f, (struct queued){.at = f->now + there,
-				     .kind = Q_TABLE,
-				     .a = slot,
-				     .b = e->gen,
-				     .n = answered ? (uint64_t)back : 0,
-				     .fx = fx});
+	queue_put(f, (struct queue_item){.at = f->now + there,
+					 .kind = Q_PLATFORM,
+					 .a = slot,
+					 .b = e->gen,
+					 .n = answered ? (uint64_t)back : 0,
+					 .fx = fx});
 }
 
-static void platform_take(struct fleet *f, struct queued *q)
+static void platform_receive(struct fleet *f, struct queue_item *q)
 {
 	event *ev = event_new(EV_PLATFORM);
 
 	ev->body.event_body_u.platform.req = effect_request_id(q->fx);
-	platform_do(f, q->fx, &ev->body.event_body_u.platform);
+	platform_execute(f, q->fx, &ev->body.event_body_u.platform);
 	if (q->n)
-		entry_tell(f, q->a, q->b, (int64_t)q->n, ev);
+		entry_post(f, q->a, q->b, (int64_t)q->n, ev);
 	else
 		event_free(ev);
 	effect_free(q->fx);
@@ -532,68 +568,69 @@
 {
 	unsigned n = 0, i;
 
-	for (i = 0; i < TASKS; i++)
+	for (i = 0; i < TASKS_MAX; i++)
 		n += w->tasks[i].used && w->tasks[i].state == TASK_RUNNING &&
 		     (team < 0 || w->tasks[i].team == (unsigned)team);
 	return n;
 }
 
-/* A task begins to run: what may not be, is found here. */
-static void check_begin(struct fleet *f, struct fake_worker *w,
-			const struct wtask *t, unsigned serial)
+/* Checks that a task may start on a worker. */
+static void check_start(struct fleet *f, struct fake_worker *w,
+			const struct fake_task *t, unsigned job)
 {
-	struct fake_job *j = &f->jobs[serial];
+	struct fake_job *j = &f->jobs[job];
 	unsigned running = 0, most, i;
-	int64_t since = f->calm_since > w->state_at ? f->calm_since
-						    : w->state_at;
-
-	TRACE(f, "%s begins %s, job %u", w->name, t->id, serial);
-	f->figures[FLEET_TASKS_STARTED]++;
-	/* what goes on from a checkpoint does not begin again */
-	if (++j->begun > 1 + j->checkpoints && !j->may_repeat)
-		BREAK(f, "once: job %u (%s) begins again as %s on %s", serial,
-		      j->id, t->id, w->name);
+	int64_t since = f->fault_ended > w->state_at ? f->fault_ended
+						     : w->state_at;
+
+	TRACE(f, "%s begins %s, job %u", w->name, t->id, job);
+	f->counters[FLEET_TASKS_STARTED]++;
+	/* a task that resumes from a checkpoint isn't run a second time */
+	if (++j->start_count > 1 + j->checkpoints && !j->may_repeat)
+		VIOLATION(f, "once: job %u (%s) begins again as %s on %s", job,
+			  j->id, t->id, w->name);
 	if (j->not_run)
-		BREAK(f, "not-run: job %u begins as %s after the answer",
-		      serial, t->id);
-	if (j->said_refused && j->submits == 1)
-		BREAK(f, "not-run: job %u begins after its refusal", serial);
+		VIOLATION(f, "not-run: job %u begins as %s after the answer",
+			  job, t->id);
+	if (j->refused && j->submit_count == 1)
+		VIOLATION(f, "not-run: job %u begins after its refusal", job);
 	if (w->pool != t->pool)
-		BREAK(f, "pool: %s begins %s of another pool", w->name, t->id);
-	if (!f->faults && w->state != VM_ACTIVE && f->now - since > LEAVE_MS)
-		BREAK(f, "leaving: %s begins %s while it drains", w->name,
-		      t->id);
-	since = f->calm_since > w->leaving_at ? f->calm_since : w->leaving_at;
-	if (!f->faults && w->leaving && f->now - since > LEAVE_MS)
-		BREAK(f, "leaving: %s begins %s while it leaves", w->name,
-		      t->id);
+		VIOLATION(f, "pool: %s begins %s of another pool", w->name,
+			  t->id);
+	if (!f->faults && w->state != VM_ACTIVE && f->now - since > LEAVING_MS)
+		VIOLATION(f, "leaving: %s begins %s while it drains", w->name,
+			  t->id);
+	since = f->fault_ended > w->leaving_at ? f->fault_ended : w->leaving_at;
+	if (!f->faults && w->leaving && f->now - since > LEAVING_MS)
+		VIOLATION(f, "leaving: %s begins %s while it leaves", w->name,
+			  t->id);
 	for (i = 0; i < FLEET_WORKERS; i++)
 		running += worker_running(&f->workers[i], (int)t->team);
-	most = limit_most(f->limits[t->team], f->limit_count[t->team],
-			  settled_since(f));
+	most = limit_max_since(f->limits[t->team], f->limit_count[t->team],
+			       unsettled_since(f));
 	if (running > most)
-		BREAK(f, "limit: team %s runs %u, its limit is %u, at %s",
-		      team_names[t->team], running, most, t->id);
+		VIOLATION(f, "limit: team %s runs %u, its limit is %u, at %s",
+			  team_names[t->team], running, most, t->id);
 }
 
-static struct wtask *wtask_find(struct fake_worker *w, bstr id)
+static struct fake_task *fake_task_find(struct fake_worker *w, bstr id)
 {
 	unsigned i;
 
-	for (i = 0; i < TASKS; i++)
+	for (i = 0; i < TASKS_MAX; i++)
 		if (w->tasks[i].used && name_is(id, w->tasks[i].id))
 			return &w->tasks[i];
 	return NULL;
 }
 
-static struct wtask *wtask_new(struct fleet *f, struct fake_worker *w, bstr id,
-			       const cell_id *cell)
+static struct fake_task *fake_task_new(struct fleet *f, struct fake_worker *w,
+				       bstr id, const cell_id *cell)
 {
-	struct wtask *t = NULL;
+	struct fake_task *t = NULL;
 	const char *slash;
 	unsigned i;
 
-	for (i = 0; i < TASKS && !t; i++)
+	for (i = 0; i < TASKS_MAX && !t; i++)
 		if (!w->tasks[i].used)
 			t = &w->tasks[i];
 	if (!t)
@@ -619,8 +656,8 @@
 
 	r->req = x->fx->effect_u.worker.req;
 	r->vm = bstr_new(f->workers[x->worker].name);
-	x->over = true;
-	entry_tell(f, x->slot, x->gen, 1 + (int64_t)fleet_random(f, 3), ev);
+	x->finished = true;
+	entry_post(f, x->slot, x->gen, 1 + (int64_t)fleet_random(f, 3), ev);
 }
 
 static void exchange_fail(struct fleet *f, struct exchange *x,
@@ -628,14 +665,14 @@
 {
 	event *ev;
 
-	if (x->over)
+	if (x->finished)
 		return;
 	ev = event_new(EV_WORKER);
 	ev->body.event_body_u.worker.outcome = outcome;
 	exchange_answer(f, x, ev);
 }
 
-static void worker_report(ev_worker *r, const struct wtask *t)
+static void worker_report(ev_worker *r, const struct fake_task *t)
 {
 	task_report *k;
 
@@ -650,8 +687,8 @@
 	k->ran_ms = 50;
 }
 
-/* Is a task one that an exchange is told of? */
-static bool worker_tells(const fx_worker *x, const struct wtask *t)
+/* Returns true if the answer to an exchange reports a task. */
+static bool report_includes(const fx_worker *x, const struct fake_task *t)
 {
 	u_int i;
 
@@ -676,7 +713,7 @@
 	event *ev;
 	ev_worker *r;
 
-	if (x->over)
+	if (x->finished)
 		return;
 	ev = event_new(EV_WORKER);
 	r = &ev->body.event_body_u.worker;
@@ -688,74 +725,75 @@
 	if (fx->epoch < w->epoch[pool])
 		r->outcome = WORKER_STALE;
 	else
-		for (i = 0; i < TASKS; i++)
-			if (worker_tells(fx, &w->tasks[i]))
+		for (i = 0; i < TASKS_MAX; i++)
+			if (report_includes(fx, &w->tasks[i]))
 				worker_report(r, &w->tasks[i]);
 	exchange_answer(f, x, ev);
 }
 
-/* Something has changed: answer the watches that wait. */
-static void worker_wake(struct fleet *f, struct fake_worker *w)
+/* Answers the blocked watches of a worker, after a change. */
+static void worker_answer_watches(struct fleet *f, struct fake_worker *w)
 {
-	unsigned i, n = w->waiting_count;
+	unsigned i, n = w->blocked_count;
 
 	if (w->frozen)
 		return;
-	w->waiting_count = 0;
+	w->blocked_count = 0;
 	for (i = 0; i < n; i++) {
 		if (w->silent)
-			w->waiting[w->waiting_count++] = w->waiting[i];
+			w->blocked[w->blocked_count++] = w->blocked[i];
 		else
-			worker_answer(f, w, w->waiting[i]);
+			worker_answer(f, w, w->blocked[i]);
 	}
 }
 
-static void wtask_end(struct fleet *f, struct fake_worker *w, struct wtask *t,
-		      task_state state, const char *reason)
+static void fake_task_end(struct fleet *f, struct fake_worker *w,
+			  struct fake_task *t, task_state state,
+			  const char *reason)
 {
 	TRACE(f, "%s ends %s: %d %s", w->name, t->id, (int)state, reason);
 	t->state = state;
 	t->reason = reason;
 	t->seq = ++w->seq;
-	worker_wake(f, w);
+	worker_answer_watches(f, w);
 }
 
 static void worker_start(struct fleet *f, struct fake_worker *w,
 			 const task_start *s, const cell_id *cell)
 {
-	struct wtask *t = wtask_find(w, s->task);
+	struct fake_task *t = fake_task_find(w, s->task);
 	char *payload = bstr_cstr(s->payload);
-	unsigned serial = 0, run_ms = 0, fails = 0;
+	unsigned job = 0, run_ms = 0, fails = 0;
 	bool room = worker_running(w, -1) < FLEET_SLOTS;
 
-	if (sscanf(payload, "s%u %u %u", &serial, &run_ms, &fails) != 3)
-		BREAK(f, "payload: a start brings '%s'", payload);
+	if (sscanf(payload, "s%u %u %u", &job, &run_ms, &fails) != 3)
+		VIOLATION(f, "payload: a start has payload '%s'", payload);
 	free(payload);
-	if (t || !(t = wtask_new(f, w, s->task, cell)))
+	if (t || !(t = fake_task_new(f, w, s->task, cell)))
 		return;
 	if (!room) {
 		t->state = TASK_REFUSED;
 		t->reason = "no-slot";
 		return;
 	}
-	t->began = f->now;
-	t->serial = serial;
+	t->began_at = f->now;
+	t->job = job;
 	t->fails = fails || w->fails;
-	t->ends = f->now + (w->fails ? 5 : run_ms);
-	snprintf(t->result, sizeof(t->result), "r:s%u", serial);
-	check_begin(f, w, t, serial);
-	queue_put(f, (struct queued){.at = t->ends,
-				     .kind = Q_TASK_END,
-				     .a = (unsigned)(w - f->workers)});
+	t->ends_at = f->now + (w->fails ? 5 : run_ms);
+	snprintf(t->result, sizeof(t->result), "r:s%u", job);
+	check_start(f, w, t, job);
+	queue_put(f, (struct queue_item){.at = t->ends_at,
+					 .kind = Q_TASK_END,
+					 .a = (unsigned)(w - f->workers)});
 }
 
-static void worker_obey(struct fleet *f, struct fake_worker *w,
-			const task_order *o, const cell_id *cell)
+static void worker_order(struct fleet *f, struct fake_worker *w,
+			 const task_order *o, const cell_id *cell)
 {
-	struct wtask *t = wtask_find(w, o->task);
+	struct fake_task *t = fake_task_find(w, o->task);
 
 	if (o->verb == TASK_STOP && !t) {
-		t = wtask_new(f, w, o->task, cell);
+		t = fake_task_new(f, w, o->task, cell);
 		if (t) {
 			t->state = TASK_REFUSED;
 			t->reason = "tombstone";
@@ -765,10 +803,10 @@
 	} else if (o->verb == TASK_FORGET && t->state != TASK_RUNNING) {
 		t->used = false;
 	} else if (t->state == TASK_RUNNING && o->verb == TASK_STOP) {
-		wtask_end(f, w, t, TASK_STOPPED, "stopped");
+		fake_task_end(f, w, t, TASK_STOPPED, "stopped");
 	} else if (t->state == TASK_RUNNING && o->verb == TASK_CHECKPOINT) {
-		f->jobs[t->serial].checkpoints++;
-		wtask_end(f, w, t, TASK_CHECKPOINTED, "");
+		f->jobs[t->job].checkpoints++;
+		fake_task_end(f, w, t, TASK_CHECKPOINTED, "");
 	}
 }
 
@@ -782,15 +820,16 @@
 
 	*lease = f->now + x->lease_ms;
 	if (!armed)
-		queue_put(f, (struct queued){.at = *lease,
-					     .kind = Q_LEASE,
-					     .a = (unsigned)(w - f->workers),
-					     .b = pool,
-					     .n = dc});
+		queue_put(f,
+			  (struct queue_item){.at = *lease,
+					      .kind = Q_LEASE_END,
+					      .a = (unsigned)(w - f->workers),
+					      .b = pool,
+					      .n = dc});
 }
 
-/* A request has reached its worker. */
-static void worker_take(struct fleet *f, struct exchange *x)
+/* Processes a request that has reached its worker. */
+static void worker_receive(struct fleet *f, struct exchange *x)
 {
 	struct fake_worker *w = &f->workers[x->worker];
 	const fx_worker *fx = &x->fx->effect_u.worker;
@@ -799,8 +838,8 @@
 	u_int i;
 
 	if (w->frozen) {
-		if (w->waiting_count < NELEMS(w->waiting))
-			w->waiting[w->waiting_count++] = x;
+		if (w->blocked_count < NELEMS(w->blocked))
+			w->blocked[w->blocked_count++] = x;
 		return;
 	}
 	if (fx->epoch >= w->epoch[pool] && !x->taken) {
@@ -811,13 +850,15 @@
 			worker_start(f, w, &fx->starts.starts_val[i],
 				     &fx->cell);
 		for (i = 0; i < fx->orders.orders_len; i++)
-			worker_obey(f, w, &fx->orders.orders_val[i], &fx->cell);
+			worker_order(f, w, &fx->orders.orders_val[i],
+				     &fx->cell);
 		if (fx->watch && fx->since >= w->seq && fx->wait_ms &&
-		    w->waiting_count < NELEMS(w->waiting)) {
-			w->waiting[w->waiting_count++] = x;
-			queue_put(f, (struct queued){.at = f->now + fx->wait_ms,
-						     .kind = Q_WATCH_OVER,
-						     .x = x});
+		    w->blocked_count < NELEMS(w->blocked)) {
+			w->blocked[w->blocked_count++] = x;
+			queue_put(f, (struct queue_item){
+					     .at = f->now + fx->wait_ms,
+					     .kind = Q_WATCH_TIMEOUT,
+					     .x = x});
 			return;
 		}
 	}
@@ -846,54 +887,56 @@
 	x->worker = (unsigned)i;
 	x->boot = w->boot;
 	x->fx = fx;
-	queue_put(f, (struct queued){.at = f->now + WORKER_MS +
-					   fx->effect_u.worker.wait_ms,
-				     .kind = Q_EXCHANGE_OVER,
-				     .x = x});
+	queue_put(f, (struct queue_item){.at = f->now + WORKER_TIMEOUT_MS +
+					       fx->effect_u.worker.wait_ms,
+					 .kind = Q_EXCHANGE_TIMEOUT,
+					 .x = x});
 	if (reaches)
-		queue_put(f, (struct queued){.at = f->now + 1 +
-						   (int64_t)fleet_random(f, 3),
-					     .kind = Q_EXCHANGE,
-					     .x = x});
+		queue_put(f,
+			  (struct queue_item){.at = f->now + 1 +
+						    (int64_t)fleet_random(f, 3),
+					      .kind = Q_EXCHANGE,
+					      .x = x});
 }
 
-/* Its watch's time is over: answer with nothing new. */
-static void watch_over(struct fleet *f, struct exchange *x)
+/* Answers a watch whose time is over without changes. */
+static void watch_timeout(struct fleet *f, struct exchange *x)
 {
 	struct fake_worker *w = &f->workers[x->worker];
 	unsigned i;
 
-	for (i = 0; i < w->waiting_count; i++) {
-		if (w->waiting[i] != x || w->frozen || w->silent)
+	for (i = 0; i < w->blocked_count; i++) {
+		if (w->blocked[i] != x || w->frozen || w->silent)
 			continue;
-		w->waiting[i] = w->waiting[--w->waiting_count];
+		w->blocked[i] = w->blocked[--w->blocked_count];
 		worker_answer(f, w, x);
 		return;
 	}
 }
 
-/* Tasks whose lease has ended are stopped; others end in their time. */
+/* Stops tasks whose lease has expired and ends those that are due. */
 static void worker_tick(struct fleet *f, struct fake_worker *w)
 {
-	struct wtask *t;
+	struct fake_task *t;
 	unsigned i;
 
-	for (i = 0; i < TASKS && !w->frozen; i++) {
+	for (i = 0; i < TASKS_MAX && !w->frozen; i++) {
 		t = &w->tasks[i];
 		if (!t->used || t->state != TASK_RUNNING)
 			continue;
 		if (w->lease[t->pool][t->dc] <= f->now)
-			wtask_end(f, w, t, TASK_LAPSED, "lapsed");
-		else if (t->ends <= f->now)
-			wtask_end(f, w, t, t->fails ? TASK_FAILED : TASK_DONE,
-				  t->fails ? "failed" : "");
+			fake_task_end(f, w, t, TASK_LAPSED, "lapsed");
+		else if (t->ends_at <= f->now)
+			fake_task_end(f, w, t,
+				      t->fails ? TASK_FAILED : TASK_DONE,
+				      t->fails ? "failed" : "");
 	}
 }
 
-static void worker_lease_over(struct fleet *f, const struct queued *q)
+static void worker_lease_end(struct fleet *f, const struct queue_item *q)
 {
 	struct fake_worker *w = &f->workers[q->a];
-	struct queued again = *q;
+	struct queue_item again = *q;
 
 	again.at = w->lease[q->b][q->n];
 	if (again.at > f->now)
@@ -910,22 +953,22 @@
 	memset(w->epoch, 0, sizeof(w->epoch));
 	w->seq = 0;
 	w->boot++;
-	for (i = 0; i < w->waiting_count; i++)
-		exchange_fail(f, w->waiting[i], WORKER_NO_ANSWER);
-	w->waiting_count = 0;
+	for (i = 0; i < w->blocked_count; i++)
+		exchange_fail(f, w->blocked[i], WORKER_NO_ANSWER);
+	w->blocked_count = 0;
 }
 
 static void worker_thaw(struct fleet *f, struct fake_worker *w)
 {
-	struct exchange *held[NELEMS(w->waiting)];
-	unsigned n = w->waiting_count, i;
+	struct exchange *blocked[NELEMS(w->blocked)];
+	unsigned n = w->blocked_count, i;
 
 	w->frozen = false;
-	memcpy(held, w->waiting, sizeof(held));
-	w->waiting_count = 0;
+	memcpy(blocked, w->blocked, sizeof(blocked));
+	w->blocked_count = 0;
 	worker_tick(f, w);
 	for (i = 0; i < n; i++)
-		worker_take(f, held[i]);
+		worker_receive(f, blocked[i]);
 }
 
 /* The peers' network. */
@@ -939,16 +982,21 @@
 	return -1;
 }
 
-static void peer_lost(struct fleet *f, unsigned slot, bstr to)
+static void peer_report_lost(struct fleet *f, unsigned slot, bstr to)
 {
 	event *ev = event_new(EV_PEER_LOST);
 
 	ev->body.event_body_u.lost = bstr_copy(to);
-	entry_tell(f, slot, f->entries[slot].gen,
-		   PEER_MS / 2 + (int64_t)fleet_random(f, PEER_MS / 2), ev);
+	entry_post(f, slot, f->entries[slot].gen,
+		   PEER_TIMEOUT_MS / 2 +
+			   (int64_t)fleet_random(f, PEER_TIMEOUT_MS / 2),
+		   ev);
 }
 
-/* Deliver a message; what comes after its deadline is dropped by the edge. */
+/*
+ * Sends a message to a peer.  The receiving edge drops it if it arrives after
+ * its deadline.
+ */
 static void peer_send(struct fleet *f, unsigned slot, const fx_peer *p)
 {
 	int to = entry_named(f, p->to);
@@ -983,71 +1031,73 @@
 		      BSTR_ARG(p->to),
 		      p->message.peer_message_u.answer.answer.http);
 	if (to < 0 || (f->dc_cut && slot % 2 != (unsigned)to % 2)) {
-		peer_lost(f, slot, p->to);
+		peer_report_lost(f, slot, p->to);
 		return;
 	}
 	if (f->entries[to].frozen)
-		peer_lost(f, slot, p->to);
+		peer_report_lost(f, slot, p->to);
 	if (f->late && !fleet_random(f, 4))
 		delay += (int64_t)fleet_random(f, 1900);
-	/* the edge drops copies; but one that arrives may be taken for lost */
+	/* the edge drops duplicates, but a delivered message may count as lost
+	 */
 	if (f->late && !fleet_random(f, 4))
-		peer_lost(f, slot, p->to);
+		peer_report_lost(f, slot, p->to);
 	ev = event_new(EV_PEER);
 	ev->body.event_body_u.peer.from = bstr_new(f->entries[slot].name);
 	xdr_copy(XDR_PROC(xdr_peer_message),
 		 &ev->body.event_body_u.peer.message, &p->message,
 		 sizeof(p->message));
-	/* kept here until the event is handled */
-	ev->now = p->deadline - f->entries[slot].offset;
-	entry_tell(f, (unsigned)to, f->entries[to].gen, delay, ev);
+	/* the deadline, until the event is handled */
+	ev->now = p->deadline - f->entries[slot].clock_offset;
+	entry_post(f, (unsigned)to, f->entries[to].gen, delay, ev);
 }
 
 /* Callers. */
-static bool answer_says(const caller_answer *a, const char *words)
+static bool answer_contains(const caller_answer *a, const char *words)
 {
 	return a->detail.bstr_len &&
 	       memmem(a->detail.bstr_val, a->detail.bstr_len, words,
 		      strlen(words));
 }
 
-/* Is a view true, and of the job that was asked for? */
-static void check_view(struct fleet *f, unsigned serial, const job_view *v)
+/* Checks that a view is true and of the requested job. */
+static void check_view(struct fleet *f, unsigned job, const job_view *v)
 {
-	struct fake_job *j = &f->jobs[serial];
+	struct fake_job *j = &f->jobs[job];
 	char want[64];
 
 	if (!j->id[0])
 		snprintf(j->id, sizeof(j->id), "%.*s", BSTR_ARG(v->job));
-	snprintf(want, sizeof(want), "L%u", serial % 8);
+	snprintf(want, sizeof(want), "L%u", job % 8);
 	if (!name_is(v->job, j->id) || !name_is(v->label, want) ||
 	    !name_is(v->team, team_names[j->team]))
-		BREAK(f, "answer: job %u (%s) is answered with %.*s", serial,
-		      j->id, BSTR_ARG(v->job));
+		VIOLATION(f, "answer: job %u (%s) is answered with %.*s", job,
+			  j->id, BSTR_ARG(v->job));
 	if (v->state == JOB_DONE) {
-		f->figures[FLEET_DONE]++;
-		snprintf(want, sizeof(want), "r:s%u", serial);
+		f->counters[FLEET_DONE]++;
+		snprintf(want, sizeof(want), "r:s%u", job);
 		if (!name_is(v->result, want))
-			BREAK(f, "answer: job %u is done with '%.*s'", serial,
-			      BSTR_ARG(v->result));
-		if (!j->begun)
-			BREAK(f, "answer: job %u is done and never ran",
-			      serial);
+			VIOLATION(f, "answer: job %u is done with '%.*s'", job,
+				  BSTR_ARG(v->result));
+		if (!j->start_count)
+			VIOLATION(f, "answer: job %u is done and never ran",
+				  job);
 	}
 	if (v->state == JOB_NOT_RUN) {
-		f->figures[FLEET_NOT_RUN]++;
-		if (j->begun)
-			BREAK(f,
-			      "not-run: job %u is said not to have run, but "
-			      "has begun (%.*s)",
-			      serial, BSTR_ARG(v->reason));
+		f->counters[FLEET_NOT_RUN]++;
+		if (j->start_count)
+			VIOLATION(
+				f,
+				"not-run: job %u is said not to have run, but "
+				"has begun (%.*s)",
+				job, BSTR_ARG(v->reason));
 		j->not_run = true;
 	}
 	if (v->state >= JOB_DONE)
 		j->final = true;
 }
 
-/* The views of several jobs: each by its own id. */
+/* Checks an answer with several jobs, each found by its id. */
 static void check_views(struct fleet *f, const caller_answer *a)
 {
 	unsigned k;
@@ -1062,13 +1112,15 @@
 static void call_answered(struct fleet *f, unsigned slot, const fx_answer *x)
 {
 	const caller_answer *a = &x->answer;
-	struct fake_call *c = &f->calls[x->call % CALLS];
+	struct fake_call *c = &f->calls[x->call % CALLS_MAX];
 	struct fake_job *j = &f->jobs[c->job];
 
 	if (x->call >= f->call_count || c->answered || c->slot != slot ||
 	    c->gen != f->entries[slot].gen) {
-		BREAK(f, "answer: call %llu is answered twice or by another VM",
-		      (unsigned long long)x->call);
+		VIOLATION(
+			f,
+			"answer: call %llu is answered twice or by another VM",
+			(unsigned long long)x->call);
 		return;
 	}
 	TRACE(f, "%s answers job %u: %u %.*s state %d %.*s",
@@ -1076,14 +1128,14 @@
 	      a->jobs.jobs_len ? (int)a->jobs.jobs_val[0].state : -1,
 	      BSTR_ARG(a->detail));
 	c->answered = true;
-	f->figures[FLEET_ANSWERS_REFUSED] += a->http >= 400;
+	f->counters[FLEET_ANSWERS_REFUSED] += a->http >= 400;
 	if (c->kind != CALL_OF_JOB) {
 		check_views(f, a);
 		return;
 	}
 	if (a->jobs.jobs_len > 1 || (a->http < 400 && !a->jobs.jobs_len))
-		BREAK(f, "answer: job %u is answered with %u jobs", c->job,
-		      a->jobs.jobs_len);
+		VIOLATION(f, "answer: job %u is answered with %u jobs", c->job,
+			  a->jobs.jobs_len);
 	if (a->jobs.jobs_len)
 		TRACE(f, "  %.*s: %.*s, started %u",
 		      BSTR_ARG(a->jobs.jobs_val[0].reason),
@@ -1091,62 +1143,67 @@
 		      a->jobs.jobs_val[0].attempts);
 	if (a->jobs.jobs_len)
 		check_view(f, c->job, &a->jobs.jobs_val[0]);
-	else if (c->submit && answer_says(a, "not run")) {
-		j->said_refused = true;
-		if (j->begun && j->submits == 1)
-			BREAK(f, "not-run: job %u is refused, but has begun",
-			      c->job);
+	else if (c->submit && answer_contains(a, "not run")) {
+		j->refused = true;
+		if (j->start_count && j->submit_count == 1)
+			VIOLATION(f,
+				  "not-run: job %u is refused, but has begun",
+				  c->job);
 	}
-	if (a->http == 404 && j->accepted && !j->soft)
-		BREAK(f, "lost: accepted job %u (%s) is not known any more",
-		      c->job, j->id);
+	if (a->http == 404 && j->accepted && !j->memory_only)
+		VIOLATION(f, "lost: accepted job %u (%s) is unknown", c->job,
+			  j->id);
 	if (c->submit && a->http == 202 && !j->accepted) {
 		j->accepted = true;
-		f->figures[FLEET_JOBS_ACCEPTED]++;
+		f->counters[FLEET_JOBS_ACCEPTED]++;
 	}
 	if (c->submit && a->http < 300 && f->withdrawn_at[j->team][j->key] &&
-	    c->made_at > f->withdrawn_at[j->team][j->key] + FRESH_MS + 500)
-		BREAK(f,
-		      "key: job %u is accepted %lld ms after its key was "
-		      "withdrawn",
-		      c->job,
-		      (long long)(c->made_at -
-				  f->withdrawn_at[j->team][j->key]));
+	    c->sent_at > f->withdrawn_at[j->team][j->key] + FRESH_MS + 500)
+		VIOLATION(f,
+			  "key: job %u is accepted %lld ms after its key was "
+			  "withdrawn",
+			  c->job,
+			  (long long)(c->sent_at -
+				      f->withdrawn_at[j->team][j->key]));
 }
 
-/* An entry VM that can be reached, by a balancer that prefers ready ones. */
-static int entry_pick(const struct fleet *f, unsigned wish)
+/*
+ * Returns the first entry VM that is up, from the preferred one on, as a load
+ * balancer would; -1 if there is none.
+ */
+static int entry_pick(const struct fleet *f, unsigned preferred)
 {
 	unsigned i, s;
 
 	for (i = 0; i < FLEET_ENTRIES; i++) {
-		s = (wish + i) % FLEET_ENTRIES;
+		s = (preferred + i) % FLEET_ENTRIES;
 		if (f->entries[s].up)
 			return (int)s;
 	}
 	return -1;
 }
 
-/* Make a call; its number is an index. */
-static struct fake_call *call_new(struct fleet *f, unsigned wish, event *ev)
+/* Sends a caller's or operator's request; its id is its index in calls. */
+static struct fake_call *call_new(struct fleet *f, unsigned preferred,
+				  event *ev)
 {
-	int slot = entry_pick(f, wish);
+	int slot = entry_pick(f, preferred);
 	struct fake_call *c;
 
-	if (slot < 0 || f->call_count == CALLS) {
+	if (slot < 0 || f->call_count == CALLS_MAX) {
 		event_free(ev);
 		return NULL;
 	}
 	c = &f->calls[f->call_count];
 	c->slot = (unsigned)slot;
 	c->gen = f->entries[slot].gen;
-	c->made_at = f->now;
+	c->sent_at = f->now;
 	if (ev->body.kind == EV_CALL)
 		ev->body.event_body_u.call.call = f->call_count;
 	else
 		ev->body.event_body_u.operate.call = f->call_count;
 	f->call_count++;
-	entry_tell(f, c->slot, c->gen, 1, ev);
+	entry_post(f, c->slot, c->gen, 1, ev);
 	return c;
 }
 
@@ -1162,42 +1219,42 @@
 	return ev;
 }
 
-static void job_send(struct fleet *f, unsigned serial, unsigned wish)
+static void job_submit(struct fleet *f, unsigned job, unsigned preferred)
 {
-	struct fake_job *j = &f->jobs[serial];
+	struct fake_job *j = &f->jobs[job];
 	event *ev = call_event_new(f, CALL_SUBMIT, j->team, j->key);
 	job_spec *s =
 		&ev->body.event_body_u.call.request.body.caller_body_u.spec;
 	struct fake_call *c;
 
 	s->pool = bstr_new(pool_names[j->pool]);
-	s->key = bstr_printf("k%u", serial);
-	s->label = bstr_printf("L%u", serial % 8);
-	s->payload = bstr_printf("s%u %u %u", serial, j->run_ms, j->fails);
+	s->key = bstr_printf("k%u", job);
+	s->label = bstr_printf("L%u", job % 8);
+	s->payload = bstr_printf("s%u %u %u", job, j->run_ms, j->fails);
 	s->may_repeat = j->may_repeat;
 	s->wait = j->wait;
 	s->urgent = j->urgent;
 	s->run_ms = j->run_ms;
 	s->timeout_ms = j->timeout_ms;
-	c = call_new(f, wish, ev);
+	c = call_new(f, preferred, ev);
 	if (!c)
 		return;
 	c->kind = CALL_OF_JOB;
 	c->submit = true;
-	c->job = serial;
-	j->submits++;
+	c->job = job;
+	j->submit_count++;
 }
 
-static void job_submit_new(struct fleet *f, unsigned kind)
+static void job_create(struct fleet *f, unsigned kind)
 {
 	struct fake_job *j = &f->jobs[f->job_count];
 
-	if (f->job_count == JOBS)
+	if (f->job_count == JOBS_MAX)
 		return;
 	j->may_repeat = kind & 1;
 	j->wait = kind & 2;
 	j->urgent = kind & 4;
-	j->soft = j->may_repeat && j->wait;
+	j->memory_only = j->may_repeat && j->wait;
 	j->team = (kind >> 3) % FLEET_TEAMS;
 	j->pool = !((kind >> 4) % 4);
 	j->fails = !((kind >> 6) % 8);
@@ -1205,14 +1262,14 @@
 	j->run_ms = fleet_random(f, 6) ? 20 + (unsigned)fleet_random(f, 1500)
 				       : 8000;
 	j->timeout_ms = 2000 + (unsigned)fleet_random(f, 20000);
-	job_send(f, f->job_count++, (unsigned)fleet_random(f, FLEET_ENTRIES));
+	job_submit(f, f->job_count++, (unsigned)fleet_random(f, FLEET_ENTRIES));
 }
 
-/* Ask about a job, or cancel it; only the team's own keys will do. */
-static void job_ask(struct fleet *f, caller_kind kind, unsigned serial,
-		    uint32_t wait_ms, bool check)
+/* Gets or cancels a job, with a key of its team. */
+static void job_request(struct fleet *f, caller_kind kind, unsigned job,
+			uint32_t wait_ms, bool check)
 {
-	struct fake_job *j = &f->jobs[serial];
+	struct fake_job *j = &f->jobs[job];
 	struct fake_call *c;
 	event *ev;
 
@@ -1226,7 +1283,7 @@
 	if (!c)
 		return;
 	c->kind = CALL_OF_JOB;
-	c->job = serial;
+	c->job = job;
 	c->check = check;
 }
 
@@ -1245,12 +1302,12 @@
 /* Operators. */
 static void op_answered(struct fleet *f, unsigned slot, const fx_op_reply *x)
 {
-	struct fake_call *c = &f->calls[x->call % CALLS];
+	struct fake_call *c = &f->calls[x->call % CALLS_MAX];
 
 	if (x->call >= f->call_count || c->answered || c->slot != slot ||
 	    c->gen != f->entries[slot].gen || c->kind != CALL_OF_OPERATOR) {
-		BREAK(f, "answer: operator's call %llu is answered twice",
-		      (unsigned long long)x->call);
+		VIOLATION(f, "answer: operator's call %llu is answered twice",
+			  (unsigned long long)x->call);
 		return;
 	}
 	TRACE(f, "%s answers operation %d: %d %.*s", f->entries[slot].name,
@@ -1258,7 +1315,7 @@
 	c->answered = true;
 	if (x->reply.status != OP_OK)
 		return;
-	f->figures[FLEET_OPERATIONS_ACCEPTED]++;
+	f->counters[FLEET_OPERATIONS_ACCEPTED]++;
 	if (c->op == OP_KEY_WITHDRAW && !f->withdrawn_at[c->a][c->b])
 		f->withdrawn_at[c->a][c->b] = f->now;
 }
@@ -1323,7 +1380,7 @@
 	s->limits.attempts = 3;
 }
 
-/* A new VM, with a name that was never used. */
+/* Starts a new entry VM under a name that wasn't used before. */
 static void entry_boot(struct fleet *f, unsigned slot)
 {
 	struct entry *e = &f->entries[slot];
@@ -1334,18 +1391,18 @@
 	e->frozen = e->stopping = false;
 	e->revision = 0;
 	e->stop_at = INT64_MAX;
-	e->offset = (int64_t)fleet_random(f, 1000000);
+	e->clock_offset = (int64_t)fleet_random(f, 1000000);
 	snprintf(e->name, sizeof(e->name), "e%u-%u", slot, e->gen);
 	entry_settings(&s, e, slot);
 	e->st = state_new(&s, fleet_random(f, UINT64_MAX), e->name);
-	queue_put(f, (struct queued){.at = f->now,
-				     .kind = Q_TICK,
-				     .a = slot,
-				     .b = e->gen,
-				     .n = 1});
+	queue_put(f, (struct queue_item){.at = f->now,
+					 .kind = Q_TICK,
+					 .a = slot,
+					 .b = e->gen,
+					 .n = 1});
 }
 
-static void entry_down(struct fleet *f, unsigned slot, int64_t ms)
+static void entry_kill(struct fleet *f, unsigned slot, int64_t ms)
 {
 	struct entry *e = &f->entries[slot];
 
@@ -1354,14 +1411,14 @@
 	e->up = false;
 	state_free(e->st);
 	e->st = NULL;
-	while (e->held_count)
-		event_free(e->held[--e->held_count]);
+	while (e->inbox_count)
+		event_free(e->inbox[--e->inbox_count]);
 	fault_begin(f);
-	queue_put(f, (struct queued){
+	queue_put(f, (struct queue_item){
 			     .at = f->now + ms, .kind = Q_BOOT, .a = slot});
 }
 
-/* A planned stop has ended: nobody who called may still wait. */
+/* Checks that a VM that ends a planned stop has answered all its calls. */
 static void check_stopped(struct fleet *f, unsigned slot)
 {
 	const struct fake_call *c;
@@ -1371,12 +1428,12 @@
 		c = &f->calls[i];
 		if (c->slot == slot && c->gen == f->entries[slot].gen &&
 		    c->taken && !c->answered)
-			BREAK(f, "stop: %s ends with call %u unanswered",
-			      f->entries[slot].name, i);
+			VIOLATION(f, "stop: %s ends with call %u unanswered",
+				  f->entries[slot].name, i);
 	}
 }
 
-static void entry_effects(struct fleet *f, unsigned slot, struct effects *out)
+static void entry_execute(struct fleet *f, unsigned slot, struct effects *out)
 {
 	struct entry *e = &f->entries[slot];
 	bool leaves = false;
@@ -1399,9 +1456,10 @@
 			if (fx->effect_u.count.counter != COUNT_CONFIG_REVISION)
 				break;
 			if (fx->effect_u.count.amount <= e->revision)
-				BREAK(f, "config: %s goes back to revision %u",
-				      e->name,
-				      (unsigned)fx->effect_u.count.amount);
+				VIOLATION(f,
+					  "config: %s goes back to revision %u",
+					  e->name,
+					  (unsigned)fx->effect_u.count.amount);
 			e->revision = fx->effect_u.count.amount;
 			break;
 		case FX_LOG:
@@ -1410,11 +1468,12 @@
 			      BSTR_ARG(fx->effect_u.log.text));
 			break;
 		case FX_WAKE:
-			queue_put(f, (struct queued){.at = fx->effect_u.wake -
-							   e->offset,
-						     .kind = Q_TICK,
-						     .a = slot,
-						     .b = e->gen});
+			queue_put(f,
+				  (struct queue_item){.at = fx->effect_u.wake -
+							    e->clock_offset,
+						      .kind = Q_TICK,
+						      .a = slot,
+						      .b = e->gen});
 			break;
 		case FX_COMMIT:
 		case FX_READ:
@@ -1441,16 +1500,16 @@
 	if (leaves && e->stopping)
 		check_stopped(f, slot);
 	if (leaves)
-		entry_down(f, slot, 500);
+		entry_kill(f, slot, 500);
 }
 
-/* Let an entry VM handle an event now; takes it. */
+/* Runs the reducer of an entry VM on an event, which is freed. */
 static void entry_handle(struct fleet *f, unsigned slot, event *ev)
 {
 	struct entry *e = &f->entries[slot];
 	struct effects out;
 
-	ev->now = f->now + e->offset;
+	ev->now = f->now + e->clock_offset;
 	if (ev->body.kind == EV_STOP)
 		e->stop_at = f->now;
 	if (ev->body.kind == EV_CALL)
@@ -1461,12 +1520,13 @@
 	effects_init(&out);
 	reduce(e->st, ev, &out);
 	event_free(ev);
-	entry_effects(f, slot, &out);
+	entry_execute(f, slot, &out);
 	effects_free(&out);
 }
 
-/* An event comes to an entry VM; a frozen one has it in its inbox. */
-static void entry_take(struct fleet *f, unsigned slot, unsigned gen, event *ev)
+/* Delivers an event to an entry VM; a frozen one handles it later. */
+static void entry_receive(struct fleet *f, unsigned slot, unsigned gen,
+			  event *ev)
 {
 	struct entry *e = &f->entries[slot];
 
@@ -1479,33 +1539,37 @@
 		entry_handle(f, slot, ev);
 		return;
 	}
-	/* what came later is in the sockets: the edge looks at it on waking */
+	/*
+	 * Messages that arrive within 10 ms of the freeze count as read by the
+	 * edge already.  Later ones stay in the sockets, and the edge checks
+	 * their deadlines when the VM resumes.
+	 */
 	if (f->now - e->frozen_at <= 10)
 		ev->now = INT64_MAX;
-	e->held = xrealloc(e->held, e->held_count + 1, sizeof(event *));
-	e->held[e->held_count++] = ev;
+	e->inbox = xrealloc(e->inbox, e->inbox_count + 1, sizeof(event *));
+	e->inbox[e->inbox_count++] = ev;
 }
 
 static void entry_thaw(struct fleet *f, unsigned slot)
 {
 	struct entry *e = &f->entries[slot];
-	event **held = e->held;
-	size_t n = e->held_count, i;
+	event **inbox = e->inbox;
+	size_t n = e->inbox_count, i;
 
 	e->frozen = false;
 	if (e->stop_at < f->now)
 		e->stop_at = f->now;
-	e->held = NULL;
-	e->held_count = 0;
+	e->inbox = NULL;
+	e->inbox_count = 0;
 	for (i = 0; i < n; i++)
-		entry_take(f, slot, e->gen, held[i]);
-	free(held);
+		entry_receive(f, slot, e->gen, inbox[i]);
+	free(inbox);
 }
 
-static void entry_tick(struct fleet *f, const struct queued *q)
+static void entry_tick(struct fleet *f, const struct queue_item *q)
 {
 	struct entry *e = &f->entries[q->a];
-	struct queued again = *q;
+	struct queue_item again = *q;
 
 	if (!e->up || e->gen != q->b)
 		return;
@@ -1516,13 +1580,13 @@
 		entry_handle(f, q->a, event_new(EV_TICK));
 	if (e->up && e->gen == q->b && e->stopping &&
 	    f->now - 12000 > e->stop_at && !e->frozen) {
-		BREAK(f, "stop: %s does not end", e->name);
+		VIOLATION(f, "stop: %s does not end", e->name);
 		e->stopping = false;
 	}
 }
 
-/* A fault is over. */
-static void fleet_heal(struct fleet *f, const struct queued *q)
+/* Ends a fault. */
+static void fault_clear(struct fleet *f, const struct queue_item *q)
 {
 	struct fake_worker *w = &f->workers[q->b % FLEET_WORKERS];
 	struct entry *e = &f->entries[q->b % FLEET_ENTRIES];
@@ -1541,7 +1605,7 @@
 		if (q->b >= FLEET_ENTRIES)
 			f->dc_platform_cut[q->b % 2] = false;
 		else
-			e->cut = false;
+			e->platform_cut = false;
 		break;
 	case FLEET_PLATFORM:
 		f->platform_mode = PLATFORM_FINE;
@@ -1552,54 +1616,54 @@
 	case FLEET_LEAVE:
 		w->leaving = false;
 		w->seq++;
-		worker_wake(f, w);
+		worker_answer_watches(f, w);
 		break;
 	case FLEET_WORKER:
 		w->silent = w->fails = false;
 		if (w->frozen)
 			worker_thaw(f, w);
-		worker_wake(f, w);
+		worker_answer_watches(f, w);
 		break;
 	default:
 		break;
 	}
 }
 
-static void fleet_next(struct fleet *f)
+static void fleet_process_next(struct fleet *f)
 {
-	struct queued q = queue_take(f);
+	struct queue_item q = queue_take(f);
 
 	f->now = q.at;
 	switch (q.kind) {
 	case Q_EVENT:
-		entry_take(f, q.a, q.b, q.ev);
+		entry_receive(f, q.a, q.b, q.ev);
 		break;
 	case Q_TICK:
 		entry_tick(f, &q);
 		break;
-	case Q_TABLE:
-		platform_take(f, &q);
+	case Q_PLATFORM:
+		platform_receive(f, &q);
 		break;
 	case Q_EXCHANGE:
 		if (f->workers[q.x->worker].boot == q.x->boot)
-			worker_take(f, q.x);
+			worker_receive(f, q.x);
 		else
 			exchange_fail(f, q.x, WORKER_NO_ANSWER);
 		break;
-	case Q_EXCHANGE_OVER:
+	case Q_EXCHANGE_TIMEOUT:
 		exchange_fail(f, q.x, WORKER_NO_ANSWER);
 		break;
-	case Q_WATCH_OVER:
-		watch_over(f, q.x);
+	case Q_WATCH_TIMEOUT:
+		watch_timeout(f, q.x);
 		break;
 	case Q_TASK_END:
 		worker_tick(f, &f->workers[q.a]);
 		break;
-	case Q_LEASE:
-		worker_lease_over(f, &q);
+	case Q_LEASE_END:
+		worker_lease_end(f, &q);
 		break;
-	case Q_HEAL:
-		fleet_heal(f, &q);
+	case Q_FAULT_END:
+		fault_clear(f, &q);
 		break;
 	case Q_BOOT:
 		entry_boot(f, q.a);
@@ -1612,13 +1676,13 @@
 {
 	int64_t until = f->now + ms;
 
-	while (f->heap_count && f->heap[0].at <= until && !f->broken[0])
-		fleet_next(f);
+	while (f->heap_count && f->heap[0].at <= until && !f->violation[0])
+		fleet_process_next(f);
 	f->now = until;
 }
 
 /* Faults and requests. */
-static void worker_hurt(struct fleet *f, unsigned i, unsigned how, int64_t ms)
+static void worker_fault(struct fleet *f, unsigned i, unsigned how, int64_t ms)
 {
 	struct fake_worker *w = &f->workers[i];
 
@@ -1661,10 +1725,10 @@
 		return;
 	e->stopping = true;
 	e->stop_at = INT64_MAX;
-	entry_tell(f, slot, e->gen, 1, event_new(EV_STOP));
+	entry_post(f, slot, e->gen, 1, event_new(EV_STOP));
 }
 
-static void fault_do(struct fleet *f, struct fleet_step s)
+static void step_fault(struct fleet *f, struct fleet_step s)
 {
 	int64_t ms = 300 + 400 * (int64_t)(s.arg2 % 32);
 	unsigned i;
@@ -1680,8 +1744,8 @@
 		if (i >= FLEET_ENTRIES && !f->dc_platform_cut[i % 2]) {
 			f->dc_platform_cut[i % 2] = true;
 			fault_for(f, FLEET_CUT_PLATFORM, i, 0, ms * 2);
-		} else if (i < FLEET_ENTRIES && !f->entries[i].cut) {
-			f->entries[i].cut = true;
+		} else if (i < FLEET_ENTRIES && !f->entries[i].platform_cut) {
+			f->entries[i].platform_cut = true;
 			fault_for(f, FLEET_CUT_PLATFORM, i, 0, ms * 2);
 		}
 		break;
@@ -1697,11 +1761,11 @@
 		f->late = 1;
 		break;
 	case FLEET_WORKER:
-		worker_hurt(f, s.arg1 % FLEET_WORKERS, s.arg2 / 32, ms * 2);
+		worker_fault(f, s.arg1 % FLEET_WORKERS, s.arg2 / 32, ms * 2);
 		break;
 	case FLEET_RACK:
 		for (i = s.arg1 % 3; i < FLEET_WORKERS; i += 3)
-			worker_hurt(f, i, s.arg2 / 32, ms * 2);
+			worker_fault(f, i, s.arg2 / 32, ms * 2);
 		break;
 	case FLEET_LEAVE:
 		i = s.arg1 % FLEET_WORKERS;
@@ -1710,19 +1774,19 @@
 		f->workers[i].leaving = true;
 		f->workers[i].leaving_at = f->now;
 		f->workers[i].seq++;
-		worker_wake(f, &f->workers[i]);
-		/* no fault: it must be obeyed */
-		queue_put(f, (struct queued){.at = f->now + ms * 2,
-					     .kind = Q_HEAL,
-					     .a = FLEET_LEAVE,
-					     .b = i});
+		worker_answer_watches(f, &f->workers[i]);
+		/* not counted as a fault: during faults it may be ignored */
+		queue_put(f, (struct queue_item){.at = f->now + ms * 2,
+						 .kind = Q_FAULT_END,
+						 .a = FLEET_LEAVE,
+						 .b = i});
 		break;
 	default:
 		break;
 	}
 }
 
-static void entry_do(struct fleet *f, struct fleet_step s)
+static void step_entry(struct fleet *f, struct fleet_step s)
 {
 	unsigned slot = s.arg1 % FLEET_ENTRIES, i;
 
@@ -1730,7 +1794,7 @@
 	case FLEET_KILL:
 		for (i = 0; i < FLEET_ENTRIES; i++)
 			if (i == slot || s.arg2 % 8 == 7)
-				entry_down(f, i, 200 + 300 * (s.arg2 / 8 % 16));
+				entry_kill(f, i, 200 + 300 * (s.arg2 / 8 % 16));
 		break;
 	case FLEET_FREEZE:
 		entry_freeze(f, slot, 200 + 500 * (int64_t)(s.arg2 % 32));
@@ -1739,14 +1803,14 @@
 		entry_stop(f, slot);
 		break;
 	case FLEET_JUMP:
-		f->entries[slot].offset += 100 * (int64_t)(s.arg2 % 128);
+		f->entries[slot].clock_offset += 100 * (int64_t)(s.arg2 % 128);
 		break;
 	default:
 		break;
 	}
 }
 
-static void operator_do(struct fleet *f, struct fleet_step s)
+static void step_operator(struct fleet *f, struct fleet_step s)
 {
 	unsigned team = s.arg1 % FLEET_TEAMS, worker = s.arg1 % FLEET_WORKERS;
 
@@ -1780,29 +1844,29 @@
 	}
 }
 
-static void caller_do(struct fleet *f, struct fleet_step s)
+static void step_caller(struct fleet *f, struct fleet_step s)
 {
 	unsigned i, n = f->job_count;
 
 	switch (s.op) {
 	case FLEET_SUBMIT:
 		for (i = 0; i <= s.arg2 % 8; i++)
-			job_submit_new(f, s.arg1 + i * 37);
+			job_create(f, s.arg1 + i * 37);
 		break;
 	case FLEET_RETRY:
 		for (i = 0; n && i <= s.arg2 % 4; i++)
-			if (!f->jobs[(s.arg1 + i) % n].soft)
-				job_send(f, (s.arg1 + i) % n, s.arg2 + i);
+			if (!f->jobs[(s.arg1 + i) % n].memory_only)
+				job_submit(f, (s.arg1 + i) % n, s.arg2 + i);
 		break;
 	case FLEET_GET:
 		if (n)
-			job_ask(f, CALL_GET, s.arg1 % n, s.arg2 % 2 ? 2000 : 0,
-				false);
+			job_request(f, CALL_GET, s.arg1 % n,
+				    s.arg2 % 2 ? 2000 : 0, false);
 		break;
 	case FLEET_CANCEL:
 		for (i = 0; n && i <= s.arg2 % 8; i++)
-			job_ask(f, CALL_CANCEL, (n - 1 - (s.arg1 + i) % n), 0,
-				false);
+			job_request(f, CALL_CANCEL, (n - 1 - (s.arg1 + i) % n),
+				    0, false);
 		break;
 	case FLEET_CANCEL_LABEL:
 		label_cancel(f, s.arg1 % FLEET_TEAMS, s.arg2 % 8);
@@ -1814,23 +1878,23 @@
 
 void fleet_apply(struct fleet *f, struct fleet_step s)
 {
-	if (f->broken[0] || s.op == FLEET_END)
+	if (f->violation[0] || s.op == FLEET_END)
 		return;
 	TRACE(f, "step %s %u %u", fleet_op_name(s.op), s.arg1, s.arg2);
 	if (s.op == FLEET_RUN)
 		fleet_run(f, 50 * (int64_t)(1 + s.arg1 % 64));
 	else if (s.op <= FLEET_CANCEL_LABEL)
-		caller_do(f, s);
+		step_caller(f, s);
 	else if (s.op <= FLEET_JUMP)
-		entry_do(f, s);
+		step_entry(f, s);
 	else if (s.op <= FLEET_RACK || s.op == FLEET_LEAVE)
-		fault_do(f, s);
+		step_fault(f, s);
 	else
-		operator_do(f, s);
+		step_operator(f, s);
 	fleet_run(f, 3);
 }
 
-/* Everybody has been answered who called at a VM that has lived on. */
+/* Checks that all calls to entry VMs that are still up were answered. */
 static void check_answers(struct fleet *f)
 {
 	const struct fake_call *c;
@@ -1839,13 +1903,13 @@
 	for (i = 0; i < f->call_count; i++) {
 		c = &f->calls[i];
 		if (!c->answered && f->entries[c->slot].gen == c->gen &&
-		    f->now - c->made_at > 40000)
-			BREAK(f, "answer: call %u at %s has none", i,
-			      f->entries[c->slot].name);
+		    f->now - c->sent_at > 40000)
+			VIOLATION(f, "answer: call %u at %s was not answered",
+				  i, f->entries[c->slot].name);
 	}
 }
 
-/* The operators give back what accepted work needs to come to its end. */
+/* Sets limits, budgets and pools so that all accepted jobs can finish. */
 static void settle_operators(struct fleet *f)
 {
 	unsigned i, have[POOLS] = {0};
@@ -1870,38 +1934,39 @@
 {
 	unsigned i, from;
 
-	/* the longest fault, and the return of what was set aside or lost */
+	/* until the longest fault has ended */
 	for (i = 0; i < 120 && f->faults; i++)
 		fleet_run(f, 500);
-	fleet_run(f, 10000); /* what operators have under way */
+	fleet_run(f, 10000); /* pending operators' requests */
 	settle_operators(f);
 	fleet_run(f, 60000);
-	for (i = 0; i < FLEET_ENTRIES && !f->broken[0]; i++)
+	for (i = 0; i < FLEET_ENTRIES && !f->violation[0]; i++)
 		if (f->entries[i].revision != f->revision)
-			BREAK(f, "config: %s has revision %u, the head is %u",
-			      f->entries[i].name,
-			      (unsigned)f->entries[i].revision,
-			      (unsigned)f->revision);
+			VIOLATION(f,
+				  "config: %s has revision %u, the head is %u",
+				  f->entries[i].name,
+				  (unsigned)f->entries[i].revision,
+				  (unsigned)f->revision);
 	from = f->call_count;
 	for (i = 0; i < f->job_count; i++)
-		if (f->jobs[i].accepted && !f->jobs[i].soft) {
+		if (f->jobs[i].accepted && !f->jobs[i].memory_only) {
 			f->jobs[i].final = false;
-			job_ask(f, CALL_GET, i, 0, true);
+			job_request(f, CALL_GET, i, 0, true);
 		}
 	fleet_run(f, 5000);
-	for (i = from; i < f->call_count && !f->broken[0]; i++) {
+	for (i = from; i < f->call_count && !f->violation[0]; i++) {
 		struct fake_job *j = &f->jobs[f->calls[i].job];
 
 		if (!f->calls[i].answered || !j->final)
-			BREAK(f, "lost: accepted job %u (%s) has no end",
-			      f->calls[i].job, j->id);
+			VIOLATION(f, "lost: accepted job %u (%s) is not final",
+				  f->calls[i].job, j->id);
 		else
-			f->figures[FLEET_JOBS_FINAL]++;
+			f->counters[FLEET_JOBS_FINAL]++;
 	}
 	check_answers(f);
 }
 
-/* The first configuration, VMs and keys. */
+/* Creates the first configuration with its teams and keys. */
 static void fleet_configure(struct fleet *f)
 {
 	json_t *doc = json_pack(
@@ -1989,7 +2054,7 @@
 	unsigned i;
 
 	f->random = seed;
-	f->table.before_write = write_check;
+	f->table.before_write = check_write;
 	f->table.arg = f;
 	fleet_configure(f);
 	fleet_populate(f);
@@ -2002,7 +2067,7 @@
 void fleet_free(struct fleet *f)
 {
 	struct exchange *x;
-	struct queued q;
+	struct queue_item q;
 	unsigned i, k;
 
 	while (f->heap_count) {
@@ -2012,10 +2077,10 @@
 	}
 	for (i = 0; i < FLEET_ENTRIES; i++) {
 		state_free(f->entries[i].st);
-		while (f->entries[i].held_count)
-			event_free(
-				f->entries[i].held[--f->entries[i].held_count]);
-		free(f->entries[i].held);
+		while (f->entries[i].inbox_count)
+			event_free(f->entries[i]
+					   .inbox[--f->entries[i].inbox_count]);
+		free(f->entries[i].inbox);
 	}
 	while ((x = f->exchanges)) {
 		f->exchanges = x->next;
@@ -2033,7 +2098,7 @@
 
 const char *fleet_violation(const struct fleet *f)
 {
-	return f->broken[0] ? f->broken : NULL;
+	return f->violation[0] ? f->violation : NULL;
 }
 
 uint64_t fleet_events(const struct fleet *f)
@@ -2043,7 +2108,7 @@
 
 unsigned fleet_counter(const struct fleet *f, enum fleet_counter n)
 {
-	return f->figures[n];
+	return f->counters[n];
 }
 
 const char *fleet_op_name(enum fleet_op op)
