--- a/tests/support-sim.c
+++ b/tests/support-sim.c
@@ -4,23 +4,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HOP_MS 1
-#define SILENCE_MS 1000 /* an exchange without an answer ends then */
+#define LATENCY_MS 1
+#define TIMEOUT_MS 1000 /* of an exchange without an answer */
 
-enum item_kind {
+enum queue_item_kind {
 	IT_EVENT,
 	IT_TICK,
-	IT_TABLE,
+	IT_PLATFORM,
 	IT_WORKER,
-	IT_WATCH,
-	IT_END,
+	IT_WATCH_TIMEOUT,
+	IT_TASK_END,
 	IT_BOOT
 };
-struct item {
+struct queue_item {
 	int64_t at;
 	uint64_t seq;
-	enum item_kind kind;
-	unsigned entry, gen; /* of the entry VM, or the worker and its boot */
+	enum queue_item_kind kind;
+	unsigned entry, gen; /* entry: or the index of a worker */
 	uint64_t n;
 	event *ev;
 	effect *fx;
@@ -31,8 +31,9 @@
 	unsigned pool, job;
 	task_state state;
 	const char *reason;
-	int64_t began, done, left; /* done: by earlier starts */
-	uint64_t seq, end;
+	int64_t began_at;
+	int64_t elapsed, left; /* elapsed: run time, also of earlier starts */
+	uint64_t seq, end_id;  /* end_id: of the queue item that ends it */
 };
 struct sim_watch {
 	struct sim_watch *next;
@@ -40,16 +41,16 @@
 	uint64_t req, id, since;
 };
 struct sim_fabric {
-	struct item *heap;
+	struct queue_item *heap;
 	size_t count, room;
 	uint64_t seq, random, ids;
 	struct fake_table table;
 	bstr digests[SIM_TEAMS];
-	uint64_t *calls; /* the job of a call, by its number */
+	uint64_t *calls; /* index of the job of each call */
 	size_t call_count;
 };
 
-/* Draw a number below a bound (splitmix64). */
+/* Returns a random number below a bound, or any for 0 (splitmix64). */
 uint64_t sim_random(struct sim *s, uint64_t below)
 {
 	uint64_t z = random_next(&s->fabric->random);
@@ -57,13 +58,14 @@
 	return below ? z % below : z;
 }
 
-static bool item_before(const struct item *a, const struct item *b)
+static bool queue_item_before(const struct queue_item *a,
+			      const struct queue_item *b)
 {
 	return a->at < b->at || (a->at == b->at && a->seq < b->seq);
 }
 
-/* Let something happen later. */
-static void item_put(struct sim *s, struct item it)
+/* The event queue of the simulation, a heap ordered by time. */
+static void queue_put(struct sim *s, struct queue_item it)
 {
 	struct sim_fabric *f = s->fabric;
 	size_t i = f->count++, up;
@@ -73,21 +75,21 @@
 		f->heap = xrealloc(f->heap, f->room, sizeof(*f->heap));
 	}
 	it.seq = ++f->seq;
-	for (; i && item_before(&it, &f->heap[up = (i - 1) / 2]); i = up)
+	for (; i && queue_item_before(&it, &f->heap[up = (i - 1) / 2]); i = up)
 		f->heap[i] = f->heap[up];
 	f->heap[i] = it;
 }
 
-static struct item item_take(struct sim_fabric *f)
+static struct queue_item queue_take(struct sim_fabric *f)
 {
-	struct item top = f->heap[0], last = f->heap[--f->count];
+	struct queue_item top = f->heap[0], last = f->heap[--f->count];
 	size_t i = 0, k;
 
 	while ((k = 2 * i + 1) < f->count) {
 		if (k + 1 < f->count &&
-		    item_before(&f->heap[k + 1], &f->heap[k]))
+		    queue_item_before(&f->heap[k + 1], &f->heap[k]))
 			k++;
-		if (!item_before(&f->heap[k], &last))
+		if (!queue_item_before(&f->heap[k], &last))
 			break;
 		f->heap[i] = f->heap[k];
 		i = k;
@@ -96,17 +98,17 @@
 	return top;
 }
 
-static void entry_tell(struct sim *s, unsigned entry, unsigned gen, int64_t ms,
+static void entry_post(struct sim *s, unsigned entry, unsigned gen, int64_t ms,
 		       event *ev)
 {
-	item_put(s, (struct item){.at = s->now + ms,
-				  .kind = IT_EVENT,
-				  .entry = entry,
-				  .gen = gen,
-				  .ev = ev});
+	queue_put(s, (struct queue_item){.at = s->now + ms,
+					 .kind = IT_EVENT,
+					 .entry = entry,
+					 .gen = gen,
+					 .ev = ev});
 }
 
-/* The number in a name like p3; the count if it is none. */
+/* Returns the number in a name like p3, or count if it isn't below count. */
 static unsigned name_number(bstr b, unsigned count)
 {
 	char *text = bstr_cstr(b);
@@ -116,9 +118,9 @@
 	return n < count ? n : count;
 }
 
-/* Follow a VM's row. */
-static void vm_follow(void *arg, const fx_commit *c, const table_write *t,
-		      const struct fake_row *old)
+/* Copies pool and state of a written VM row to its worker. */
+static void vm_row_written(void *arg, const fx_commit *c, const table_write *t,
+			   const struct fake_row *old)
 {
 	struct sim *s = arg;
 	struct sim_worker *w;
@@ -143,12 +145,12 @@
 
 	if (!fake_table_commit(&s->fabric->table, c, p))
 		return;
-	/* A transaction is whole before anybody looks. */
+	/* The hook runs after the whole transaction is written. */
 	for (i = 0; s->hooks.written && i < c->writes.writes_len; i++)
 		s->hooks.written(s, &c->writes.writes_val[i]);
 }
 
-/* Reboot a worker, if its boot id is the one that is meant to end. */
+/* Reboots a worker if it still has the boot id of the request. */
 static void platform_reboot(struct sim *s, const fx_reboot *r, ev_platform *p)
 {
 	struct sim_worker *w = sim_worker_find(s, r->vm);
@@ -166,16 +168,16 @@
 		w->reboots++;
 		sim_worker_kill(s, w);
 		if (!w->never_returns)
-			item_put(s, (struct item){
-					    .at = s->now + s->plan.reboot_ms,
-					    .kind = IT_BOOT,
-					    .n = (uint64_t)(w - s->workers)});
+			queue_put(s, (struct queue_item){
+					     .at = s->now + s->plan.reboot_ms,
+					     .kind = IT_BOOT,
+					     .n = (uint64_t)(w - s->workers)});
 	}
 	bstr_free(&boot);
 }
 
-/* Do what a request asks; an empty list of VMs says nothing about any. */
-static void platform_do(struct sim *s, const effect *fx, ev_platform *p)
+/* Executes a request.  A VM list is answered empty, which changes nothing. */
+static void platform_execute(struct sim *s, const effect *fx, ev_platform *p)
 {
 	if (fx->kind == FX_COMMIT)
 		table_commit(s, &fx->effect_u.commit, p);
@@ -185,7 +187,7 @@
 		fake_table_request(&s->fabric->table, fx, p);
 }
 
-static void platform_take(struct sim *s, struct item *it)
+static void platform_receive(struct sim *s, struct queue_item *it)
 {
 	enum sim_fault fault = s->hooks.request ? s->hooks.request(s, it->fx)
 						: SIM_NO_FAULT;
@@ -195,15 +197,16 @@
 	if (fault == SIM_REFUSE)
 		p->outcome = PLATFORM_REFUSED;
 	else if (fault != SIM_DROP_REQUEST)
-		platform_do(s, it->fx, p);
+		platform_execute(s, it->fx, p);
 	if (fault == SIM_DROP_REQUEST || fault == SIM_DROP_ANSWER) {
 		xdr_free(XDR_PROC(xdr_ev_platform), (char *)p);
 		memset(p, 0, sizeof(*p));
 		p->outcome = PLATFORM_UNKNOWN;
 	}
 	p->req = effect_request_id(it->fx);
-	entry_tell(s, it->entry, it->gen,
-		   p->outcome == PLATFORM_UNKNOWN ? SILENCE_MS : HOP_MS, ev);
+	entry_post(s, it->entry, it->gen,
+		   p->outcome == PLATFORM_UNKNOWN ? TIMEOUT_MS : LATENCY_MS,
+		   ev);
 	effect_free(it->fx);
 }
 
@@ -236,9 +239,9 @@
 	k->task = bstr_new(t->id);
 	k->state = t->state;
 	k->reason = bstr_new(t->reason);
-	k->ran_ms = (uint32_t)t->done;
+	k->ran_ms = (uint32_t)t->elapsed;
 	if (t->state == TASK_CHECKPOINTED)
-		k->result = bstr_printf("%lld", (long long)t->done);
+		k->result = bstr_printf("%lld", (long long)t->elapsed);
 }
 
 static event *answer_new(struct sim_worker *w, uint64_t req)
@@ -253,7 +256,7 @@
 	return ev;
 }
 
-/* Answer a watch with what has changed. */
+/* Answers a watch with the tasks that have changed. */
 static void watch_answer(struct sim *s, struct sim_worker *w,
 			 struct sim_watch *h)
 {
@@ -264,12 +267,12 @@
 	for (t = w->tasks; t; t = t->next)
 		if (t->pool == h->pool && t->seq > h->since)
 			report_add(&ev->body.event_body_u.worker, t);
-	entry_tell(s, h->entry, h->gen, HOP_MS, ev);
+	entry_post(s, h->entry, h->gen, LATENCY_MS, ev);
 	free(h);
 }
 
-/* Something has changed on a worker. */
-static void worker_wake(struct sim *s, struct sim_worker *w)
+/* Answers all watches of a worker, after a change. */
+static void worker_answer_watches(struct sim *s, struct sim_worker *w)
 {
 	struct sim_watch *h, *next = w->watches;
 
@@ -283,17 +286,17 @@
 static void task_end(struct sim *s, struct sim_worker *w, struct sim_task *t,
 		     task_state state, const char *reason)
 {
-	int64_t ran = s->now - t->began;
+	int64_t ran = s->now - t->began_at;
 
 	t->state = state;
 	t->reason = reason;
-	t->done += ran;
+	t->elapsed += ran;
 	t->seq = ++w->seq;
 	w->running--;
 	s->jobs[t->job].total_run_ms += ran;
 	if (s->hooks.ended)
 		s->hooks.ended(s, t->job, w);
-	worker_wake(s, w);
+	worker_answer_watches(s, w);
 }
 
 static void task_begin(struct sim *s, struct sim_worker *w, const task_start *x,
@@ -316,28 +319,29 @@
 			t->state = TASK_REFUSED;
 			t->reason = "no-slot";
 		} else {
-			t->done = strtoll(ck, NULL, 10);
-			t->began = s->now;
-			t->end = ++s->fabric->ids;
+			t->elapsed = strtoll(ck, NULL, 10);
+			t->began_at = s->now;
+			t->end_id = ++s->fabric->ids;
 			w->running++;
 			j->starts++;
 			if (!j->began_at)
 				j->began_at = s->now;
 			if (s->hooks.began)
 				s->hooks.began(s, t->job, w);
-			item_put(s, (struct item){
-					    .at = s->now + j->run_ms - t->done,
-					    .kind = IT_END,
-					    .entry = (unsigned)(w - s->workers),
-					    .n = t->end});
+			queue_put(s,
+				  (struct queue_item){
+					  .at = s->now + j->run_ms - t->elapsed,
+					  .kind = IT_TASK_END,
+					  .entry = (unsigned)(w - s->workers),
+					  .n = t->end_id});
 		}
 	}
 	free(payload);
 	free(ck);
 }
 
-static void task_obey(struct sim *s, struct sim_worker *w, const task_order *o,
-		      unsigned pool)
+static void task_order_apply(struct sim *s, struct sim_worker *w,
+			     const task_order *o, unsigned pool)
 {
 	struct sim_task *t = task_find(w, o->task), **at;
 
@@ -364,9 +368,9 @@
 	}
 }
 
-/* A command does what it says and reports on the tasks that it names. */
-static void command_take(struct sim *s, struct sim_worker *w,
-			 const fx_worker *x, unsigned pool, event *ev)
+/* Executes a command and reports the tasks that it names. */
+static void command_execute(struct sim *s, struct sim_worker *w,
+			    const fx_worker *x, unsigned pool, event *ev)
 {
 	ev_worker *r = &ev->body.event_body_u.worker;
 	struct sim_task *t;
@@ -375,7 +379,7 @@
 	for (i = 0; i < x->starts.starts_len; i++)
 		task_begin(s, w, &x->starts.starts_val[i], pool);
 	for (i = 0; i < x->orders.orders_len; i++)
-		task_obey(s, w, &x->orders.orders_val[i], pool);
+		task_order_apply(s, w, &x->orders.orders_val[i], pool);
 	for (i = 0; i < x->starts.starts_len; i++)
 		if ((t = task_find(w, x->starts.starts_val[i].task)))
 			report_add(r, t);
@@ -383,11 +387,11 @@
 		if ((t = task_find(w, x->orders.orders_val[i].task)))
 			report_add(r, t);
 	if (x->starts.starts_len)
-		worker_wake(s, w);
+		worker_answer_watches(s, w);
 }
 
-/* An exchange reaches its worker. */
-static void worker_take(struct sim *s, struct item *it)
+/* Processes a request that has reached its worker. */
+static void worker_receive(struct sim *s, struct queue_item *it)
 {
 	const fx_worker *x = &it->fx->effect_u.worker;
 	struct sim_worker *w = sim_worker_find(s, x->vm);
@@ -395,11 +399,11 @@
 	event *ev = answer_new(w, x->req);
 	ev_worker *r = &ev->body.event_body_u.worker;
 	struct sim_watch *h;
-	int64_t ms = HOP_MS;
+	int64_t ms = LATENCY_MS;
 
 	if (!w->up) {
 		r->outcome = WORKER_NO_ANSWER;
-		ms = SILENCE_MS;
+		ms = TIMEOUT_MS;
 	} else if (x->epoch < w->epochs[pool]) {
 		r->outcome = WORKER_STALE;
 		r->epoch = w->epochs[pool];
@@ -416,11 +420,11 @@
 			} else {
 				h->next = w->watches;
 				w->watches = h;
-				item_put(
+				queue_put(
 					s,
-					(struct item){
+					(struct queue_item){
 						.at = s->now + x->wait_ms,
-						.kind = IT_WATCH,
+						.kind = IT_WATCH_TIMEOUT,
 						.entry = (unsigned)(w -
 								    s->workers),
 						.n = h->id});
@@ -428,14 +432,14 @@
 			effect_free(it->fx);
 			return;
 		}
-		command_take(s, w, x, pool, ev);
+		command_execute(s, w, x, pool, ev);
 	}
-	entry_tell(s, it->entry, it->gen, ms, ev);
+	entry_post(s, it->entry, it->gen, ms, ev);
 	effect_free(it->fx);
 }
 
-/* A watch has waited long enough. */
-static void watch_over(struct sim *s, const struct item *it)
+/* Answers a watch whose time is over. */
+static void watch_timeout(struct sim *s, const struct queue_item *it)
 {
 	struct sim_worker *w = &s->workers[it->entry];
 	struct sim_watch **at, *h;
@@ -449,20 +453,20 @@
 	}
 }
 
-static void task_over(struct sim *s, const struct item *it)
+static void task_complete(struct sim *s, const struct queue_item *it)
 {
 	struct sim_worker *w = &s->workers[it->entry];
 	struct sim_task *t;
 
 	for (t = w->tasks; t; t = t->next) {
-		if (t->end != it->n || t->state != TASK_RUNNING)
+		if (t->end_id != it->n || t->state != TASK_RUNNING)
 			continue;
 		task_end(s, w, t, TASK_DONE, "");
 		return;
 	}
 }
 
-/* A worker ends with all it has. */
+/* Shuts a worker down, with its tasks and watches. */
 void sim_worker_kill(struct sim *s, struct sim_worker *w)
 {
 	struct sim_task *t, *next = w->tasks;
@@ -474,7 +478,7 @@
 		next = t->next;
 		if (t->state == TASK_RUNNING) {
 			w->kills++;
-			s->jobs[t->job].total_run_ms += s->now - t->began;
+			s->jobs[t->job].total_run_ms += s->now - t->began_at;
 			if (s->hooks.ended)
 				s->hooks.ended(s, t->job, w);
 		}
@@ -484,7 +488,7 @@
 		w->watches = h->next;
 		ev = answer_new(w, h->req);
 		ev->body.event_body_u.worker.outcome = WORKER_NO_ANSWER;
-		entry_tell(s, h->entry, h->gen, SILENCE_MS, ev);
+		entry_post(s, h->entry, h->gen, TIMEOUT_MS, ev);
 		free(h);
 	}
 	w->up = false;
@@ -534,11 +538,11 @@
 	o.dc = bstr_lit(dc);
 	o.timing.tick_ms = (uint32_t)(s->plan.tick_ms ? s->plan.tick_ms : 100);
 	s->entries[entry] = state_new(&o, sim_random(s, 0), name);
-	item_put(s, (struct item){.at = s->now,
-				  .kind = IT_TICK,
-				  .entry = entry,
-				  .gen = s->generation[entry],
-				  .n = 1});
+	queue_put(s, (struct queue_item){.at = s->now,
+					 .kind = IT_TICK,
+					 .entry = entry,
+					 .gen = s->generation[entry],
+					 .n = 1});
 }
 
 void sim_entry_kill(struct sim *s, unsigned entry)
@@ -561,7 +565,7 @@
 	ev = event_new(i < s->plan.entries ? EV_PEER : EV_PEER_LOST);
 	if (i == s->plan.entries) {
 		ev->body.event_body_u.lost = bstr_copy(p->to);
-		entry_tell(s, from, s->generation[from], SILENCE_MS, ev);
+		entry_post(s, from, s->generation[from], TIMEOUT_MS, ev);
 		return;
 	}
 	entry_name(s, from, name, sizeof(name));
@@ -569,10 +573,10 @@
 	xdr_copy(XDR_PROC(xdr_peer_message),
 		 &ev->body.event_body_u.peer.message, &p->message,
 		 sizeof(p->message));
-	entry_tell(s, i, s->generation[i], HOP_MS, ev);
+	entry_post(s, i, s->generation[i], LATENCY_MS, ev);
 }
 
-/* A caller has its answer. */
+/* Records the answer to a caller. */
 static void call_answered(struct sim *s, const fx_answer *x)
 {
 	struct sim_job *j = &s->jobs[s->fabric->calls[x->call]];
@@ -583,12 +587,15 @@
 					   : JOB_NOT_RUN;
 }
 
-/* Carry out an effect; what is needed later is taken out of it. */
-static void effect_do(struct sim *s, unsigned entry, effect *fx)
+/*
+ * Executes an effect.  One that is executed later is moved to the queue, and
+ * fx becomes an empty one.
+ */
+static void effect_execute(struct sim *s, unsigned entry, effect *fx)
 {
-	struct item it = {.at = s->now + HOP_MS,
-			  .entry = entry,
-			  .gen = s->generation[entry]};
+	struct queue_item it = {.at = s->now + LATENCY_MS,
+				.entry = entry,
+				.gen = s->generation[entry]};
 
 	switch (fx->kind) {
 	case FX_ANSWER:
@@ -610,7 +617,7 @@
 	case FX_WAKE:
 		it.at = fx->effect_u.wake > s->now ? fx->effect_u.wake : s->now;
 		it.kind = IT_TICK;
-		item_put(s, it);
+		queue_put(s, it);
 		return;
 	case FX_LOG:
 		if (getenv("SIM_TRACE"))
@@ -625,13 +632,13 @@
 		it.kind = IT_WORKER;
 		break;
 	default:
-		it.kind = IT_TABLE;
+		it.kind = IT_PLATFORM;
 		break;
 	}
 	it.fx = xmalloc(sizeof(*it.fx));
 	*it.fx = *fx;
 	fx->kind = FX_EXIT;
-	item_put(s, it);
+	queue_put(s, it);
 }
 
 static void entry_reduce(struct sim *s, unsigned entry, event *ev)
@@ -643,14 +650,14 @@
 	effects_init(&out);
 	reduce(s->entries[entry], ev, &out);
 	for (i = 0; i < out.count; i++)
-		effect_do(s, entry, &out.list[i]);
+		effect_execute(s, entry, &out.list[i]);
 	effects_free(&out);
 	event_free(ev);
 }
 
-static void item_do(struct sim *s, struct item *it)
+static void queue_item_process(struct sim *s, struct queue_item *it)
 {
-	bool here = it->kind < IT_TABLE && s->entries[it->entry] &&
+	bool here = it->kind < IT_PLATFORM && s->entries[it->entry] &&
 		    s->generation[it->entry] == it->gen;
 
 	switch (it->kind) {
@@ -663,23 +670,23 @@
 	case IT_TICK:
 		if (!here)
 			break;
-		if (it->n) { /* the regular one, not a wake */
+		if (it->n) { /* the periodic tick, not a wake */
 			it->at += s->plan.tick_ms ? s->plan.tick_ms : 100;
-			item_put(s, *it);
+			queue_put(s, *it);
 		}
 		entry_reduce(s, it->entry, event_new(EV_TICK));
 		break;
-	case IT_TABLE:
-		platform_take(s, it);
+	case IT_PLATFORM:
+		platform_receive(s, it);
 		break;
 	case IT_WORKER:
-		worker_take(s, it);
+		worker_receive(s, it);
 		break;
-	case IT_WATCH:
-		watch_over(s, it);
+	case IT_WATCH_TIMEOUT:
+		watch_timeout(s, it);
 		break;
-	case IT_END:
-		task_over(s, it);
+	case IT_TASK_END:
+		task_complete(s, it);
 		break;
 	case IT_BOOT:
 		sim_worker_boot(s, &s->workers[it->n]);
@@ -690,12 +697,12 @@
 void sim_run(struct sim *s, int64_t ms)
 {
 	int64_t until = s->now + ms;
-	struct item it;
+	struct queue_item it;
 
 	while (s->fabric->count && s->fabric->heap[0].at <= until) {
-		it = item_take(s->fabric);
+		it = queue_take(s->fabric);
 		s->now = it.at;
-		item_do(s, &it);
+		queue_item_process(s, &it);
 	}
 	s->now = until;
 }
@@ -709,7 +716,10 @@
 	return done(s);
 }
 
-/* A caller submits work that it waits for and that may be repeated. */
+/*
+ * Submits a job.  Unless it is claimed, it may be repeated and its caller
+ * waits.
+ */
 unsigned sim_submit(struct sim *s, unsigned entry, const struct sim_job *job)
 {
 	struct sim_fabric *f = s->fabric;
@@ -736,7 +746,7 @@
 	f->calls = xrealloc(f->calls, f->call_count + 1, sizeof(*f->calls));
 	f->calls[f->call_count] = n;
 	ev->body.event_body_u.call.call = f->call_count++;
-	entry_tell(s, entry, s->generation[entry], HOP_MS, ev);
+	entry_post(s, entry, s->generation[entry], LATENCY_MS, ev);
 	return n;
 }
 
@@ -749,7 +759,7 @@
 		 &ev->body.event_body_u.operate.request, rq, sizeof(*rq));
 	ev->body.event_body_u.operate.call = ++s->fabric->ids;
 	s->replied = false;
-	entry_tell(s, entry, s->generation[entry], HOP_MS, ev);
+	entry_post(s, entry, s->generation[entry], LATENCY_MS, ev);
 }
 
 static bool sim_replied(struct sim *s)
@@ -764,8 +774,8 @@
 						    : OP_UNKNOWN;
 }
 
-/* The first entry VM that is up. */
-static unsigned entry_any(const struct sim *s)
+/* Returns the first entry VM that is up. */
+static unsigned entry_first_up(const struct sim *s)
 {
 	unsigned i = 0;
 
@@ -781,7 +791,7 @@
 
 	rq.op_request_u.wave = (op_wave){bstr_lit(wave), bstr_lit(pool),
 					 deadline_ms};
-	return sim_operate(s, entry_any(s), &rq);
+	return sim_operate(s, entry_first_up(s), &rq);
 }
 
 op_status sim_vm(struct sim *s, op_kind kind, const char *vm, const char *pool,
@@ -792,7 +802,7 @@
 	rq.op_request_u.vm.vm = bstr_lit(vm);
 	rq.op_request_u.vm.pool = bstr_lit(pool);
 	rq.op_request_u.vm.deadline_ms = deadline_ms;
-	return sim_operate(s, entry_any(s), &rq);
+	return sim_operate(s, entry_first_up(s), &rq);
 }
 
 json_t *sim_reply_json(const struct sim *s)
@@ -809,7 +819,7 @@
 	return r && xdr_decode(proc, r->value, out, size);
 }
 
-/* The configuration's document: pools and data centres. */
+/* Returns a configuration document with the pools and no teams. */
 static json_t *doc_new(struct sim *s)
 {
 	json_t *doc = json_pack("{s:{},s:{}}", "pools", "teams"), *o, *dcs;
@@ -831,8 +841,8 @@
 	return doc;
 }
 
-/* A team with one key. */
-static void doc_team(struct sim *s, json_t *doc, unsigned i)
+/* Adds a team with one key. */
+static void doc_add_team(struct sim *s, json_t *doc, unsigned i)
 {
 	bstr id = bstr_printf("k%u", i), secret, salt, hash, sa, ha, got;
 	char team[16], key[16];
@@ -867,7 +877,7 @@
 	unsigned i;
 
 	for (i = 0; i < s->team_count; i++)
-		doc_team(s, doc, i);
+		doc_add_team(s, doc, i);
 	text = config_canonical_text(doc);
 	fake_object_set(&f->table, bstr_lit("config-1"), text);
 	bstr_free(&text);
@@ -880,7 +890,7 @@
 	json_decref(doc);
 }
 
-/* A worker and its VM's row. */
+/* Adds a worker and its VM's row. */
 static void worker_add(struct sim *s, unsigned pool, unsigned nth)
 {
 	unsigned i = s->worker_count++;
@@ -934,7 +944,7 @@
 
 	s->plan = *plan;
 	s->fabric = xcalloc(1, sizeof(*s->fabric));
-	s->fabric->table.before_write = vm_follow;
+	s->fabric->table.before_write = vm_row_written;
 	s->fabric->table.arg = s;
 	s->fabric->random = plan->seed;
 	while (s->pool_count < SIM_POOLS && plan->pools[s->pool_count].workers)
@@ -952,13 +962,13 @@
 void sim_free(struct sim *s)
 {
 	struct sim_fabric *f = s->fabric;
-	struct item it;
+	struct queue_item it;
 	unsigned i;
 
 	for (i = 0; i < s->worker_count; i++)
 		sim_worker_kill(s, &s->workers[i]);
 	while (f->count) {
-		it = item_take(f);
+		it = queue_take(f);
 		event_free(it.ev);
 		effect_free(it.fx);
 	}
