--- a/tests/prop-reduce.cc
+++ b/tests/prop-reduce.cc
@@ -1,8 +1,7 @@
 /*
- * Properties of the reducer: steps of work and faults, drawn at random and
- * run against several entry VMs on a simulated clock.  What must always hold
- * is checked by the fleet after each event, from the workers' and the
- * table's truth; see support-fleet.h.
+ * Property tests of the reducer: random sequences of requests and faults run
+ * against several entry VMs with a simulated clock.  The simulated fleet checks
+ * the invariants against the workers' log and the table; see support-fleet.h.
  */
 #include "support-fleet.h"
 
@@ -15,10 +14,10 @@
 
 using steps = std::vector<fleet_step>;
 
-static uint64_t events, figures[FLEET_COUNTERS];
+static uint64_t events, counters[FLEET_COUNTERS];
 
-/* As a row of the table in test-reduce.c, so that it can be kept there. */
-static std::string text(uint64_t seed, const steps &v)
+/* Formats a sequence as a row of the table in test-reduce.c. */
+static std::string format_steps(uint64_t seed, const steps &v)
 {
 	std::ostringstream o;
 
@@ -29,29 +28,29 @@
 	return o.str();
 }
 
-/* Run a sequence; empty if every promise was kept. */
+/* Runs a sequence; returns the violated invariant, or an empty string. */
 static std::string run(uint64_t seed, const steps &v)
 {
 	fleet *f = fleet_new(seed);
-	std::string broken;
+	std::string violation;
 
 	for (const auto &s : v)
 		fleet_apply(f, s);
 	fleet_settle(f);
 	if (fleet_violation(f))
-		broken = fleet_violation(f);
+		violation = fleet_violation(f);
 	events += fleet_events(f);
 	for (int i = 0; i < FLEET_COUNTERS; i++)
-		figures[i] += fleet_counter(f, (enum fleet_counter)i);
+		counters[i] += fleet_counter(f, (enum fleet_counter)i);
 	fleet_free(f);
-	return broken;
+	return violation;
 }
 
-/* Steps: mostly work and time, and faults as weighted by a mix. */
-static rc::Gen<fleet_step> any_step(const std::vector<fleet_op> &mix)
+/* Generates a step with random arguments; ops may repeat for their weight. */
+static rc::Gen<fleet_step> any_step(const std::vector<fleet_op> &ops)
 {
 	return rc::gen::map(
-		rc::gen::tuple(rc::gen::elementOf(mix),
+		rc::gen::tuple(rc::gen::elementOf(ops),
 			       rc::gen::inRange(0u, 256u),
 			       rc::gen::inRange(0u, 256u)),
 		[](const std::tuple<fleet_op, unsigned, unsigned> &t) {
@@ -60,12 +59,12 @@
 		});
 }
 
-struct mix {
+struct fault_mix {
 	const char *name;
 	std::vector<fleet_op> faults;
 };
 
-static const std::vector<mix> mixes = {
+static const std::vector<fault_mix> fault_mixes = {
 	{"undisturbed, with retries and cancellations", {FLEET_GET}},
 	{"entry VMs killed, frozen, stopped, with jumping clocks",
 	 {FLEET_KILL, FLEET_FREEZE, FLEET_FREEZE, FLEET_STOP, FLEET_JUMP}},
@@ -85,8 +84,8 @@
 	  FLEET_MOVE, FLEET_RETURN, FLEET_LEAVE, FLEET_RACE}},
 };
 
-/* Work and time with a mix of faults in between. */
-static std::vector<fleet_op> weighted(const mix &m)
+/* Returns requests and clock advances with a mix of faults, for any_step(). */
+static std::vector<fleet_op> step_ops(const fault_mix &m)
 {
 	std::vector<fleet_op> all = {
 		FLEET_RUN,    FLEET_RUN,	 FLEET_RUN,   FLEET_SUBMIT,
@@ -100,8 +99,8 @@
 	return all;
 }
 
-/* Run one sequence again: prop-reduce "seed 7: {FLEET_RUN, 1, 2}, ...". */
-static int again(const char *s)
+/* Runs a printed sequence: prop-reduce "seed 7: {FLEET_RUN, 1, 2}, ...". */
+static int replay(const char *s)
 {
 	uint64_t seed = strtoull(s + strlen("seed "), NULL, 10);
 	char name[32];
@@ -121,36 +120,40 @@
 	return 0;
 }
 
-/* To look for more than the fixed seed finds: prop-reduce MIX FROM COUNT. */
+/*
+ * Runs COUNT sequences of a mix with seeds from FROM on, to find more than the
+ * fixed seed does: prop-reduce MIX FROM COUNT.  Prints failed ones, shrunk.
+ */
 static int explore(size_t which, uint64_t from, uint64_t count)
 {
-	auto gen = rc::gen::container<steps>(60,
-					     any_step(weighted(mixes[which])));
+	auto gen = rc::gen::container<steps>(
+		60, any_step(step_ops(fault_mixes[which])));
 	int failed = 0;
 
 	for (uint64_t i = from; i < from + count; i++) {
 		steps v = gen(rc::Random(i), 100).value();
-		std::string broken = run(i, v);
+		std::string violation = run(i, v);
 
-		if (broken.empty())
+		if (violation.empty())
 			continue;
 		failed++;
-		/* drop what is not needed, from the end */
-		std::string sort = broken.substr(0, broken.find(':'));
-		for (bool again = true; again;) {
-			again = false;
+		/* shrink: drop steps from the end while the violation stays */
+		std::string name = violation.substr(0, violation.find(':'));
+		for (bool shrunk = true; shrunk;) {
+			shrunk = false;
 			for (size_t n = v.size(); n-- > 0;) {
 				steps w = v;
 				w.erase(w.begin() + (long)n);
 				std::string b = run(i, w);
-				if (b.substr(0, b.find(':')) != sort)
+				if (b.substr(0, b.find(':')) != name)
 					continue;
 				v = w;
-				broken = b;
-				again = true;
+				violation = b;
+				shrunk = true;
 			}
 		}
-		printf("%s\n  %s\n", broken.c_str(), text(i, v).c_str());
+		printf("%s\n  %s\n", violation.c_str(),
+		       format_steps(i, v).c_str());
 		fflush(stdout);
 	}
 	return failed;
@@ -161,39 +164,43 @@
 	int failed = 0;
 
 	if (argc == 2)
-		return again(argv[1]);
+		return replay(argv[1]);
 	if (argc == 4) {
 		failed = explore(strtoul(argv[1], NULL, 10),
 				 strtoul(argv[2], NULL, 10),
 				 strtoul(argv[3], NULL, 10));
 	} else {
-		/* the seed is fixed, so that a run can be had again */
+		/* a fixed seed, so that runs are reproducible */
 		setenv("RC_PARAMS", "seed=7 max_success=12 max_size=60", 0);
-		/* tests/mutate leaves out the last, which has a known red */
-		const char *most = getenv("PROP_MIXES");
-		size_t left = most ? strtoul(most, NULL, 10) : mixes.size();
-		for (const auto &m : mixes) {
+		/* tests/mutate skips the last mix, which has a known failure */
+		const char *mix_count = getenv("PROP_MIXES");
+		size_t left = mix_count ? strtoul(mix_count, NULL, 10)
+					: fault_mixes.size();
+		for (const auto &m : fault_mixes) {
 			if (!left--)
 				break;
 			failed += !rc::check(m.name, [&m] {
 				auto v = *rc::gen::resize(
 					120, rc::gen::container<steps>(
-						     any_step(weighted(m))));
+						     any_step(step_ops(m))));
 				auto seed = *rc::gen::inRange(1u, 1000000u);
-				auto broken = run(seed, v);
+				auto violation = run(seed, v);
 
-				if (!broken.empty())
-					RC_FAIL(std::string(broken + "\n" +
-							    text(seed, v)));
+				if (!violation.empty())
+					RC_FAIL(std::string(
+						violation + "\n" +
+						format_steps(seed, v)));
 			});
 		}
 	}
 	printf("%llu events, %llu begun, %llu done, %llu not run, %llu "
 	       "accepted, %llu final, %llu refused, %llu changes\n",
-	       (unsigned long long)events, (unsigned long long)figures[0],
-	       (unsigned long long)figures[1], (unsigned long long)figures[2],
-	       (unsigned long long)figures[3], (unsigned long long)figures[4],
-	       (unsigned long long)figures[5], (unsigned long long)figures[6]);
-	printf("%d passed, %d failed\n", (int)mixes.size() - failed, failed);
+	       (unsigned long long)events, (unsigned long long)counters[0],
+	       (unsigned long long)counters[1], (unsigned long long)counters[2],
+	       (unsigned long long)counters[3], (unsigned long long)counters[4],
+	       (unsigned long long)counters[5],
+	       (unsigned long long)counters[6]);
+	printf("%d passed, %d failed\n", (int)fault_mixes.size() - failed,
+	       failed);
 	return failed != 0;
 }
--- a/tests/test-reduce.c
+++ b/tests/test-reduce.c
@@ -4,16 +4,15 @@
 #include <string.h>
 
 /*
- * Sequences that prop-reduce has found, as it shrank them.  Each broke a
- * promise when it was found; its line says which, and what the caller or
- * operator saw.
+ * Shrunk sequences on which prop-reduce once found a violated invariant.  Each
+ * is described by the invariant's name and the fault that violated it.
  */
 static const struct {
-	const char *what;
+	const char *fault;
 	uint64_t seed;
 	struct fleet_step steps[64];
-} found[] = {
-	{"config: two changes at one VM took off together; the head came to name a body that was not stored yet",
+} regressions[] = {
+	{"config: a VM wrote two changes concurrently, and the head named an object that was not stored yet",
 	 2,
 	 {{FLEET_PLATFORM, 13, 234},
 	  {FLEET_RACE, 191, 98},
@@ -21,7 +20,7 @@
 	  {FLEET_SUBMIT, 88, 219},
 	  {FLEET_RACE, 5, 99},
 	  {FLEET_LIMIT, 96, 72}}},
-	{"config: a VM had read the new head, but not its body; a change made from the old body replaced the head, and the accepted change was undone",
+	{"config: a VM had read the new head but not its object; it applied a change to the old document and so undid the accepted change",
 	 8,
 	 {{FLEET_BUDGET, 197, 196},
 	  {FLEET_LATE, 15, 225},
@@ -30,7 +29,7 @@
 	  {FLEET_SUBMIT, 89, 34},
 	  {FLEET_RETURN, 9, 193},
 	  {FLEET_BUDGET, 82, 10}}},
-	{"pool: a VM that had moved was given a task of its old pool, between the read of its row and the next tick",
+	{"pool: a worker that had moved was given a task of its old pool between the read of its row and the next tick",
 	 11,
 	 {{FLEET_RUN, 111, 126},
 	  {FLEET_RUN, 206, 194},
@@ -38,7 +37,7 @@
 	  {FLEET_SUBMIT, 173, 250},
 	  {FLEET_WITHDRAW, 0, 204},
 	  {FLEET_MOVE, 24, 177}}},
-	{"not-run: a home that had been replaced answered a cancellation with 'not run'; the new home ran the job",
+	{"not-run: a home that had been replaced answered a cancellation with 'not run', and the new home ran the job",
 	 24,
 	 {{FLEET_FREEZE, 149, 252},
 	  {FLEET_FREEZE, 54, 51},
@@ -49,7 +48,7 @@
 	  {FLEET_RUN, 96, 247},
 	  {FLEET_RUN, 45, 134},
 	  {FLEET_JUMP, 67, 53}}},
-	{"not-run: a home cut off from the platform said 'not run'; the new home, which could not know, ran the job",
+	{"not-run: a home cut off from the platform answered 'not run', and the new home, unaware of that, ran the job",
 	 39,
 	 {{FLEET_PLATFORM, 162, 233},
 	  {FLEET_CUT_PLATFORM, 221, 35},
@@ -63,7 +62,7 @@
 	  {FLEET_RUN, 139, 146},
 	  {FLEET_CANCEL_LABEL, 8, 127},
 	  {FLEET_CUT_PLATFORM, 66, 23}}},
-	{"lost: a home cut off from the platform said 'no such job' of one that the new home had accepted",
+	{"lost: a home cut off from the platform answered 'no such job' for a job that the new home had accepted",
 	 3,
 	 {{FLEET_CUT, 212, 226},
 	  {FLEET_RUN, 33, 52},
@@ -96,12 +95,12 @@
 	  {FLEET_RUN, 32, 205},
 	  {FLEET_SUBMIT, 185, 119},
 	  {FLEET_GET, 67, 222}}},
-	{"stop: the operator's change was still under way when the VM ended its planned stop, and got no answer",
+	{"stop: an operator's change was pending when the VM ended its planned stop, and it was not answered",
 	 8,
 	 {{FLEET_SUBMIT, 89, 34},
 	  {FLEET_WITHDRAW, 4, 68},
 	  {FLEET_STOP, 65, 244}}},
-	{"once: a former home, which did not know that it was replaced, acknowledged the end of a job it had never heard of; the cell forgot it and the new home ran it again",
+	{"once: a former home that did not know it had been replaced acknowledged the end of a job unknown to it; the cell forgot the job and the new home ran it again",
 	 2045,
 	 {{FLEET_RUN, 14, 141},
 	  {FLEET_SUBMIT, 32, 62},
@@ -120,7 +119,7 @@
 	  {FLEET_RUN, 124, 192},
 	  {FLEET_RUN, 172, 13},
 	  {FLEET_SUBMIT, 201, 19}}},
-	{"once: the same, by a home cut off from the platform",
+	{"once: as above, by a home cut off from the platform",
 	 2070,
 	 {{FLEET_CUT_PLATFORM, 231, 133},
 	  {FLEET_CUT_PLATFORM, 238, 178},
@@ -132,7 +131,7 @@
 	  {FLEET_SUBMIT, 218, 179},
 	  {FLEET_SUBMIT, 0, 91},
 	  {FLEET_CUT_PLATFORM, 102, 119}}},
-	{"once: a former home acknowledged the end of a later attempt than its own",
+	{"once: a former home acknowledged the end of an attempt later than its own",
 	 2097,
 	 {{FLEET_RUN, 56, 5},
 	  {FLEET_PLATFORM, 142, 106},
@@ -157,7 +156,7 @@
 	  {FLEET_RUN, 41, 199},
 	  {FLEET_CANCEL_LABEL, 219, 76},
 	  {FLEET_SUBMIT, 202, 231}}},
-	{"once: the same, after a clock had jumped",
+	{"once: as above, after a clock had jumped",
 	 2132,
 	 {{FLEET_RUN, 68, 120},
 	  {FLEET_FREEZE, 214, 205},
@@ -167,13 +166,13 @@
 	  {FLEET_SUBMIT, 5, 37},
 	  {FLEET_RUN, 42, 87},
 	  {FLEET_FREEZE, 188, 210}}},
-	{"lost: a submission was answered 202 at its deadline, before its claim was durable; the claim failed",
+	{"lost: a submission was answered 202 at its deadline before its claim was durable, and the claim failed",
 	 2028,
 	 {{FLEET_SUBMIT, 119, 163},
 	  {FLEET_SUBMIT, 95, 23},
 	  {FLEET_SUBMIT, 78, 212},
 	  {FLEET_FREEZE, 238, 214}}},
-	{"lost: the same, after a clock had jumped",
+	{"lost: as above, after a clock had jumped",
 	 2000,
 	 {{FLEET_SUBMIT, 187, 222},
 	  {FLEET_PLATFORM, 54, 29},
@@ -181,7 +180,7 @@
 	  {FLEET_SUBMIT, 222, 13},
 	  {FLEET_SUBMIT, 101, 29},
 	  {FLEET_JUMP, 69, 247}}},
-	{"lost: a start whose command got no answer while a full list was on its way stayed in question for ever; the job never ended",
+	{"lost: a start whose command was not answered while a full task list was in flight stayed unconfirmed for ever, and the job never ended",
 	 2142,
 	 {{FLEET_WORKER, 204, 157},
 	  {FLEET_RACK, 212, 199},
@@ -193,7 +192,7 @@
 	  {FLEET_LEAVE, 173, 247},
 	  {FLEET_SUBMIT, 243, 173},
 	  {FLEET_WORKER, 195, 160}}},
-	{"once: a VM that was cut off renewed its lease and read its units as its own, just before one that still thought it gone took them over",
+	{"once: a VM that had been cut off renewed its lease and read that it still owned its units, just before a VM that considered it dead took them over",
 	 2045,
 	 {{FLEET_RUN, 14, 141},
 	  {FLEET_SUBMIT, 32, 62},
@@ -214,7 +213,7 @@
 	  {FLEET_RUN, 172, 13},
 	  {FLEET_SUBMIT, 201, 19},
 	  {FLEET_CUT_PLATFORM, 79, 223}}},
-	{"pool: the cell that a VM had left said that it was drained in its new pool, while it ran a task there",
+	{"pool: the cell that a worker had left reported it as drained in its new pool while it ran a task there",
 	 112,
 	 {{FLEET_RUN, 138, 35},
 	  {FLEET_RUN, 178, 120},
@@ -227,7 +226,7 @@
 	  {FLEET_RUN, 187, 155},
 	  {FLEET_SUBMIT, 103, 54},
 	  {FLEET_DRAIN, 55, 178}}},
-	{"limit: a worker restarted; a start that reached it just after was taken for lost with the rest, and no longer counted",
+	{"limit: a start that reached a worker just after its restart was considered lost with the earlier ones and no longer counted",
 	 38,
 	 {{FLEET_LEAVE, 182, 118},  {FLEET_SUBMIT, 81, 133},
 	  {FLEET_WORKER, 118, 139}, {FLEET_WORKER, 61, 246},
@@ -256,7 +255,7 @@
 	  {FLEET_WORKER, 22, 4},    {FLEET_SUBMIT, 249, 245},
 	  {FLEET_RUN, 188, 113},    {FLEET_SUBMIT, 113, 163},
 	  {FLEET_WORKER, 99, 88}}},
-	{"lost: a VM dropped a shard that its row still gave it; as it was alive, nobody took it over",
+	{"lost: a VM dropped a shard that it still owned by the row; as the VM was alive, no other took the shard over",
 	 634,
 	 {{FLEET_SUBMIT, 201, 110},
 	  {FLEET_RUN, 237, 77},
@@ -273,7 +272,7 @@
 	  {FLEET_RUN, 97, 139},
 	  {FLEET_CUT_PLATFORM, 160, 189},
 	  {FLEET_CUT_PLATFORM, 211, 216}}},
-	{"not-run: a request was forwarded twice, as the first was taken for lost; the first was refused as 'not run', the second accepted",
+	{"not-run: a request was forwarded again because the first copy was considered lost; one copy was refused as 'not run', the other accepted",
 	 6077,
 	 {{FLEET_CUT, 101, 161},
 	  {FLEET_SUBMIT, 219, 6},
@@ -284,7 +283,7 @@
 	  {FLEET_RUN, 14, 8},
 	  {FLEET_LATE, 169, 231},
 	  {FLEET_SUBMIT, 229, 36}}},
-	{"once: a home's clock jumped ahead; a dispatch on its way was taken for dead and the job was sent to another cell",
+	{"once: a home's clock jumped ahead; it considered a dispatch in flight expired and sent the job to another cell",
 	 340955,
 	 {{FLEET_WORKER, 0, 0},
 	  {FLEET_LATE, 0, 0},
@@ -292,7 +291,7 @@
 	  {FLEET_LATE, 0, 0},
 	  {FLEET_WITHDRAW, 0, 0},
 	  {FLEET_JUMP, 0, 17}}},
-	{"lost: a claim became durable after a lapse of the lease, with no cell chosen yet; its home asked nobody about it for ever",
+	{"lost: a claim became durable after the lease had expired, with no cell chosen yet; its home then queried no cell about it",
 	 3,
 	 {{FLEET_PLATFORM, 0, 98},
 	  {FLEET_RUN, 33, 0},
@@ -302,7 +301,7 @@
 	  {FLEET_RUN, 208, 0},
 	  {FLEET_RUN, 57, 0},
 	  {FLEET_SUBMIT, 0, 1}}},
-	{"lost: a task that had failed on a suspect worker avoided it for ever, and no other worker of the cell was left",
+	{"lost: a task that had failed on a suspect worker was never started there again, and the cell had no other worker left",
 	 6,
 	 {{FLEET_RUN, 141, 94},
 	  {FLEET_LEAVE, 232, 247},
@@ -316,7 +315,7 @@
 	  {FLEET_RUN, 177, 94},
 	  {FLEET_SUBMIT, 168, 177},
 	  {FLEET_SUBMIT, 243, 182}}},
-	{"not-run: an attempt had begun and its lease had lapsed; the next one was not started in time, and the job was said not to have run",
+	{"not-run: an attempt had started and its lease expired; the next one was not started in time, and the job was reported as not run",
 	 45397,
 	 {{FLEET_LIMIT, 0, 0},
 	  {FLEET_SUBMIT, 44, 37},
@@ -331,22 +330,22 @@
 	struct fleet *f;
 	size_t i, k;
 
-	for (i = 0; i < sizeof(found) / sizeof(found[0]); i++) {
-		f = fleet_new(found[i].seed);
-		for (k = 0; k < NELEMS(found[i].steps); k++)
-			fleet_apply(f, found[i].steps[k]);
+	for (i = 0; i < sizeof(regressions) / sizeof(regressions[0]); i++) {
+		f = fleet_new(regressions[i].seed);
+		for (k = 0; k < NELEMS(regressions[i].steps); k++)
+			fleet_apply(f, regressions[i].steps[k]);
 		fleet_settle(f);
 		cr_expect_null(fleet_violation(f), "%s\n  now: %s",
-			       found[i].what, fleet_violation(f));
+			       regressions[i].fault, fleet_violation(f));
 		fleet_free(f);
 	}
 }
 
 /*
- * The caller of a job that must not be repeated sees it run twice.  A worker
- * that runs it restarts and forgets it; the cell's owner goes at the same
- * time, so that nobody notices the restart.  The new owner hears every
- * worker, none has a trace, and the home takes that for proof.
+ * Guards against running a job twice that must not be repeated.  Its worker
+ * restarts and loses the task while the cell's owner stops, so that no VM
+ * notices the restart.  The new owner hears from all workers, none of which
+ * knows the task, and the home takes that as proof that it never ran.
  */
 Test(reduce, restart_and_takeover)
 {
