--- a/tests/test-contract.c
+++ b/tests/test-contract.c
@@ -5,8 +5,9 @@
 #include <string.h>
 
 /*
- * The edges against the stand-ins: what one says the other understands, and
- * under each fault the edge tells the truth about what may have happened.
+ * Contract tests of the edges to platform and workers against the stand-ins of
+ * these: the edges speak the protocols, and after each fault they report
+ * correctly whether a request may have taken effect.
  */
 #define WAIT_MS 20000
 
@@ -48,8 +49,8 @@
 
 TestSuite(contract, .init = setup, .fini = teardown);
 
-/* The one event that an effect comes to. */
-static event *take(void)
+/* Returns the event that answers an effect. */
+static event *next_event(void)
 {
 	int64_t deadline = clock_now() + WAIT_MS;
 	event *ev;
@@ -60,24 +61,26 @@
 	return ev;
 }
 
-static platform_outcome platform_did(effect *fx, event **kept)
+/* Sends a request to the platform; stores the event in event_out, if given. */
+static platform_outcome platform_exchange(effect *fx, event **event_out)
 {
 	platform_outcome outcome;
 	event *ev;
 
 	cr_assert(edge_platform_send(edge, fx));
-	ev = take();
+	ev = next_event();
 	cr_assert_eq(ev->body.kind, EV_PLATFORM);
 	outcome = ev->body.event_body_u.platform.outcome;
-	if (kept)
-		*kept = ev;
+	if (event_out)
+		*event_out = ev;
 	else
 		event_free(ev);
 	return outcome;
 }
 
-/* A commit of one row over a version. */
-static effect *commit(const char *txid, uint64_t version, const char *value)
+/* Returns a commit of row k that expects a revision of it. */
+static effect *commit_new(const char *txid, uint64_t revision,
+			  const char *value)
 {
 	effect *fx = effect_new(FX_COMMIT);
 	fx_commit *c = &fx->effect_u.commit;
@@ -87,7 +90,7 @@
 	c->checks.checks_len = 1;
 	c->checks.checks_val = xcalloc(1, sizeof(table_check));
 	c->checks.checks_val->key = bstr_new("k");
-	c->checks.checks_val->revision = version;
+	c->checks.checks_val->revision = revision;
 	c->writes.writes_len = 1;
 	c->writes.writes_val = xcalloc(1, sizeof(table_write));
 	c->writes.writes_val->key = bstr_new("k");
@@ -95,27 +98,27 @@
 	return fx;
 }
 
-/* The row's value as it stands; the version is returned. */
-static uint64_t row(char *value, size_t size)
+/* Reads row k; returns its revision. */
+static uint64_t row_read(char *value, size_t size)
 {
 	effect *fx = effect_new(FX_READ);
 	const table_row *r;
-	uint64_t version;
+	uint64_t revision;
 	event *ev;
 
 	fx->effect_u.read.req = 2;
 	fx->effect_u.read.keys.keys_len = 1;
 	fx->effect_u.read.keys.keys_val = xcalloc(1, sizeof(bstr));
 	fx->effect_u.read.keys.keys_val[0] = bstr_new("k");
-	cr_assert_eq(platform_did(fx, &ev), PLATFORM_OK);
+	cr_assert_eq(platform_exchange(fx, &ev), PLATFORM_OK);
 	r = ev->body.event_body_u.platform.rows.rows_val;
-	version = r->revision;
+	revision = r->revision;
 	snprintf(value, size, "%.*s", BSTR_ARG(r->value));
 	event_free(ev);
-	return version;
+	return revision;
 }
 
-static void fault(const char *json)
+static void fault_set(const char *json)
 {
 	char *text = http_expand(json);
 
@@ -125,26 +128,28 @@
 	free(text);
 }
 
-/* A lost race writes nothing and shows the row as it is. */
+/* A commit that expects another revision than the row has writes nothing. */
 Test(contract, a_commit_checks_its_versions)
 {
 	char value[16];
 	uint64_t v;
 
-	cr_expect_eq(platform_did(commit("t1", 0, "a"), NULL), PLATFORM_OK);
-	cr_expect_eq(platform_did(commit("t2", 0, "b"), NULL),
+	cr_expect_eq(platform_exchange(commit_new("t1", 0, "a"), NULL),
+		     PLATFORM_OK);
+	cr_expect_eq(platform_exchange(commit_new("t2", 0, "b"), NULL),
 		     PLATFORM_CONFLICT);
-	v = row(value, sizeof(value));
+	v = row_read(value, sizeof(value));
 	cr_expect_str_eq(value, "a");
-	cr_expect_eq(platform_did(commit("t3", v, "c"), NULL), PLATFORM_OK);
-	row(value, sizeof(value));
+	cr_expect_eq(platform_exchange(commit_new("t3", v, "c"), NULL),
+		     PLATFORM_OK);
+	row_read(value, sizeof(value));
 	cr_expect_str_eq(value, "c");
 }
 
 /*
- * The reducer is told what it may believe: refused means that nothing was
- * written; unknown that it may have been.  Then the same transaction again
- * says how it was, and writes at most once.
+ * A refused commit wrote nothing; one with an unknown outcome may have written.
+ * Sending the same transaction again yields the actual outcome, and writes at
+ * most once.
  */
 Test(contract, outcomes_of_a_commit_under_faults)
 {
@@ -166,25 +171,27 @@
 
 	for (i = 0; i < NELEMS(cases); i++) {
 		snprintf(txid, sizeof(txid), "t%zu", i);
-		fault(cases[i].fault);
-		cr_expect_eq(platform_did(commit(txid, before, txid), NULL),
-			     cases[i].outcome, "%s", cases[i].fault);
-		fault("{'mode':'none'}");
-		after = row(value, sizeof(value));
+		fault_set(cases[i].fault);
+		cr_expect_eq(
+			platform_exchange(commit_new(txid, before, txid), NULL),
+			cases[i].outcome, "%s", cases[i].fault);
+		fault_set("{'mode':'none'}");
+		after = row_read(value, sizeof(value));
 		cr_expect_eq(after != before, cases[i].written, "%s",
 			     cases[i].fault);
-		cr_expect_eq(platform_did(commit(txid, before, txid), NULL),
-			     PLATFORM_OK, "%s again", cases[i].fault);
-		after = row(value, sizeof(value));
+		cr_expect_eq(
+			platform_exchange(commit_new(txid, before, txid), NULL),
+			PLATFORM_OK, "%s again", cases[i].fault);
+		after = row_read(value, sizeof(value));
 		cr_expect_str_eq(value, txid);
 		cr_expect_neq(after, before);
 		before = after;
 	}
 }
 
-/* An exchange with the worker; outcome and the first task's state. */
-static worker_outcome worker_did(uint64_t epoch, const char *start,
-				 const char *stop, task_state *state)
+/* Sends a command to the worker; also returns the state of the first task. */
+static worker_outcome worker_exchange(uint64_t epoch, const char *start,
+				      const char *stop, task_state *state)
 {
 	effect *fx = effect_new(FX_WORKER);
 	fx_worker *w = &fx->effect_u.worker;
@@ -213,7 +220,7 @@
 		w->orders.orders_val->verb = TASK_STOP;
 	}
 	cr_assert(edge_worker_send(worker_edge, fx));
-	ev = take();
+	ev = next_event();
 	cr_assert_eq(ev->body.kind, EV_WORKER);
 	outcome = ev->body.event_body_u.worker.outcome;
 	if (ev->body.event_body_u.worker.tasks.tasks_len)
@@ -222,7 +229,10 @@
 	return outcome;
 }
 
-/* Epochs fence, starts are idempotent, a tombstone outlives its order. */
+/*
+ * A worker refuses an outdated epoch, a repeated start has no effect, and a
+ * task that was stopped before its start is refused later.
+ */
 Test(contract, commands_to_a_worker)
 {
 	static const struct {
@@ -243,14 +253,14 @@
 
 	for (i = 0; i < NELEMS(cases); i++) {
 		state = TASK_FAILED;
-		cr_expect_eq(worker_did(cases[i].epoch, cases[i].start,
-					cases[i].stop, &state),
+		cr_expect_eq(worker_exchange(cases[i].epoch, cases[i].start,
+					     cases[i].stop, &state),
 			     cases[i].outcome, "%zu", i);
 		cr_expect_eq(state, cases[i].state, "%zu", i);
 	}
 }
 
-/* A worker that does not answer may have taken the start: never NOT_SENT. */
+/* A worker that doesn't answer may have taken the start: never NOT_SENT. */
 Test(contract, a_frozen_worker_may_have_taken_it)
 {
 	task_state state = TASK_FAILED;
@@ -258,10 +268,11 @@
 	cr_assert_eq(http_call(workers.port, "POST", "/control",
 			       "{\"mode\": \"freeze\"}", NULL),
 		     200);
-	cr_expect_eq(worker_did(5, "a/1/1/t", NULL, &state), WORKER_NO_ANSWER);
+	cr_expect_eq(worker_exchange(5, "a/1/1/t", NULL, &state),
+		     WORKER_NO_ANSWER);
 	cr_assert_eq(http_call(workers.port, "POST", "/control",
 			       "{\"mode\": \"none\"}", NULL),
 		     200);
-	cr_expect_eq(worker_did(5, "a/1/1/t", NULL, &state), WORKER_OK);
+	cr_expect_eq(worker_exchange(5, "a/1/1/t", NULL, &state), WORKER_OK);
 	cr_expect_eq(state, TASK_RUNNING);
 }
--- a/tests/test-daemon.c
+++ b/tests/test-daemon.c
@@ -11,7 +11,7 @@
 #include "bamboofront.h"
 #include "standin.h"
 
-/* bamboofrontd as a process. */
+/* Tests of bamboofrontd as a process. */
 
 #define KEY32 "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
 #define SETTINGS                                                             \
@@ -27,12 +27,12 @@
 struct process {
 	pid_t pid;
 	FILE *err;
-	char *text; /* what it wrote to standard error */
+	char *text; /* output on standard error so far */
 	size_t len;
 };
 
-/* Write settings for a platform at a port; more ends the object. */
-static void settings_make(const char *name, unsigned port, const char *more)
+/* Writes settings with the platform's port; more is added to the object. */
+static void settings_write(const char *name, unsigned port, const char *more)
 {
 	FILE *f = fopen(name, "w");
 
@@ -44,8 +44,8 @@
 {
 	cr_assert(mkdtemp(dir));
 	cr_assert_eq(chdir(dir), 0);
-	settings_make("good", 1, "");
-	settings_make("bad", 1, ", \"x\": 1, \"timing\": {\"y\": 1}");
+	settings_write("good", 1, "");
+	settings_write("bad", 1, ", \"x\": 1, \"timing\": {\"y\": 1}");
 }
 
 static void tear_down(void)
@@ -60,8 +60,8 @@
 
 TestSuite(daemon, .init = set_up, .fini = tear_down);
 
-/* Start the daemon that lies beside this program. */
-static struct process start(char *const args[])
+/* Starts the daemon from the directory of this program. */
+static struct process daemon_start(char *const args[])
 {
 	struct process p = {.text = xstrdup("")};
 	char self[PATH_MAX] = "", path[PATH_MAX + 16];
@@ -72,7 +72,7 @@
 	snprintf(path, sizeof(path), "%s/bamboofrontd", dirname(self));
 	p.pid = fork();
 	if (!p.pid) {
-		/* A test that fails must leave no process behind. */
+		/* a failed test must leave no process behind */
 		prctl(PR_SET_PDEATHSIG, SIGKILL);
 		dup2(fds[1], STDERR_FILENO);
 		close(fds[0]);
@@ -85,8 +85,11 @@
 	return p;
 }
 
-/* Read its standard error up to a line with a word, NULL: to the end. */
-static bool wait_line(struct process *p, const char *word)
+/*
+ * Reads standard error up to a line with a word, or to the end for NULL.
+ * Returns false if there is no such line.
+ */
+static bool wait_for_line(struct process *p, const char *word)
 {
 	char line[2048];
 	size_t n;
@@ -102,24 +105,24 @@
 	return !word;
 }
 
-/* Wait for its end; its exit status, -1 if a signal ended it. */
-static int finish(struct process *p)
+/* Waits for the daemon; returns its exit status, or -1 after a signal. */
+static int daemon_wait(struct process *p)
 {
 	int status;
 
-	wait_line(p, NULL);
+	wait_for_line(p, NULL);
 	fclose(p->err);
 	waitpid(p->pid, &status, 0);
 	return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-/* Command lines that end by themselves: exit status, and what they say. */
+/* Command lines with which the daemon exits: its status and its messages. */
 Test(daemon, ends)
 {
 	const struct {
 		const char *args[5];
 		int status;
-		const char *says[2];
+		const char *messages[2];
 	} cases[] = {
 		{{"--check", "good"}, 0, {"", ""}},
 		{{"--check", "bad"},
@@ -144,18 +147,18 @@
 
 	for (i = 0; i < NELEMS(cases); i++) {
 		memcpy(argv + 1, cases[i].args, sizeof(cases[i].args));
-		p = start(argv);
-		cr_expect_eq(finish(&p), cases[i].status, "case %zu: %s", i,
-			     p.text);
+		p = daemon_start(argv);
+		cr_expect_eq(daemon_wait(&p), cases[i].status, "case %zu: %s",
+			     i, p.text);
 		for (k = 0; k < 2; k++)
-			cr_expect(strstr(p.text, cases[i].says[k]),
+			cr_expect(strstr(p.text, cases[i].messages[k]),
 				  "case %zu: %s", i, p.text);
 		free(p.text);
 	}
 }
 
-/* Start it for good, and check what it announces. */
-static struct process start_whole(void)
+/* Starts the daemon, waits until it runs and checks the announced ports. */
+static struct process daemon_start_ready(void)
 {
 	char *argv[] = {(char *)"bamboofrontd",
 			(char *)"good",
@@ -164,10 +167,10 @@
 			(char *)"--record",
 			(char *)"record",
 			NULL};
-	struct process p = start(argv);
+	struct process p = daemon_start(argv);
 	json_t *j;
 
-	cr_assert(wait_line(&p, "1001 STARTED"), "%s", p.text);
+	cr_assert(wait_for_line(&p, "1001 STARTED"), "%s", p.text);
 	j = json_load_file("ports", 0, NULL);
 	cr_expect_eq(json_integer_value(json_object_get(j, "pid")), p.pid);
 	cr_expect(json_integer_value(json_object_get(j, "callers")));
@@ -178,8 +181,8 @@
 }
 
 /*
- * A planned stop: one signal, what is owned is handed over, every edge is
- * ended, nothing leaks; also while the platform can't be reached.
+ * One signal makes the daemon hand over its units, stop all edges and exit
+ * without leaks, also while the platform can't be reached.
  */
 Test(daemon, planned_stop)
 {
@@ -190,25 +193,25 @@
 
 	standin_start(&platform, "standin-platform", NULL);
 	for (i = 0; i < NELEMS(signals); i++) {
-		p = start_whole();
-		cr_assert(!i || wait_line(&p, "2003 OWNED"), "%s", p.text);
+		p = daemon_start_ready();
+		cr_assert(!i || wait_for_line(&p, "2003 OWNED"), "%s", p.text);
 		kill(p.pid, signals[i]);
-		cr_expect_eq(finish(&p), 0, "%s", p.text);
+		cr_expect_eq(daemon_wait(&p), 0, "%s", p.text);
 		cr_expect(strstr(p.text, "1002 STOPPING"));
 		cr_expect(strstr(p.text, "1003 STOPPED: all handed over"), "%s",
 			  p.text);
 		free(p.text);
 		remove("record");
-		settings_make("good", platform.port, "");
+		settings_write("good", platform.port, "");
 	}
 	standin_stop(&platform);
 }
 
 /*
- * The operator is impatient: a second signal comes before the planned stop
- * is over.  The daemon ends at once, but must not look as if it had handed
- * over all it owned.  Both signals are sent while it is paused, so that it
- * sees them together, before the platform can have taken anything back.
+ * A second signal during the planned stop makes the daemon exit at once, with a
+ * status and a log event that don't claim that its units were handed over.
+ * Both signals are sent while it is paused, so that it sees them together,
+ * before the platform can have answered a hand-over.
  */
 Test(daemon, second_signal)
 {
@@ -217,15 +220,15 @@
 	int status;
 
 	standin_start(&platform, "standin-platform", NULL);
-	settings_make("good", platform.port, "");
-	p = start_whole();
-	cr_assert(wait_line(&p, "2003 OWNED"), "%s", p.text);
+	settings_write("good", platform.port, "");
+	p = daemon_start_ready();
+	cr_assert(wait_for_line(&p, "2003 OWNED"), "%s", p.text);
 	kill(p.pid, SIGSTOP);
 	waitpid(p.pid, &status, WUNTRACED);
 	kill(p.pid, SIGTERM);
 	kill(p.pid, SIGINT);
 	kill(p.pid, SIGCONT);
-	cr_expect_eq(finish(&p), 1, "%s", p.text);
+	cr_expect_eq(daemon_wait(&p), 1, "%s", p.text);
 	cr_expect(strstr(p.text, "1006 STOP_FORCED"), "%s", p.text);
 	free(p.text);
 	standin_stop(&platform);
