--- a/tests/test-base.c
+++ b/tests/test-base.c
@@ -3,7 +3,10 @@
 #include <criterion/criterion.h>
 #include <stdlib.h>
 
-/* Names reach table rows, URLs and logs, so each bad character counts. */
+/*
+ * Names get into keys of rows, URLs and logs, so that no other character may
+ * be accepted.
+ */
 Test(bstr, is_name)
 {
 	static const struct {
@@ -43,7 +46,7 @@
 	}
 }
 
-/* A truncated or an overlong encoding is an error, never a value. */
+/* A truncated encoding is refused, never decoded in part. */
 Test(codec, xdr_decode_is_all_or_nothing)
 {
 	cell_id cell = {bstr_lit("planning"), bstr_lit("a")}, got;
--- a/tests/test-catalogue.c
+++ b/tests/test-catalogue.c
@@ -7,41 +7,42 @@
 #include "settings.h"
 
 /*
- * The catalogues in docs/ hold what the code does: each entry has its row,
- * in the code's order, and there is no row beside.  A row may go on after
- * what is checked, with what to do about it.
+ * The catalogue pages in docs/ must list the same entries as the code, in the
+ * same order, one row each and no other rows.  A row may have further columns
+ * after those that are checked, for example what to do about an event.
  */
-struct doc {
+struct page {
 	const char *path;
 	FILE *file;
 	char *line;
-	size_t room;
+	size_t size;
 };
 
-/* Open a page; tests run at the root of the project. */
-static struct doc doc_open(const char *path)
+/* Opens a page; tests run at the root of the project. */
+static struct page page_open(const char *path)
 {
-	struct doc d = {.path = path, .file = fopen(path, "r")};
+	struct page d = {.path = path, .file = fopen(path, "r")};
 
 	cr_assert(d.file, "%s can't be opened", path);
 	return d;
 }
 
-/* The next row of a table: "| `name`" or "| number"; NULL at the end. */
-static const char *doc_row(struct doc *d)
+/* Returns the next row: "| `name`" or "| number"; NULL at the end. */
+static const char *page_next_row(struct page *d)
 {
-	while (getline(&d->line, &d->room, d->file) >= 0)
+	while (getline(&d->line, &d->size, d->file) >= 0)
 		if (d->line[0] == '|' &&
 		    (d->line[2] == '`' || isdigit((unsigned char)d->line[2])))
 			return d->line;
 	return NULL;
 }
 
-/* The next row must begin so. */
-static void doc_expect(struct doc *d, const char *fmt, ...) PRINTF_LIKE(2, 3);
-static void doc_expect(struct doc *d, const char *fmt, ...)
+/* Checks that the next row begins with a text. */
+static void page_expect_row(struct page *d, const char *fmt, ...)
+	PRINTF_LIKE(2, 3);
+static void page_expect_row(struct page *d, const char *fmt, ...)
 {
-	const char *row = doc_row(d);
+	const char *row = page_next_row(d);
 	va_list ap;
 	char *want;
 
@@ -49,15 +50,15 @@
 	cr_assert(vasprintf(&want, fmt, ap) >= 0);
 	va_end(ap);
 	cr_expect(row && !strncmp(row, want, strlen(want)),
-		  "%s: expected %s, is %s", d->path, want,
+		  "%s: expected %s, got %s", d->path, want,
 		  row ? row : "the end");
 	free(want);
 }
 
-/* There must be no further row. */
-static void doc_close(struct doc *d)
+/* Checks that there are no more rows and closes the page. */
+static void page_close(struct page *d)
 {
-	const char *row = doc_row(d);
+	const char *row = page_next_row(d);
 
 	cr_expect_not(row, "%s: unexpected %s", d->path, row);
 	fclose(d->file);
@@ -66,32 +67,33 @@
 
 Test(catalogue, events)
 {
-	struct doc d = doc_open("docs/EVENTS.md");
+	struct page d = page_open("docs/EVENTS.md");
 	size_t i;
 
 	for (i = 0; i < log_entry_count; i++)
-		doc_expect(&d, "| %" PRIu32 " | `%s` | %s | %s |",
-			   log_entries[i].number, log_entries[i].name,
-			   settings_level_name(log_entries[i].level),
-			   log_entries[i].description);
-	doc_close(&d);
+		page_expect_row(&d, "| %" PRIu32 " | `%s` | %s | %s |",
+				log_entries[i].number, log_entries[i].name,
+				settings_level_name(log_entries[i].level),
+				log_entries[i].description);
+	page_close(&d);
 }
 
 Test(catalogue, counters)
 {
-	struct doc d = doc_open("docs/COUNTERS.md");
+	struct page d = page_open("docs/COUNTERS.md");
 	const struct counter_entry *c;
 	int i;
 
 	for (i = 0; i < COUNTER_MAX; i++) {
 		c = &counter_entries[i];
 		if (c->label)
-			doc_expect(&d, "| `%s{%s=\"%s\"}` | %s |", c->family,
-				   c->label, c->value, c->help);
+			page_expect_row(&d, "| `%s{%s=\"%s\"}` | %s |",
+					c->family, c->label, c->value, c->help);
 		else
-			doc_expect(&d, "| `%s` | %s |", c->family, c->help);
+			page_expect_row(&d, "| `%s` | %s |", c->family,
+					c->help);
 	}
-	doc_close(&d);
+	page_close(&d);
 }
 
 Test(catalogue, mechanisms)
@@ -104,35 +106,36 @@
 #include "../policy.def"
 #undef POLICY
 	};
-	struct doc d = doc_open("docs/POLICY.md");
+	struct page d = page_open("docs/POLICY.md");
 	size_t i;
 
 	for (i = 0; i < NELEMS(rows); i++)
-		doc_expect(&d, "| `%s` | %s |", rows[i].word, rows[i].text);
-	doc_close(&d);
+		page_expect_row(&d, "| `%s` | %s |", rows[i].word,
+				rows[i].text);
+	page_close(&d);
 }
 
 Test(catalogue, settings)
 {
-	struct doc d = doc_open("docs/SETTINGS.md");
+	struct page d = page_open("docs/SETTINGS.md");
 	const struct setting *t;
 	size_t i;
 
 	for (i = 0; i < settings_count; i++) {
 		t = &settings_table[i];
 		if (t->type == SETTING_U32)
-			doc_expect(&d,
-				   "| `%s` | %s | %" PRIu64 " | %" PRIu64
-				   " to %" PRIu64 " |",
-				   t->path, t->unit, t->default_value, t->min,
-				   t->max);
+			page_expect_row(&d,
+					"| `%s` | %s | %" PRIu64 " | %" PRIu64
+					" to %" PRIu64 " |",
+					t->path, t->unit, t->default_value,
+					t->min, t->max);
 		else if (t->type == SETTING_LEVEL)
-			doc_expect(&d, "| `%s` | level | %s |", t->path,
-				   settings_level_name(t->default_value));
+			page_expect_row(&d, "| `%s` | level | %s |", t->path,
+					settings_level_name(t->default_value));
 		else
-			doc_expect(&d, "| `%s` |", t->path);
+			page_expect_row(&d, "| `%s` |", t->path);
 		cr_expect_eq(t->required, d.line && strstr(d.line, "required"),
 			     "%s", t->path);
 	}
-	doc_close(&d);
+	page_close(&d);
 }
--- a/tests/test-record.c
+++ b/tests/test-record.c
@@ -10,7 +10,7 @@
 static struct error e;
 static struct settings settings;
 
-/* Make settings with secrets in them, and a name for a file. */
+/* Creates settings that have a secret, and the name of a recording. */
 static void set_up(void)
 {
 	json_t *j;
@@ -33,8 +33,11 @@
 
 TestSuite(record, .init = set_up, .fini = tear_down);
 
-/* Record n ticks, each answered by a log line and a wake. */
-static void write_steps(int n, bool whole)
+/*
+ * Records n ticks, each with a log line and a wake as effects.  Unless complete
+ * is set, a step that can't be encoded and another step follow.
+ */
+static void write_steps(int n, bool complete)
 {
 	struct recorder *r = recorder_open(path, &settings, UINT64_MAX,
 					   "127.0.0.1:9", &e);
@@ -49,19 +52,19 @@
 		list[1].effect_u.wake = ev.now + 5;
 		recorder_step(r, &ev, &fx);
 	}
-	if (!whole) {
-		/* longer than the schema allows: it can't be encoded */
+	if (!complete) {
+		/* can't be encoded, as it exceeds the limit of the schema */
 		big = xcalloc(1, BSTR_MAX + 1);
 		list[0].effect_u.log.text = bstr_ref(big, BSTR_MAX + 1);
 		recorder_step(r, &ev, &fx);
 		free(big);
-		list[0].effect_u.log.text = bstr_lit("after the hole");
+		list[0].effect_u.log.text = bstr_lit("after the mark");
 		recorder_step(r, &ev, &fx);
 	}
-	cr_expect_eq(recorder_close(r), whole);
+	cr_expect_eq(recorder_close(r), complete);
 }
 
-/* Read all steps; how many, and how it ended. */
+/* Reads and checks all steps; returns their number and the last result. */
 static int read_steps(enum record_result *end)
 {
 	struct recording *r = recording_open(path, &e);
@@ -81,7 +84,7 @@
 	return n;
 }
 
-/* What is written is read, and what the reducer starts from with it. */
+/* Steps, settings, seed and address are read as they were recorded. */
 Test(record, round_trip)
 {
 	enum record_result end;
@@ -99,7 +102,7 @@
 	cr_expect_eq(end, RECORD_END);
 }
 
-/* A recording may be passed on: no secret of the settings is in it. */
+/* A recording holds no secret of the settings, as it may be handed on. */
 Test(record, no_secrets)
 {
 	char text[4096];
@@ -114,35 +117,36 @@
 }
 
 /*
- * The daemon is killed while it writes: the file ends within a record.  At
- * whatever byte that is, the steps before are read and the last is reported
- * as torn, never as a step or as a good end.
+ * A recording of a daemon that was killed while it wrote ends within a step.
+ * Wherever that is, the steps before are read and the last is reported as
+ * truncated, never as a step or as the regular end.
  */
 Test(record, torn)
 {
 	enum record_result end;
-	struct stat one, two;
+	struct stat first_stat, second_stat;
 	off_t size;
 
 	write_steps(1, true);
-	stat(path, &one);
+	stat(path, &first_stat);
 	remove(path);
 	write_steps(2, true);
-	stat(path, &two);
-	for (size = two.st_size - 1; size > one.st_size; size--) {
+	stat(path, &second_stat);
+	for (size = second_stat.st_size - 1; size > first_stat.st_size;
+	     size--) {
 		cr_assert_eq(truncate(path, size), 0);
 		cr_expect_eq(read_steps(&end), 1);
 		cr_expect_eq(end, RECORD_TRUNCATED, "at byte %ld", (long)size);
 	}
-	cr_assert_eq(truncate(path, one.st_size), 0);
+	cr_assert_eq(truncate(path, first_stat.st_size), 0);
 	cr_expect_eq(read_steps(&end), 1);
 	cr_expect_eq(end, RECORD_END);
 }
 
 /*
- * A step can't be recorded: the recording ends there and says so.  The step
- * after it must not be in the file, or a replay would differ for no fault of
- * the reducer.
+ * If a step can't be recorded, the recording stops there with a mark.  Later
+ * steps must not be in the file, or a replay would differ although the reducer
+ * is correct.
  */
 Test(record, cut)
 {
@@ -153,7 +157,7 @@
 	cr_expect_eq(end, RECORD_STOPPED);
 }
 
-/* Files that are no recordings, or hold a step that is none. */
+/* Files that aren't recordings, and one with an invalid step. */
 Test(record, bad)
 {
 	static const struct {
@@ -187,7 +191,7 @@
 	cr_expect_eq(end, RECORD_BAD);
 }
 
-/* A recording is not written over another file. */
+/* A recording doesn't overwrite an existing file. */
 Test(record, exists)
 {
 	write_steps(1, true);
@@ -196,7 +200,7 @@
 	cr_expect_eq(e.count, 2);
 }
 
-/* The first difference is found, also where one list is longer. */
+/* The index of the first difference, also if one list is longer; -1: none. */
 Test(record, differ)
 {
 	effect a[] = {{.kind = FX_WAKE, .effect_u.wake = 1},
@@ -217,7 +221,7 @@
 			     cases[i].at, "case %zu", i);
 }
 
-/* People can read a value; bytes that don't print are escaped. */
+/* A printed value is readable; non-printable bytes are escaped. */
 Test(record, print)
 {
 	effect fx = {.kind = FX_LOG};
