--- a/tests/test-client.c
+++ b/tests/test-client.c
@@ -12,9 +12,9 @@
 
 static const struct poptOption common[] = {POPT_TABLEEND};
 
-/* Split a command line at blanks and parse it; false: findings in e. */
-static const struct command *parse(const char *line, union cmd_values *v,
-				   struct error *e)
+/* Splits a command line at blanks and parses it; e gets the findings. */
+static const struct command *line_parse(const char *line, union cmd_values *v,
+					struct error *e)
 {
 	static char text[512];
 	const char *words[WORDS_MAX + 1] = {NULL};
@@ -34,7 +34,10 @@
 	return cmd;
 }
 
-/* Command lines and the request that each becomes, in schema order. */
+/*
+ * The request that each command line is parsed to, printed in the order of the
+ * schema.  NULL: the command line is refused.
+ */
 Test(client, requests)
 {
 	static const struct {
@@ -89,7 +92,7 @@
 	FILE *f;
 
 	for (i = 0; i < NELEMS(cases); i++) {
-		cmd = parse(cases[i].line, &v, &e);
+		cmd = line_parse(cases[i].line, &v, &e);
 		cr_expect_eq(!e.count, !!cases[i].request, "%s", cases[i].line);
 		f = open_memstream(&text, &size);
 		xdr_print(f, XDR_PROC(xdr_op_request), &v.request);
@@ -103,7 +106,7 @@
 	}
 }
 
-/* What is wrong with a command line is told by the name of its field. */
+/* A finding names the option or argument that is wrong. */
 Test(client, usage)
 {
 	static const struct {
@@ -134,7 +137,7 @@
 	char *text;
 
 	for (i = 0; i < NELEMS(cases); i++) {
-		cmd = parse(cases[i].line, &v, &e);
+		cmd = line_parse(cases[i].line, &v, &e);
 		text = error_text(&e);
 		cr_expect(strstr(text, cases[i].finding), "%s: %s",
 			  cases[i].line, text);
@@ -146,7 +149,7 @@
 	cr_expect_not(command_find((const char *[]){NULL}, &used));
 }
 
-/* JSON and the table made of it. */
+/* The table that is printed for a JSON value. */
 Test(client, tables)
 {
 	static const struct {
@@ -179,7 +182,7 @@
 		f = open_memstream(&text, &size);
 		table_print(f, j);
 		fclose(f);
-		cr_expect_str_eq(text, cases[i].table, "%s gives\n%s",
+		cr_expect_str_eq(text, cases[i].table, "%s prints\n%s",
 				 cases[i].json, text);
 		free(text);
 		json_decref(j);
@@ -187,12 +190,12 @@
 }
 
 /*
- * Servers that do as a case says, one letter each, in place of
- * operator-client.c: x: no connection; n: not sent whole; l: the answer was
- * lost; u, r, o: answered unavailable, refused, ok.
+ * Fakes in place of operator-client.c.  A letter for each server says what it
+ * does: x: no connection; n: the request isn't fully sent; l: the answer is
+ * lost; u, r, o: the answer is unavailable, refused or ok.
  */
-static const char *script;
-static char called[8];
+static const char *server_actions;
+static char servers_called[8];
 
 struct operator_client *operator_client_open(const char *address,
 					     const char *name,
@@ -202,7 +205,7 @@
 	(void)name;
 	(void)key;
 	(void)deadline;
-	if (script[*address - '0'] != 'x')
+	if (server_actions[*address - '0'] != 'x')
 		return (struct operator_client *)(void *)address;
 	error_add(e, address, "no connection");
 	return NULL;
@@ -211,20 +214,20 @@
 bool operator_client_call(struct operator_client *c, const op_request *req,
 			  int64_t deadline, op_reply *reply)
 {
-	char server = *(char *)(void *)c, what = script[server - '0'];
+	char server = *(char *)(void *)c, action = server_actions[server - '0'];
 
 	(void)req;
 	(void)deadline;
 	memset(reply, 0, sizeof(*reply));
-	strncat(called, &server, 1);
-	reply->status = what == 'o'   ? OP_OK
-			: what == 'r' ? OP_REFUSED
-			: what == 'l' ? OP_UNKNOWN
-				      : OP_UNAVAILABLE;
+	strncat(servers_called, &server, 1);
+	reply->status = action == 'o'	? OP_OK
+			: action == 'r' ? OP_REFUSED
+			: action == 'l' ? OP_UNKNOWN
+					: OP_UNAVAILABLE;
 	reply->reason = bstr_new("because");
-	if (what == 'o')
+	if (action == 'o')
 		reply->body = bstr_new("{\"a\": 1}");
-	return what != 'n' && what != 'l';
+	return action != 'n' && action != 'l';
 }
 
 void operator_client_close(struct operator_client *c)
@@ -232,8 +235,8 @@
 	(void)c;
 }
 
-/* Run a command line with a client that prints to text. */
-static int run(struct cmd_client *c, const char *line, char **text)
+/* Runs a command line; its output is stored in text, to be freed. */
+static int command_run(struct cmd_client *c, const char *line, char **text)
 {
 	const struct command *cmd;
 	union cmd_values v;
@@ -243,7 +246,7 @@
 
 	c->out = c->err = open_memstream(text, &size);
 	c->timeout_ms = 2000;
-	cmd = parse(line, &v, &e);
+	cmd = line_parse(line, &v, &e);
 	cr_assert_not(e.count, "%s", line);
 	code = cmd->exec(c, cmd, &v);
 	fclose(c->out);
@@ -251,8 +254,8 @@
 	return code;
 }
 
-/* A file that holds a text. */
-static void file_make(char *path, const char *text)
+/* Creates a temporary file with a text. */
+static void temp_file_write(char *path, const char *text)
 {
 	int fd = mkstemp(path);
 
@@ -261,15 +264,15 @@
 }
 
 /*
- * The operator sees one change made once, or is told that nobody knows.
- * The answer of the first server is lost after it may have carried the
- * change out; sending it to the second could do it twice.  A question may be
- * asked anywhere, any number of times.
+ * Guards against a change that is made twice.  If the answer of the first
+ * server is lost, the change may have been made; the client must not send it to
+ * another server, but report that the outcome is unknown.  Requests that change
+ * nothing are sent to further servers.
  */
 Test(client, servers)
 {
 	static const struct {
-		const char *line, *script, *called;
+		const char *line, *server_actions, *servers_called;
 		int code;
 	} cases[] = {
 		{"pool remove p", "o", "0", CMD_OK},
@@ -296,38 +299,39 @@
 	char *text;
 
 	snprintf(hex, sizeof(hex), "%064d\n", 0);
-	file_make(path, hex);
+	temp_file_write(path, hex);
 	for (i = 0; i < NELEMS(cases); i++) {
-		script = cases[i].script;
-		n = strlen(script);
+		server_actions = cases[i].server_actions;
+		n = strlen(server_actions);
 		memset(list, 0, sizeof(list));
 		memcpy(list, servers, n * sizeof(*list));
-		called[0] = '\0';
+		servers_called[0] = '\0';
 		c.key_file = path;
-		cr_expect_eq(run(&c, cases[i].line, &text), cases[i].code,
-			     "%s %s", cases[i].line, script);
-		cr_expect_str_eq(called, cases[i].called, "%s %s",
-				 cases[i].line, script);
+		cr_expect_eq(command_run(&c, cases[i].line, &text),
+			     cases[i].code, "%s %s", cases[i].line,
+			     server_actions);
+		cr_expect_str_eq(servers_called, cases[i].servers_called,
+				 "%s %s", cases[i].line, server_actions);
 		free(text);
 	}
 	c.operator= NULL;
 	c.key_file = "/dev/null";
-	cr_expect_eq(run(&c, "fleet", &text), CMD_INVALID);
+	cr_expect_eq(command_run(&c, "fleet", &text), CMD_INVALID);
 	cr_expect_str_eq(text, "--operator: is missing\n"
 			       "/dev/null: expected 64 hexadecimal digits\n");
 	free(text);
 	remove(path);
 }
 
-/* An HTTP service that notes the request and answers as a case says. */
+/* An HTTP server that records the request and sends a given answer. */
 struct service {
 	unsigned status; /* 0: closes the connection instead */
 	const char *body;
 	char request[1024];
 };
 
-static enum MHD_Result header_note(void *arg, enum MHD_ValueKind kind,
-				   const char *name, const char *value)
+static enum MHD_Result header_record(void *arg, enum MHD_ValueKind kind,
+				     const char *name, const char *value)
 {
 	struct service *s = arg;
 	size_t n = strlen(s->request);
@@ -346,7 +350,7 @@
 {
 	struct service *s = arg;
 	struct MHD_Response *r;
-	enum MHD_Result ok;
+	enum MHD_Result result;
 	size_t n;
 
 	(void)version;
@@ -355,7 +359,7 @@
 		snprintf(s->request, sizeof(s->request), "%s %s", method, url);
 		MHD_get_connection_values(
 			conn, MHD_HEADER_KIND | MHD_GET_ARGUMENT_KIND,
-			header_note, s);
+			header_record, s);
 		return MHD_YES;
 	}
 	if (*size) {
@@ -369,42 +373,42 @@
 		return MHD_NO;
 	r = MHD_create_response_from_buffer(strlen(s->body), (void *)s->body,
 					    MHD_RESPMEM_PERSISTENT);
-	ok = MHD_queue_response(conn, s->status, r);
+	result = MHD_queue_response(conn, s->status, r);
 	MHD_destroy_response(r);
-	return ok;
+	return result;
 }
 
-#define RENEW "submit p --payload {} --idempotency-key k "
+#define SUBMIT "submit p --payload {} --idempotency-key k "
 
-/* Command lines, the answer they get, the exit code and what is printed. */
+/* Command lines, the server's answer, and the exit code and output. */
 static const struct {
 	const char *line;
 	unsigned status;
 	const char *body;
 	int code;
-	const char *printed, *request;
+	const char *output, *request;
 } calls[] = {
-	{RENEW "--wait --may-repeat --within-ms 500 --cpu-milli 100", 200,
+	{SUBMIT "--wait --may-repeat --within-ms 500 --cpu-milli 100", 200,
 	 "{\"job\": \"j\", \"state\": \"done\"}", CMD_OK, "state  done",
 	 "POST /v1/jobs Bearer bf_x k {\"pool\":\"p\",\"payload\":{},"
 	 "\"may_be_repeated\":true,\"urgent\":false,\"wait\":true,"
 	 "\"cpu_milli\":100,\"timeout_ms\":500}"},
-	{RENEW, 202, "{\"state\": \"queued\"}", CMD_OK, "queued", NULL},
-	{RENEW, 200, "{\"state\": \"failed\"}", CMD_JOB_FAILED, "", NULL},
-	{RENEW, 200, "{\"state\": \"not-run\"}", CMD_REFUSED, "", NULL},
-	{RENEW, 200, "{\"state\": \"unknown\"}", CMD_UNKNOWN, "", NULL},
-	{RENEW, 400, "{}", CMD_INVALID, "", NULL},
-	{RENEW, 401, "{}", CMD_DENIED, "", NULL},
-	{RENEW, 403, "{}", CMD_DENIED, "", NULL},
-	{RENEW, 404, "{}", CMD_NOT_FOUND, "", NULL},
-	{RENEW, 409, "{}", CMD_CONFLICT, "", NULL},
-	{RENEW, 422, "{}", CMD_INVALID, "", NULL},
-	{RENEW, 429, "{\"state\": \"not-run\"}", CMD_REFUSED, "", NULL},
-	{RENEW, 500, "{}", CMD_UNKNOWN, "", NULL},
-	{RENEW, 503, "{\"state\": \"not-run\"}", CMD_UNAVAILABLE, "", NULL},
-	{RENEW, 504, "{\"state\": \"unknown\"}", CMD_UNKNOWN, "", NULL},
-	{RENEW, 200, "<html>", CMD_UNKNOWN, "no JSON", NULL},
-	{RENEW, 0, "", CMD_UNKNOWN, "again with --idempotency-key k", NULL},
+	{SUBMIT, 202, "{\"state\": \"queued\"}", CMD_OK, "queued", NULL},
+	{SUBMIT, 200, "{\"state\": \"failed\"}", CMD_JOB_FAILED, "", NULL},
+	{SUBMIT, 200, "{\"state\": \"not-run\"}", CMD_REFUSED, "", NULL},
+	{SUBMIT, 200, "{\"state\": \"unknown\"}", CMD_UNKNOWN, "", NULL},
+	{SUBMIT, 400, "{}", CMD_INVALID, "", NULL},
+	{SUBMIT, 401, "{}", CMD_DENIED, "", NULL},
+	{SUBMIT, 403, "{}", CMD_DENIED, "", NULL},
+	{SUBMIT, 404, "{}", CMD_NOT_FOUND, "", NULL},
+	{SUBMIT, 409, "{}", CMD_CONFLICT, "", NULL},
+	{SUBMIT, 422, "{}", CMD_INVALID, "", NULL},
+	{SUBMIT, 429, "{\"state\": \"not-run\"}", CMD_REFUSED, "", NULL},
+	{SUBMIT, 500, "{}", CMD_UNKNOWN, "", NULL},
+	{SUBMIT, 503, "{\"state\": \"not-run\"}", CMD_UNAVAILABLE, "", NULL},
+	{SUBMIT, 504, "{\"state\": \"unknown\"}", CMD_UNKNOWN, "", NULL},
+	{SUBMIT, 200, "<html>", CMD_UNKNOWN, "no JSON", NULL},
+	{SUBMIT, 0, "", CMD_UNKNOWN, "again with --idempotency-key k", NULL},
 	{"status j --wait-ms 7", 200, "{\"state\": \"running\"}", CMD_OK,
 	 "running", "GET /v1/jobs/j 7 Bearer bf_x"},
 	{"status j", 0, "", CMD_NO_CONNECTION, "", NULL},
@@ -426,17 +430,17 @@
 	size_t i;
 
 	cr_assert(d);
-	file_make(path, "bf_x\n");
+	temp_file_write(path, "bf_x\n");
 	c.callers = xasprintf(
 		"http://127.0.0.1:%u",
 		MHD_get_daemon_info(d, MHD_DAEMON_INFO_BIND_PORT)->port);
 	for (i = 0; i < NELEMS(calls); i++) {
 		s.status = calls[i].status;
 		s.body = calls[i].body;
-		cr_expect_eq(run(&c, calls[i].line, &text), calls[i].code,
-			     "%s %u %s", calls[i].line, calls[i].status,
-			     calls[i].body);
-		cr_expect(strstr(text, calls[i].printed), "%s: %s",
+		cr_expect_eq(command_run(&c, calls[i].line, &text),
+			     calls[i].code, "%s %u %s", calls[i].line,
+			     calls[i].status, calls[i].body);
+		cr_expect(strstr(text, calls[i].output), "%s: %s",
 			  calls[i].line, text);
 		cr_expect_not(strstr(text, "bf_x"));
 		if (calls[i].request)
@@ -445,20 +449,21 @@
 		free(text);
 	}
 	MHD_stop_daemon(d);
-	cr_expect_eq(run(&c, RENEW, &text), CMD_NO_CONNECTION);
+	cr_expect_eq(command_run(&c, SUBMIT, &text), CMD_NO_CONNECTION);
 	free(text);
-	cr_expect_eq(run(&c, "cancel", &text), CMD_INVALID);
+	cr_expect_eq(command_run(&c, "cancel", &text), CMD_INVALID);
 	free(text);
-	cr_expect_eq(run(&c, "submit p --payload {", &text), CMD_INVALID);
+	cr_expect_eq(command_run(&c, "submit p --payload {", &text),
+		     CMD_INVALID);
 	free(text);
 	free(c.callers);
 	remove(path);
 }
 
 /*
- * A user complains of a job.  Its lines stand in the logs of three VMs, out
- * of order; the trace gives them in the order of time, with the change of
- * owner between them, and without other jobs and other workers.
+ * The log lines of a job come from three VMs and are out of order.  The trace
+ * has to print them ordered by time, with the events of the owner and worker in
+ * between, and without those of other jobs and other workers.
  */
 static const char trace_log[] =
 	"ev=3006 name=JOB_SEEN level=info wall_ms=5010 vm=b job=aa queue=q\n"
@@ -482,20 +487,21 @@
 	struct cmd_client c = {0};
 	size_t i;
 
-	file_make(path, trace_log);
+	temp_file_write(path, trace_log);
 	line = xasprintf("trace aa %s", path);
-	cr_expect_eq(run(&c, line, &text), CMD_OK);
+	cr_expect_eq(command_run(&c, line, &text), CMD_OK);
 	for (i = 0, p = text; i < NELEMS(order); i++) {
 		p = strstr(p, order[i]);
-		cr_assert(p, "%s in its place: %s", order[i], text);
+		cr_assert(p, "%s is missing or out of order: %s", order[i],
+			  text);
 	}
-	cr_expect_not(strstr(text, "bb"), "another job");
-	cr_expect_not(strstr(text, "worker=w2"), "another worker");
-	cr_expect_not(strstr(text, "OWNER_GAINED"), "after its end");
+	cr_expect_not(strstr(text, "bb"), "line of another job");
+	cr_expect_not(strstr(text, "worker=w2"), "line of another worker");
+	cr_expect_not(strstr(text, "OWNER_GAINED"), "line after the job's end");
 	free(text);
 	free(line);
 	line = xasprintf("trace cc %s", path);
-	cr_expect_eq(run(&c, line, &text), CMD_NOT_FOUND);
+	cr_expect_eq(command_run(&c, line, &text), CMD_NOT_FOUND);
 	free(text);
 	free(line);
 	remove(path);
--- a/tests/test-heap.c
+++ b/tests/test-heap.c
@@ -6,8 +6,8 @@
 #define NODES 200
 #define STEPS 5000
 
-/* The node that is due first, found by looking at all. */
-static int64_t least(const struct heap_node *nodes)
+/* Returns the earliest due time by a linear search, or INT64_MAX. */
+static int64_t earliest_due(const struct heap_node *nodes)
 {
 	int64_t at = INT64_MAX;
 	size_t i;
@@ -18,7 +18,10 @@
 	return at;
 }
 
-/* A deadline that is never looked at would keep a request for ever. */
+/*
+ * Guards against a heap that misses the earliest deadline, since its request
+ * would then never time out.
+ */
 Test(heap, the_first_is_due_first_whatever_was_done)
 {
 	struct heap_node nodes[NODES] = {{0}}, *first;
@@ -34,13 +37,14 @@
 		else
 			heap_remove(&h, &nodes[n]);
 		first = heap_first(&h);
-		cr_assert_eq(first ? first->due : INT64_MAX, least(nodes));
+		cr_assert_eq(first ? first->due : INT64_MAX,
+			     earliest_due(nodes));
 	}
 	while ((first = heap_first(&h))) {
-		cr_assert_eq(first->due, least(nodes));
+		cr_assert_eq(first->due, earliest_due(nodes));
 		heap_remove(&h, first);
-		heap_remove(&h, first); /* a second time changes nothing */
+		heap_remove(&h, first); /* has no effect */
 	}
-	cr_expect_eq(least(nodes), INT64_MAX);
+	cr_expect_eq(earliest_due(nodes), INT64_MAX);
 	heap_free(&h);
 }
--- a/tests/test-secret.c
+++ b/tests/test-secret.c
@@ -37,7 +37,7 @@
 	}
 }
 
-/* A secret comes from outside: only its one form is taken. */
+/* Secrets come from callers, so that any other form must be refused. */
 Test(secret, split_refuses_every_other_form)
 {
 #define TAIL "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA"
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -15,7 +15,7 @@
 	" \"platform\": {\"url\": \"http://127.0.0.1:80\","
 	"  \"token\": \"hush\"}}";
 
-/* The base with one member set to a JSON text, or removed by NULL. */
+/* Returns the base with one member set to a JSON text, or removed for NULL. */
 static char *base_with(const char *path, const char *value)
 {
 	json_t *root = json_loads(base, 0, NULL), *group = root;
@@ -39,8 +39,8 @@
 	return text;
 }
 
-/* Parse, and give the findings as one line; empty: none. */
-static char *findings(const char *text, struct settings *s)
+/* Parses settings and returns the findings as one line; empty: none. */
+static char *parse_findings(const char *text, struct settings *s)
 {
 	struct error e;
 	char *line;
@@ -54,7 +54,7 @@
 	return line;
 }
 
-/* One wrong value each: the finding names the path and what was expected. */
+/* For a wrong value the finding names its path and what was expected. */
 Test(settings, wrong)
 {
 	static const struct {
@@ -126,7 +126,7 @@
 
 	for (i = 0; i < NELEMS(cases); i++) {
 		text = base_with(cases[i].path, cases[i].value);
-		line = findings(text, &s);
+		line = parse_findings(text, &s);
 		cr_expect(strstr(line, cases[i].finding),
 			  "%s: '%s' is not in '%s'", cases[i].path,
 			  cases[i].finding, line);
@@ -136,7 +136,7 @@
 	}
 }
 
-/* Both ends of each number's range are taken, one beyond is not. */
+/* Both ends of each number's range are accepted, values beyond are not. */
 Test(settings, ranges)
 {
 	struct settings s;
@@ -145,29 +145,29 @@
 	for (i = 0; i < settings_count; i++) {
 		const struct setting *t = &settings_table[i];
 		uint64_t at[] = {t->min, t->max, t->min - 1, t->max + 1};
-		char value[32], *text, *line, *place;
+		char value[32], *text, *line, *expected;
 
 		if (t->type != SETTING_U32)
 			continue;
-		place = xasprintf("%s: expected a whole number", t->path);
+		expected = xasprintf("%s: expected a whole number", t->path);
 		for (k = 0; k < NELEMS(at); k++) {
 			if (k == 2 && !t->min)
 				continue;
 			snprintf(value, sizeof(value), "%llu",
 				 (unsigned long long)at[k]);
 			text = base_with(t->path, value);
-			line = findings(text, &s);
-			cr_expect_eq(!strstr(line, place), k < 2, "%s %s: %s",
-				     t->path, value, line);
+			line = parse_findings(text, &s);
+			cr_expect_eq(!strstr(line, expected), k < 2,
+				     "%s %s: %s", t->path, value, line);
 			settings_free(&s);
 			free(line);
 			free(text);
 		}
-		free(place);
+		free(expected);
 	}
 }
 
-/* Everything that is wrong is told at once. */
+/* All findings are reported at once. */
 Test(settings, together)
 {
 	struct settings s;
@@ -184,7 +184,7 @@
 	error_free(&e);
 }
 
-/* Texts that are no settings at all, and files that can't be read. */
+/* Texts that aren't valid JSON objects, and files that can't be read. */
 Test(settings, unreadable)
 {
 	static const char *const texts[] = {
@@ -204,7 +204,7 @@
 	FILE *f;
 
 	for (i = 0; i < NELEMS(texts); i++) {
-		line = findings(texts[i], &s);
+		line = parse_findings(texts[i], &s);
 		cr_expect(*line, "%s", texts[i]);
 		free(line);
 	}
@@ -221,11 +221,11 @@
 	remove(path);
 }
 
-/* What is left out has its default; what is given is kept. */
+/* Given values are kept; the others have their defaults. */
 Test(settings, good)
 {
 	struct settings s;
-	char *line = findings(base, &s);
+	char *line = parse_findings(base, &s);
 	size_t i;
 
 	cr_assert(!*line, "%s", line);
@@ -249,12 +249,12 @@
 	settings_free(&s);
 }
 
-/* A recording's copy has names and numbers, and no secret. */
+/* The copy for a recording has names and numbers, but no secrets. */
 Test(settings, public)
 {
 	struct settings s, t;
 	struct error e;
-	char *line = findings(base, &s), *text;
+	char *line = parse_findings(base, &s), *text;
 	json_t *j;
 
 	error_init(&e);
