--- a/tests/prop-caller-decode.cc
+++ b/tests/prop-caller-decode.cc
@@ -5,15 +5,15 @@
 #include <rapidcheck.h>
 #include <string>
 
-static const caller_limits bounds = {2048, 30000};
+static const caller_limits limits = {2048, 30000};
 
 static bstr ref(const std::string &s)
 {
 	return bstr_ref(s.data(), s.size());
 }
 
-/* What must hold of any request, accepted or not. */
-static void check(
+/* Decodes a request and checks what must hold of any, accepted or not. */
+static void check_request(
 	const std::string &method, const std::string &path,
 	const std::vector<std::pair<std::string, std::string>> &fields,
 	const std::string &query, const std::string &body)
@@ -29,8 +29,8 @@
 		h.headers[h.header_count++] = {ref(f.first), ref(f.second)};
 	if (!query.empty())
 		h.queries[h.query_count++] = {bstr_lit("wait_ms"), ref(query)};
-	bool ok = caller_decode_head(&h, &bounds, &c) &&
-		  caller_decode_body(ref(body), &bounds, &c);
+	bool ok = caller_decode_head(&h, &limits, &c) &&
+		  caller_decode_body(ref(body), &limits, &c);
 	RC_TAG(ok ? "accepted" : c.problem.reason);
 	if (!ok) {
 		RC_ASSERT(c.problem.http >= 400 && c.problem.http < 500);
@@ -63,9 +63,9 @@
 		RC_ASSERT(s->run_ms <= CALLER_RUN_MAX);
 		RC_ASSERT(s->timeout_ms >= 1 &&
 			  s->timeout_ms <= CALLER_TIMEOUT_MAX);
-		RC_ASSERT(!s->wait || s->timeout_ms <= bounds.max_wait_ms);
+		RC_ASSERT(!s->wait || s->timeout_ms <= limits.max_wait_ms);
 		RC_ASSERT(!s->team.bstr_len);
-		/* the payload is what was sent */
+		/* the payload equals that of the body */
 		p = json_loadb(s->payload.bstr_val, s->payload.bstr_len,
 			       JSON_DECODE_ANY, NULL);
 		json_t *b = json_loadb(body.data(), body.size(), 0, NULL);
@@ -77,13 +77,13 @@
 		bstr_free(&x);
 	} else if (c.route == ROUTE_GET) {
 		RC_ASSERT(c.request.body.caller_body_u.job.wait_ms <=
-			  bounds.max_wait_ms);
+			  limits.max_wait_ms);
 	}
 	caller_call_free(&c);
 }
 
-/* Text that comes near the grammar, so that all of it is reached. */
-static rc::Gen<std::string> near_json()
+/* Text of JSON tokens, which reaches all parts of the grammar. */
+static rc::Gen<std::string> json_like()
 {
 	static const std::vector<std::string> parts = {"{",
 						       "}",
@@ -125,7 +125,7 @@
 			    });
 }
 
-/* One member of a body that is mostly right. */
+/* A member of a submission, with a value that may be invalid. */
 static rc::Gen<std::string> member()
 {
 	static const std::vector<std::string> names = {
@@ -149,18 +149,18 @@
 {
 	int failed = 0;
 
-	/* the seed is fixed, so that a run can be had again */
+	/* a fixed seed, so that runs are reproducible */
 	setenv("RC_PARAMS", "seed=42 max_success=2000", 0);
 	failed += !rc::check("any bytes as a body", [](const std::string &s) {
-		check("POST", "/v1/jobs", auth, "", s);
-		check("POST", "/v1/cancel", auth, "", s);
+		check_request("POST", "/v1/jobs", auth, "", s);
+		check_request("POST", "/v1/cancel", auth, "", s);
 	});
 	failed += !rc::check("bodies near the grammar", [] {
-		std::string s = *near_json();
+		std::string s = *json_like();
 
-		check("POST", "/v1/jobs", auth, "", s);
-		check("POST", "/v1/jobs", auth, "",
-		      "{\"pool\":\"p\",\"payload\":" + s + "}");
+		check_request("POST", "/v1/jobs", auth, "", s);
+		check_request("POST", "/v1/jobs", auth, "",
+			      "{\"pool\":\"p\",\"payload\":" + s + "}");
 	});
 	failed += !rc::check("bodies with one or a few members", [] {
 		auto v = *rc::gen::resize(
@@ -170,24 +170,27 @@
 
 		for (const auto &m : v)
 			s += m;
-		check("POST", "/v1/jobs", auth, "", s + "}");
+		check_request("POST", "/v1/jobs", auth, "", s + "}");
 	});
 	failed += !rc::check("any head", [](const std::string &method,
-					    const std::string &tail,
+					    const std::string &path_end,
 					    const std::string &name,
 					    const std::string &value) {
-		const auto verb = *rc::gen::elementOf(std::vector<std::string>{
-			"GET", "POST", "DELETE", method});
+		const auto any_method = *rc::gen::elementOf(
+			std::vector<std::string>{"GET", "POST", "DELETE",
+						 method});
 		const auto field = *rc::gen::elementOf(std::vector<std::string>{
 			"Idempotency-Key", "Prefer", "Authorization",
 			"Content-Length", "Expect", name});
 		auto fields = auth;
 
 		fields.push_back({field, value});
-		check(verb, "/v1/jobs/" + tail, fields, value, "");
-		check(verb, "/v1/jobs", fields, value,
-		      "{\"pool\":\"p\",\"payload\":1}");
-		check(verb, tail, {{field, value}}, "", value);
+		check_request(any_method, "/v1/jobs/" + path_end, fields, value,
+			      "");
+		check_request(any_method, "/v1/jobs", fields, value,
+			      "{\"pool\":\"p\",\"payload\":1}");
+		check_request(any_method, path_end, {{field, value}}, "",
+			      value);
 	});
 	printf("%d passed, %d failed\n", 4 - failed, failed);
 	return failed != 0;
--- a/tests/prop-edge-http.cc
+++ b/tests/prop-edge-http.cc
@@ -21,15 +21,16 @@
 	"\"state\":\"done\",\"reason\":\"\",\"result\":\"aGk=\","
 	"\"ran_ms\":5,\"cpu_milli\":6,\"memory_mb\":7}]}"};
 
-/* Change bytes here and there, drop some, add some, or cut the end off. */
-static std::string damage(std::string text)
+/* Changes, drops or inserts a few bytes, or cuts off the end. */
+static std::string corrupt(std::string text)
 {
-	static const std::string likely = "{}[]\",:0123456789-.eE\\u+ /\r\n";
+	static const std::string json_chars =
+		"{}[]\",:0123456789-.eE\\u+ /\r\n";
 	int edits = *rc::gen::inRange(1, 4);
 
 	while (edits-- && !text.empty()) {
 		size_t at = *rc::gen::inRange<size_t>(0, text.size());
-		char c = *rc::gen::oneOf(rc::gen::elementOf(likely),
+		char c = *rc::gen::oneOf(rc::gen::elementOf(json_chars),
 					 rc::gen::inRange<char>(1, 127),
 					 rc::gen::inRange<char>(-128, 0));
 
@@ -51,7 +52,7 @@
 	return text;
 }
 
-static effect *request(kind k, uint16_t port)
+static effect *request_new(kind k, uint16_t port)
 {
 	static const effect_kind kinds[] = {FX_READ, FX_SCAN, FX_VM_LIST,
 					    FX_WORKER};
@@ -74,12 +75,12 @@
 	return fx;
 }
 
-static std::string text_of(bstr b)
+static std::string bstr_to_string(bstr b)
 {
 	return std::string(b.bstr_val ? b.bstr_val : "", b.bstr_len);
 }
 
-/* What must hold of any event of the platform. */
+/* Checks what must hold of any event from the platform. */
 static void check_platform(kind k, const ev_platform &p)
 {
 	std::set<std::string> names;
@@ -95,7 +96,7 @@
 		RC_ASSERT(bstr_eq_str(p.rows.rows_val[1].key, "l"));
 	}
 	for (u_int i = 0; k == SCAN && i < p.rows.rows_len; i++) {
-		std::string key = text_of(p.rows.rows_val[i].key);
+		std::string key = bstr_to_string(p.rows.rows_val[i].key);
 
 		RC_ASSERT(key.compare(0, 2, "v/") == 0);
 		RC_ASSERT(last < key);
@@ -104,11 +105,12 @@
 	}
 	for (u_int i = 0; i < p.vms.vms_len; i++) {
 		RC_ASSERT(bstr_is_name(p.vms.vms_val[i].vm, 128));
-		RC_ASSERT(names.insert(text_of(p.vms.vms_val[i].vm)).second);
+		RC_ASSERT(names.insert(bstr_to_string(p.vms.vms_val[i].vm))
+				  .second);
 	}
 }
 
-/* What must hold of any event of a worker. */
+/* Checks what must hold of any event from a worker. */
 static void check_worker(const ev_worker &w)
 {
 	std::set<std::string> names;
@@ -119,26 +121,29 @@
 	for (u_int i = 0; i < w.tasks.tasks_len; i++) {
 		const task_report &t = w.tasks.tasks_val[i];
 
-		RC_ASSERT(names.insert(text_of(t.task)).second);
+		RC_ASSERT(names.insert(bstr_to_string(t.task)).second);
 		RC_ASSERT(t.state >= TASK_RUNNING &&
 			  t.state <= TASK_CHECKPOINTED);
 	}
 }
 
-/* One exchange with a damaged answer: one event, and nothing wrong in it. */
+/*
+ * Makes an exchange with a corrupted answer.  It must yield one event, which
+ * has no invalid or contradictory data.
+ */
 static void exchange(kind k)
 {
 	std::string body = bodies[k];
 	bool headers = *rc::gen::weightedElement<bool>({{1, true}, {3, false}});
 
 	if (!headers)
-		body = damage(body);
+		body = corrupt(body);
 	std::string text = "HTTP/1.1 200 OK\r\nContent-Length: " +
 			   std::to_string(body.size()) + "\r\n\r\n" + body;
 	if (headers)
-		text = damage(text);
-	fake_step only = {FAKE_RAW, 0, text.c_str(), NULL, NULL, 0};
-	struct fake *f = fake_start(&only, 1);
+		text = corrupt(text);
+	fake_step answer = {FAKE_RAW, 0, text.c_str(), NULL, NULL, 0};
+	struct fake *f = fake_start(&answer, 1);
 	struct mailbox *inbox = mailbox_new(16);
 	std::string url = "http://127.0.0.1:" + std::to_string(fake_port(f));
 	struct settings s = {};
@@ -150,17 +155,17 @@
 	s.platform.max_in_flight = s.workers.max_connections = 2;
 	struct edge_platform *p = edge_platform_start(&s, inbox, &e);
 	struct edge_worker *w = edge_worker_start(&s, inbox, &e);
-	effect *fx = request(k, fake_port(f));
+	effect *fx = request_new(k, fake_port(f));
 	bool sent = k == WATCH ? edge_worker_send(w, fx)
 			       : edge_platform_send(p, fx);
 	event *ev = fake_next_event(inbox);
 
 	edge_platform_stop(p);
 	edge_worker_stop(w);
-	event *second = (event *)mailbox_take(inbox);
+	event *extra = (event *)mailbox_take(inbox);
 	fake_stop(f);
 	mailbox_free(inbox);
-	RC_ASSERT(sent && ev && !second);
+	RC_ASSERT(sent && ev && !extra);
 	bstr x = xdr_encode(XDR_PROC(xdr_event), ev);
 	RC_ASSERT(x.bstr_len > 0u);
 	bstr_free(&x);
--- a/tests/prop-rpc-decode.cc
+++ b/tests/prop-rpc-decode.cc
@@ -4,10 +4,10 @@
 #include "../bamboofront.h"
 
 /*
- * What comes off the wire is decoded before its seal is known to hold, so
- * the decoders meet any bytes at all.  They refuse and leave nothing, or
- * accept, and what they accept encodes and decodes to itself; the sanitizers
- * watch for the rest (reads past the end, leaks of what was half decoded).
+ * Messages are decoded before their MAC is verified, so that the decoders must
+ * handle any bytes.  They refuse them and leave the value zeroed, or accept a
+ * value that stays the same when it is encoded and decoded again.  The
+ * sanitizers detect reads past the end and leaks of partly decoded values.
  */
 namespace
 {
@@ -25,26 +25,26 @@
 	{"op_reply", XDR_PROC(xdr_op_reply), sizeof(op_reply)},
 };
 
-/* Decode; a value that is taken must survive another round. */
-void decode(const Decoder &d, const std::string &bytes)
+/* Decodes bytes; an accepted value must survive another round trip. */
+void check_decode(const Decoder &d, const std::string &bytes)
 {
-	std::vector<char> value(d.size), twice(d.size);
-	bstr in = bstr_ref(bytes.data(), bytes.size()), again;
+	std::vector<char> value(d.size), second(d.size);
+	bstr in = bstr_ref(bytes.data(), bytes.size()), bytes_again;
 
 	if (!xdr_decode(d.proc, in, value.data(), d.size)) {
 		RC_ASSERT(value == std::vector<char>(d.size));
 		return;
 	}
-	again = xdr_encode(d.proc, value.data());
-	bool taken = xdr_decode(d.proc, again, twice.data(), d.size);
-	bool same = taken && xdr_equal(d.proc, value.data(), twice.data());
+	bytes_again = xdr_encode(d.proc, value.data());
+	bool accepted = xdr_decode(d.proc, bytes_again, second.data(), d.size);
+	bool same = accepted && xdr_equal(d.proc, value.data(), second.data());
 	xdr_free(d.proc, value.data());
-	xdr_free(d.proc, twice.data());
-	bstr_free(&again);
+	xdr_free(d.proc, second.data());
+	bstr_free(&bytes_again);
 	RC_ASSERT(same);
 }
 
-std::string encoded(const Decoder &d, void *value)
+std::string encode(const Decoder &d, void *value)
 {
 	bstr b = xdr_encode(d.proc, value);
 	std::string s(b.bstr_val, b.bstr_len);
@@ -53,8 +53,8 @@
 	return s;
 }
 
-/* A good encoding of each type, with bytes that the test draws in it. */
-std::string sample(const Decoder &d, const std::string &text)
+/* Returns a valid encoding of a decoder's type that contains a text. */
+std::string valid_encoding(const Decoder &d, const std::string &text)
 {
 	bstr b = bstr_ref(text.data(), text.size());
 
@@ -62,7 +62,7 @@
 		sealed s = {};
 
 		s.from = s.body = b;
-		return encoded(d, &s);
+		return encode(d, &s);
 	}
 	if (d.proc == decoders[1].proc) {
 		peer_message m[3] = {};
@@ -82,7 +82,7 @@
 		batch.from = b;
 		batch.messages.messages_len = 3;
 		batch.messages.messages_val = m;
-		return encoded(d, &batch);
+		return encode(d, &batch);
 	}
 	if (d.proc == decoders[2].proc) {
 		op_request r = {};
@@ -92,12 +92,12 @@
 		r.op_request_u.pool.pool = b;
 		r.op_request_u.pool.dcs.dcs_len = 2;
 		r.op_request_u.pool.dcs.dcs_val = dcs;
-		return encoded(d, &r);
+		return encode(d, &r);
 	}
 	op_reply r = {};
 
 	r.body = r.reason = b;
-	return encoded(d, &r);
+	return encode(d, &r);
 }
 
 int passed, failed;
@@ -115,11 +115,12 @@
 	for (const Decoder &d : decoders) {
 		std::string name = d.name;
 
-		check(name + ": any bytes",
-		      [&] { decode(d, *rc::gen::string<std::string>()); });
+		check(name + ": any bytes", [&] {
+			check_decode(d, *rc::gen::string<std::string>());
+		});
 		check(name + ": a good encoding with words changed", [&] {
-			std::string s = sample(d,
-					       *rc::gen::string<std::string>());
+			std::string s = valid_encoding(
+				d, *rc::gen::string<std::string>());
 			auto words = *rc::gen::container<std::vector<uint32_t>>(
 				rc::gen::element<uint32_t>(
 					0, 1, 2, 3, 4, 12, 255, 4096, 65536,
@@ -134,17 +135,17 @@
 				at -= at % 4;
 				memcpy(&s[at], &w,
 				       std::min(sizeof(w), s.size() - at));
-				decode(d, s);
+				check_decode(d, s);
 			}
 		});
 		check(name + ": a good encoding cut short or made longer", [&] {
-			std::string s = sample(d,
-					       *rc::gen::string<std::string>());
+			std::string s = valid_encoding(
+				d, *rc::gen::string<std::string>());
 			size_t cut = *rc::gen::inRange<size_t>(0, s.size());
 			std::vector<char> value(d.size);
 
-			decode(d, s);
-			decode(d, s.substr(0, cut));
+			check_decode(d, s);
+			check_decode(d, s.substr(0, cut));
 			RC_ASSERT(!xdr_decode(d.proc, bstr_ref(s.data(), cut),
 					      value.data(), d.size));
 			s += std::string(4, '\0');
--- a/tests/test-caller-decode.c
+++ b/tests/test-caller-decode.c
@@ -10,14 +10,14 @@
 	}
 #define X16 "xxxxxxxxxxxxxxxx"
 #define X128 X16 X16 X16 X16 X16 X16 X16 X16
-#define DEEP8 "[[[[[[[["
-#define SHUT8 "]]]]]]]]"
-/* wait, with the rest of a body that is right */
-#define OK(more) "{\"pool\":\"p\",\"payload\":1" more "}"
+#define OPEN8 "[[[[[[[["
+#define CLOSE8 "]]]]]]]]"
+/* A valid submission, with more members. */
+#define VALID_BODY(more) "{\"pool\":\"p\",\"payload\":1" more "}"
 
-static const struct caller_limits bounds = {4096, 30000};
+static const struct caller_limits limits = {4096, 30000};
 
-/* Decode a request whose header has the fields given, two by two. */
+/* Decodes a request; fields and queries are name and value in turn. */
 static bool decode(struct caller_call *c, const char *method, const char *path,
 		   const char *const *fields, const char *const *queries,
 		   bstr body)
@@ -31,46 +31,48 @@
 	for (; *queries; queries += 2)
 		h.queries[h.query_count++] = (struct caller_field){
 			bstr_lit(queries[0]), bstr_lit(queries[1])};
-	return caller_decode_head(&h, &bounds, c) &&
-	       caller_decode_body(body, &bounds, c);
+	return caller_decode_head(&h, &limits, c) &&
+	       caller_decode_body(body, &limits, c);
 }
 
-/* Is there a finding at this place? */
-static bool found(const struct caller_call *c, const char *place)
+/* Returns true if there is a finding at a location. */
+static bool has_finding(const struct caller_call *c, const char *location)
 {
 	const struct finding *f;
 
 	TAILQ_FOREACH(f, &c->problem.findings.findings, entry)
-		if (!strcmp(f->location, place))
+		if (!strcmp(f->location, location))
 			return true;
 	return false;
 }
 
 static const char bearer[] = "Bearer " CALLER_KEY;
 static const char *const auth[] = {"authorization", "bearer " CALLER_KEY, NULL};
-static const char *const none[] = {NULL};
+static const char *const no_fields[] = {NULL};
 
 /*
- * Bodies of submissions.  A place is where the finding must be; NULL with a
- * status is a refusal of the whole, without one the body is accepted.
+ * Bodies of submissions.  Without a status the body is accepted; with a
+ * location there must be a finding there; otherwise the whole body is refused.
  */
 Test(caller_decode, bodies)
 {
 	static const struct {
 		bstr body;
 		unsigned http;
-		const char *place;
+		const char *location;
 	} cases[] = {
-		{TEXT(OK("")), 0, NULL},
-		{TEXT(" \r\n\t" OK("") "\n"), 0, NULL},
-		{TEXT(OK(",\"label\":\"\"")), 0, NULL},
-		{TEXT(OK(",\"label\":\"" X128 "\"")), 0, NULL},
-		{TEXT(OK(",\"label\":\"\\u00e9t\xc3\xa9\"")), 0, NULL},
-		{TEXT(OK(",\"timeout_ms\":1,\"run_ms\":604800000")), 0, NULL},
-		{TEXT(OK(",\"timeout_ms\":86400000")), 0, NULL},
-		{TEXT(OK(",\"wait\":true,\"timeout_ms\":30000")), 0, NULL},
-		{TEXT(OK(",\"cpu_milli\":1024000,\"accelerators\":64")), 0,
+		{TEXT(VALID_BODY("")), 0, NULL},
+		{TEXT(" \r\n\t" VALID_BODY("") "\n"), 0, NULL},
+		{TEXT(VALID_BODY(",\"label\":\"\"")), 0, NULL},
+		{TEXT(VALID_BODY(",\"label\":\"" X128 "\"")), 0, NULL},
+		{TEXT(VALID_BODY(",\"label\":\"\\u00e9t\xc3\xa9\"")), 0, NULL},
+		{TEXT(VALID_BODY(",\"timeout_ms\":1,\"run_ms\":604800000")), 0,
 		 NULL},
+		{TEXT(VALID_BODY(",\"timeout_ms\":86400000")), 0, NULL},
+		{TEXT(VALID_BODY(",\"wait\":true,\"timeout_ms\":30000")), 0,
+		 NULL},
+		{TEXT(VALID_BODY(",\"cpu_milli\":1024000,\"accelerators\":64")),
+		 0, NULL},
 		{TEXT("{\"pool\":\"p\",\"payload\":null}"), 0, NULL},
 		{TEXT("{\"pool\":\"p\",\"payload\":\"[[[{{{\\\"[\"}"), 0, NULL},
 		{TEXT(""), 400, NULL},
@@ -78,28 +80,31 @@
 		{TEXT("{"), 400, NULL},
 		{TEXT("{}{}"), 400, NULL},
 		{TEXT("nul"), 400, NULL},
-		{TEXT(OK("") "\0"), 400, NULL},
+		{TEXT(VALID_BODY("") "\0"), 400, NULL},
 		{TEXT("\0"), 400, NULL},
-		{TEXT("\xef\xbb\xbf" OK("")), 400, NULL},
+		{TEXT("\xef\xbb\xbf" VALID_BODY("")), 400, NULL},
 		{TEXT("{'pool':'p'}"), 400, NULL},
 		{TEXT("{\"pool\":\"p\",}"), 400, NULL},
-		{TEXT(OK(",\"label\":\"\xff\"")), 400, NULL},
-		{TEXT(OK(",\"label\":\"\xc0\xaf\"")), 400, NULL},
-		{TEXT(OK(",\"label\":\"\xed\xa0\x80\"")), 400, NULL},
-		{TEXT(OK(",\"label\":\"\\ud800\"")), 400, NULL},
-		{TEXT(OK(",\"label\":\"\\u0000\"")), 400, NULL},
-		{TEXT(OK(",\"label\":\"a\nb\"")), 400, NULL},
-		{TEXT(OK(",\"label\":\"a\",\"label\":\"a\"")), 400, NULL},
+		{TEXT(VALID_BODY(",\"label\":\"\xff\"")), 400, NULL},
+		{TEXT(VALID_BODY(",\"label\":\"\xc0\xaf\"")), 400, NULL},
+		{TEXT(VALID_BODY(",\"label\":\"\xed\xa0\x80\"")), 400, NULL},
+		{TEXT(VALID_BODY(",\"label\":\"\\ud800\"")), 400, NULL},
+		{TEXT(VALID_BODY(",\"label\":\"\\u0000\"")), 400, NULL},
+		{TEXT(VALID_BODY(",\"label\":\"a\nb\"")), 400, NULL},
+		{TEXT(VALID_BODY(",\"label\":\"a\",\"label\":\"a\"")), 400,
+		 NULL},
 		{TEXT("{\"pool\":\"p\",\"payload\":{\"a\":1,\"a\":2}}"), 400,
 		 NULL},
-		{TEXT(OK(",\"run_ms\":99999999999999999999")), 400, NULL},
-		{TEXT(OK(",\"run_ms\":1e999")), 400, NULL},
-		{TEXT(OK(",\"run_ms\":NaN")), 400, NULL},
-		{TEXT(OK(",\"run_ms\":0x10")), 400, NULL},
-		{TEXT(OK(",\"run_ms\":01")), 400, NULL},
-		{TEXT(DEEP8 DEEP8 DEEP8 DEEP8 "[" SHUT8 SHUT8 SHUT8 SHUT8 "]"),
+		{TEXT(VALID_BODY(",\"run_ms\":99999999999999999999")), 400,
+		 NULL},
+		{TEXT(VALID_BODY(",\"run_ms\":1e999")), 400, NULL},
+		{TEXT(VALID_BODY(",\"run_ms\":NaN")), 400, NULL},
+		{TEXT(VALID_BODY(",\"run_ms\":0x10")), 400, NULL},
+		{TEXT(VALID_BODY(",\"run_ms\":01")), 400, NULL},
+		{TEXT(OPEN8 OPEN8 OPEN8 OPEN8 "[" CLOSE8 CLOSE8 CLOSE8 CLOSE8
+					      "]"),
 		 400, NULL},
-		{TEXT(DEEP8 DEEP8 DEEP8 DEEP8 SHUT8 SHUT8 SHUT8 SHUT8), 422,
+		{TEXT(OPEN8 OPEN8 OPEN8 OPEN8 CLOSE8 CLOSE8 CLOSE8 CLOSE8), 422,
 		 ""},
 		{TEXT("[]"), 422, ""},
 		{TEXT("null"), 422, ""},
@@ -113,46 +118,50 @@
 		{TEXT("{\"pool\":\"a/b\",\"payload\":1}"), 422, "/pool"},
 		{TEXT("{\"pool\":\"" X128 "\",\"payload\":1}"), 422, "/pool"},
 		{TEXT("{\"pool\":7,\"payload\":1}"), 422, "/pool"},
-		{TEXT(OK(",\"team\":\"t\"")), 422, "/team"},
-		{TEXT(OK(",\"\":1")), 422, "/"},
-		{TEXT(OK(",\"a/b~c\":1")), 422, "/a~1b~0c"},
-		{TEXT(OK(",\"" X128 "\":1")), 422, "/" X16 X16 X16 X16},
-		{TEXT(OK(",\"label\":null")), 422, "/label"},
-		{TEXT(OK(",\"label\":\"" X128 "x\"")), 422, "/label"},
-		{TEXT(OK(",\"label\":\"\\n\"")), 422, "/label"},
-		{TEXT(OK(",\"label\":\"\\u007f\"")), 422, "/label"},
-		{TEXT(OK(",\"urgent\":1")), 422, "/urgent"},
-		{TEXT(OK(",\"wait\":\"true\"")), 422, "/wait"},
-		{TEXT(OK(",\"may_be_repeated\":null")), 422,
+		{TEXT(VALID_BODY(",\"team\":\"t\"")), 422, "/team"},
+		{TEXT(VALID_BODY(",\"\":1")), 422, "/"},
+		{TEXT(VALID_BODY(",\"a/b~c\":1")), 422, "/a~1b~0c"},
+		{TEXT(VALID_BODY(",\"" X128 "\":1")), 422, "/" X16 X16 X16 X16},
+		{TEXT(VALID_BODY(",\"label\":null")), 422, "/label"},
+		{TEXT(VALID_BODY(",\"label\":\"" X128 "x\"")), 422, "/label"},
+		{TEXT(VALID_BODY(",\"label\":\"\\n\"")), 422, "/label"},
+		{TEXT(VALID_BODY(",\"label\":\"\\u007f\"")), 422, "/label"},
+		{TEXT(VALID_BODY(",\"urgent\":1")), 422, "/urgent"},
+		{TEXT(VALID_BODY(",\"wait\":\"true\"")), 422, "/wait"},
+		{TEXT(VALID_BODY(",\"may_be_repeated\":null")), 422,
 		 "/may_be_repeated"},
-		{TEXT(OK(",\"cpu_milli\":-1")), 422, "/cpu_milli"},
-		{TEXT(OK(",\"cpu_milli\":1024001")), 422, "/cpu_milli"},
-		{TEXT(OK(",\"cpu_milli\":1.0")), 422, "/cpu_milli"},
-		{TEXT(OK(",\"cpu_milli\":\"1\"")), 422, "/cpu_milli"},
-		{TEXT(OK(",\"memory_mb\":4194305")), 422, "/memory_mb"},
-		{TEXT(OK(",\"accelerators\":65")), 422, "/accelerators"},
-		{TEXT(OK(",\"run_ms\":604800001")), 422, "/run_ms"},
-		{TEXT(OK(",\"run_ms\":4294967297")), 422, "/run_ms"},
-		{TEXT(OK(",\"timeout_ms\":0")), 422, "/timeout_ms"},
-		{TEXT(OK(",\"timeout_ms\":86400001")), 422, "/timeout_ms"},
-		{TEXT(OK(",\"wait\":true,\"timeout_ms\":30001")), 422,
+		{TEXT(VALID_BODY(",\"cpu_milli\":-1")), 422, "/cpu_milli"},
+		{TEXT(VALID_BODY(",\"cpu_milli\":1024001")), 422, "/cpu_milli"},
+		{TEXT(VALID_BODY(",\"cpu_milli\":1.0")), 422, "/cpu_milli"},
+		{TEXT(VALID_BODY(",\"cpu_milli\":\"1\"")), 422, "/cpu_milli"},
+		{TEXT(VALID_BODY(",\"memory_mb\":4194305")), 422, "/memory_mb"},
+		{TEXT(VALID_BODY(",\"accelerators\":65")), 422,
+		 "/accelerators"},
+		{TEXT(VALID_BODY(",\"run_ms\":604800001")), 422, "/run_ms"},
+		{TEXT(VALID_BODY(",\"run_ms\":4294967297")), 422, "/run_ms"},
+		{TEXT(VALID_BODY(",\"timeout_ms\":0")), 422, "/timeout_ms"},
+		{TEXT(VALID_BODY(",\"timeout_ms\":86400001")), 422,
 		 "/timeout_ms"},
-		{TEXT(OK(",\"urgent\":1,\"run_ms\":-1")), 422, "/run_ms"},
+		{TEXT(VALID_BODY(",\"wait\":true,\"timeout_ms\":30001")), 422,
+		 "/timeout_ms"},
+		{TEXT(VALID_BODY(",\"urgent\":1,\"run_ms\":-1")), 422,
+		 "/run_ms"},
 	};
 	struct caller_call c;
 	size_t i;
 	bool ok;
 
 	for (i = 0; i < NELEMS(cases); i++) {
-		ok = decode(&c, "POST", "/v1/jobs", auth, none, cases[i].body);
+		ok = decode(&c, "POST", "/v1/jobs", auth, no_fields,
+			    cases[i].body);
 		cr_expect_eq(c.problem.http, cases[i].http, "%zu %.*s: %u %s",
 			     i, BSTR_ARG(cases[i].body), c.problem.http,
 			     c.problem.detail);
 		cr_expect_eq(ok, !cases[i].http);
 		cr_expect_eq(c.problem.findings.count > 0,
-			     cases[i].place != NULL);
-		if (cases[i].place)
-			cr_expect(found(&c, cases[i].place), "%zu", i);
+			     cases[i].location != NULL);
+		if (cases[i].location)
+			cr_expect(has_finding(&c, cases[i].location), "%zu", i);
 		caller_call_free(&c);
 	}
 }
@@ -170,7 +179,7 @@
 	struct caller_call c;
 	job_spec *s;
 
-	cr_assert(decode(&c, "POST", "/v1/jobs", fields, none,
+	cr_assert(decode(&c, "POST", "/v1/jobs", fields, no_fields,
 			 bstr_lit("{\"pool\":\"p\",\"payload\": {\"b\" : 1, "
 				  "\"a\" : [ 2.5, \"\\u00e9/\" ]},\"label\":"
 				  "\"l\",\"may_be_repeated\":true,\"urgent\":"
@@ -193,7 +202,10 @@
 	caller_call_free(&c);
 }
 
-/* Method, path, one header field, wait_ms; a key is shown beside them. */
+/*
+ * Requests with a method, path, header field and wait_ms.  They also have a
+ * valid key, except for those that expect 401.
+ */
 Test(caller_decode, heads)
 {
 	static const char key129[] = X128 "x", job129[] = "/v1/jobs/" X128 "x",
@@ -202,7 +214,7 @@
 	static const struct {
 		const char *method, *path, *field, *value, *wait_ms;
 		unsigned http;
-		const char *reason; /* or the place of a finding */
+		const char *reason; /* 422: the location of a finding */
 	} cases[] = {
 		{"GET", "/v1/jobs/j", NULL, NULL, NULL, 0, NULL},
 		{"GET", "/v1/jobs/j", NULL, NULL, "30000", 0, NULL},
@@ -275,15 +287,15 @@
 					 cases[i].wait_ms, NULL};
 
 		if (cases[i].http == 401)
-			fields[2] = NULL; /* the case has its own */
+			fields[2] = NULL; /* no second field */
 		ok = decode(&c, cases[i].method, cases[i].path,
 			    cases[i].field ? fields : fields + 2, queries,
-			    bstr_lit(OK("")));
+			    bstr_lit(VALID_BODY("")));
 		cr_expect_eq(c.problem.http, cases[i].http, "%zu: %u %s", i,
 			     c.problem.http, c.problem.detail);
 		cr_expect_eq(ok, !cases[i].http, "%zu", i);
 		if (cases[i].http == 422)
-			cr_expect(found(&c, cases[i].reason), "%zu", i);
+			cr_expect(has_finding(&c, cases[i].reason), "%zu", i);
 		else if (cases[i].http)
 			cr_expect_str_eq(c.problem.reason, cases[i].reason,
 					 "%zu", i);
@@ -292,7 +304,7 @@
 	}
 }
 
-/* Counts and sizes of header fields, arguments and findings. */
+/* The limits on header fields, arguments, findings and payload. */
 Test(caller_decode, many)
 {
 	struct caller_head h = {.method = bstr_lit("GET"),
@@ -306,19 +318,19 @@
 		h.headers[i] = h.queries[i] = (struct caller_field){
 			bstr_lit("x"), bstr_lit("y")};
 	h.header_count = CALLER_FIELDS_MAX;
-	cr_expect(caller_decode_head(&h, &bounds, &c));
+	cr_expect(caller_decode_head(&h, &limits, &c));
 	caller_call_free(&c);
 	h.header_count++;
-	cr_expect(!caller_decode_head(&h, &bounds, &c));
+	cr_expect(!caller_decode_head(&h, &limits, &c));
 	cr_expect_eq(c.problem.http, 431);
 	caller_call_free(&c);
 	big = xcalloc(1, CALLER_HEADER_MAX);
 	h.header_count = 1;
 	h.headers[0].value = bstr_ref(big, CALLER_HEADER_MAX - 5);
-	cr_expect(caller_decode_head(&h, &bounds, &c));
+	cr_expect(caller_decode_head(&h, &limits, &c));
 	caller_call_free(&c);
 	h.headers[0].value.bstr_len++;
-	cr_expect(!caller_decode_head(&h, &bounds, &c));
+	cr_expect(!caller_decode_head(&h, &limits, &c));
 	cr_expect_eq(c.problem.http, 431);
 	caller_call_free(&c);
 	free(big);
@@ -326,11 +338,11 @@
 	h.headers[0] = (struct caller_field){bstr_lit("Authorization"),
 					     bstr_lit("Bearer " CALLER_KEY)};
 	h.query_count = CALLER_FIELDS_MAX + 1;
-	cr_expect(caller_decode_head(&h, &bounds, &c));
-	cr_expect(!caller_decode_body(BSTR_NONE, &bounds, &c));
+	cr_expect(caller_decode_head(&h, &limits, &c));
+	cr_expect(!caller_decode_body(BSTR_NONE, &limits, &c));
 	cr_expect_eq(c.problem.findings.count, CALLER_FINDINGS_MAX);
 	caller_call_free(&c);
-	/* a number can grow when it is written anew: 1e300 to 301 digits */
+	/* encoding can lengthen a number, as 0.1 to 0.10000000000000001 */
 	body = bstr_new("{\"pool\":\"p\",\"payload\":[0.1");
 	for (i = 0; i < 500; i++) {
 		old = body;
@@ -339,7 +351,7 @@
 	}
 	old = body;
 	body = bstr_printf("%.*s]}", BSTR_ARG(old));
-	cr_expect(!decode(&c, "POST", "/v1/jobs", auth, none, body));
+	cr_expect(!decode(&c, "POST", "/v1/jobs", auth, no_fields, body));
 	cr_expect_eq(c.problem.http, 413);
 	caller_call_free(&c);
 	bstr_free(&old);
@@ -363,7 +375,7 @@
 	size_t i;
 
 	for (i = 0; i < NELEMS(cases); i++) {
-		cr_expect_eq(decode(&c, "POST", "/v1/cancel", auth, none,
+		cr_expect_eq(decode(&c, "POST", "/v1/cancel", auth, no_fields,
 				    bstr_lit(cases[i].body)),
 			     !cases[i].http, "%zu", i);
 		cr_expect_eq(c.problem.http, cases[i].http, "%zu", i);
@@ -371,12 +383,12 @@
 	}
 }
 
-/* The result is the worker's text and may be anything. */
+/* A result is any text of a worker; one that isn't JSON becomes a string. */
 Test(caller_encode, results)
 {
 	static const struct {
 		bstr result;
-		const char *holds;
+		const char *expected;
 	} cases[] = {
 		{TEXT(""), "\"result\":null"},
 		{TEXT("{\"a\": [1]}"), "\"result\":{\"a\":[1]}"},
@@ -402,15 +414,15 @@
 		v.result = cases[i].result;
 		caller_encode_answer(&c, &a, &r);
 		cr_expect(memmem(r.body.bstr_val, r.body.bstr_len,
-				 cases[i].holds, strlen(cases[i].holds)),
+				 cases[i].expected, strlen(cases[i].expected)),
 			  "%zu: %.*s", i, BSTR_ARG(r.body));
-		/* a state that is none is not passed off as a good one */
+		/* an invalid state is encoded as unknown */
 		cr_expect(memmem(r.body.bstr_val, r.body.bstr_len,
 				 "\"state\":\"unknown\"", 17));
 		bstr_free(&r.body);
 	}
 	a.http = 7;
-	v.retry_after_ms = 1001; /* the job's stands in for the answer's */
+	v.retry_after_ms = 1001; /* used, as the answer has none */
 	v.reason = bstr_lit("no \xff name");
 	caller_encode_answer(&c, &a, &r);
 	cr_expect_eq(r.http, 500);
