--- a/tests/prop-edge-http.cc
+++ b/tests/prop-edge-http.cc
@@ -75,7 +75,7 @@
 	return fx;
 }
 
-static std::string bstr_to_string(bstr b)
+static std::string text_of(bstr b)
 {
 	return std::string(b.bstr_val ? b.bstr_val : "", b.bstr_len);
 }
@@ -96,7 +96,7 @@
 		RC_ASSERT(bstr_eq_str(p.rows.rows_val[1].key, "l"));
 	}
 	for (u_int i = 0; k == SCAN && i < p.rows.rows_len; i++) {
-		std::string key = bstr_to_string(p.rows.rows_val[i].key);
+		std::string key = text_of(p.rows.rows_val[i].key);
 
 		RC_ASSERT(key.compare(0, 2, "v/") == 0);
 		RC_ASSERT(last < key);
@@ -105,8 +105,7 @@
 	}
 	for (u_int i = 0; i < p.vms.vms_len; i++) {
 		RC_ASSERT(bstr_is_name(p.vms.vms_val[i].vm, 128));
-		RC_ASSERT(names.insert(bstr_to_string(p.vms.vms_val[i].vm))
-				  .second);
+		RC_ASSERT(names.insert(text_of(p.vms.vms_val[i].vm)).second);
 	}
 }
 
@@ -121,7 +120,7 @@
 	for (u_int i = 0; i < w.tasks.tasks_len; i++) {
 		const task_report &t = w.tasks.tasks_val[i];
 
-		RC_ASSERT(names.insert(bstr_to_string(t.task)).second);
+		RC_ASSERT(names.insert(text_of(t.task)).second);
 		RC_ASSERT(t.state >= TASK_RUNNING &&
 			  t.state <= TASK_CHECKPOINTED);
 	}
@@ -162,10 +161,10 @@
 
 	edge_platform_stop(p);
 	edge_worker_stop(w);
-	event *extra = (event *)mailbox_take(inbox);
+	event *second = (event *)mailbox_take(inbox);
 	fake_stop(f);
 	mailbox_free(inbox);
-	RC_ASSERT(sent && ev && !extra);
+	RC_ASSERT(sent && ev && !second);
 	bstr x = xdr_encode(XDR_PROC(xdr_event), ev);
 	RC_ASSERT(x.bstr_len > 0u);
 	bstr_free(&x);
--- a/tests/support-fleet.c
+++ b/tests/support-fleet.c
@@ -14,7 +14,7 @@
 
 #define FRESH_MS 3000
 
-/* After this time without faults a lowered limit must hold. */
+/* A lowered limit must hold after this time without faults. */
 #define SETTLE_MS 20000
 
 /* A worker that has been leaving or draining for this long gets no tasks. */
@@ -104,7 +104,7 @@
 
 struct fake_job {
 	bool may_repeat, wait, urgent;
-	bool memory_only; /* not in the journal: may_repeat and wait */
+	bool memory_only; /* may_repeat and wait: not in the journal */
 	unsigned team, pool, key, run_ms, timeout_ms;
 	bool fails, cancelled;
 	char id[96];
@@ -144,7 +144,8 @@
 	struct limit_change limits[FLEET_TEAMS][LIMIT_CHANGES_MAX],
 		budgets[POOLS][LIMIT_CHANGES_MAX];
 	unsigned limit_count[FLEET_TEAMS], budget_count[POOLS];
-	int64_t withdrawn_at[FLEET_TEAMS][FLEET_KEYS]; /* 0: not yet */
+	/* when the withdrawal of a key was answered, or 0 */
+	int64_t withdrawn_at[FLEET_TEAMS][FLEET_KEYS];
 	bstr digests[FLEET_TEAMS][FLEET_KEYS];
 	json_t *doc;
 	uint64_t revision;
@@ -258,6 +259,7 @@
 	return most;
 }
 
+/* Appends a change of a limit, unless its value stays the same. */
 static void limit_record(struct limit_change *l, unsigned *n, int64_t now,
 			 unsigned amount)
 {
@@ -267,6 +269,7 @@
 		l[(*n)++] = (struct limit_change){now, amount};
 }
 
+/* Counts a fault that starts. */
 static void fault_begin(struct fleet *f)
 {
 	if (!f->faults++ && f->now - f->fault_ended >= SETTLE_MS)
@@ -296,6 +299,7 @@
 	return bstr_eq_str(b, s);
 }
 
+/* Returns the index of a name, or n if it is none of the n names. */
 static unsigned name_index(bstr b, const char *const *names, unsigned n)
 {
 	unsigned i;
@@ -305,6 +309,7 @@
 	return i;
 }
 
+/* Returns the index of a worker, w0 to w9, by its name, or -1. */
 static int worker_index(bstr name)
 {
 	if (name.bstr_len != 2 || name.bstr_val[0] != 'w')
@@ -476,6 +481,7 @@
 		check_head(f, w->value);
 }
 
+/* Answers a request for the list of VMs. */
 static void vms_list(struct fleet *f, ev_platform *p)
 {
 	unsigned i;
@@ -550,6 +556,10 @@
 					 .fx = fx});
 }
 
+/*
+ * Executes a request that has reached the platform.  The item's n is the delay
+ * of the reply, or 0 if the reply is lost.
+ */
 static void platform_receive(struct fleet *f, struct queue_item *q)
 {
 	event *ev = event_new(EV_PLATFORM);
@@ -563,7 +573,7 @@
 	effect_free(q->fx);
 }
 
-/* The workers. */
+/* Returns how many tasks of a team run on a worker; -1: of all teams. */
 static unsigned worker_running(const struct fake_worker *w, int team)
 {
 	unsigned n = 0, i;
@@ -623,6 +633,7 @@
 	return NULL;
 }
 
+/* Adds a task to a worker; returns NULL if there is no room for it. */
 static struct fake_task *fake_task_new(struct fleet *f, struct fake_worker *w,
 				       bstr id, const cell_id *cell)
 {
@@ -650,6 +661,7 @@
 	return t;
 }
 
+/* Completes an event as the answer to an exchange and sends it. */
 static void exchange_answer(struct fleet *f, struct exchange *x, event *ev)
 {
 	ev_worker *r = &ev->body.event_body_u.worker;
@@ -660,6 +672,7 @@
 	entry_post(f, x->slot, x->gen, 1 + (int64_t)fleet_random(f, 3), ev);
 }
 
+/* Ends an exchange without an answer, unless it has finished. */
 static void exchange_fail(struct fleet *f, struct exchange *x,
 			  worker_outcome outcome)
 {
@@ -705,6 +718,7 @@
 	return false;
 }
 
+/* Answers an exchange with the state of the worker and its tasks. */
 static void worker_answer(struct fleet *f, struct fake_worker *w,
 			  struct exchange *x)
 {
@@ -747,6 +761,7 @@
 	}
 }
 
+/* Sets a task's final state and answers the watches. */
 static void fake_task_end(struct fleet *f, struct fake_worker *w,
 			  struct fake_task *t, task_state state,
 			  const char *reason)
@@ -758,6 +773,7 @@
 	worker_answer_watches(f, w);
 }
 
+/* Starts a task, or refuses it if no slot is free. */
 static void worker_start(struct fleet *f, struct fake_worker *w,
 			 const task_start *s, const cell_id *cell)
 {
@@ -787,6 +803,10 @@
 					 .a = (unsigned)(w - f->workers)});
 }
 
+/*
+ * Carries out an order.  A stop of an unknown task leaves a tombstone, which
+ * refuses a start that arrives later.
+ */
 static void worker_order(struct fleet *f, struct fake_worker *w,
 			 const task_order *o, const cell_id *cell)
 {
@@ -810,6 +830,7 @@
 	}
 }
 
+/* Extends the lease of a cell on a worker. */
 static void worker_lease(struct fleet *f, struct fake_worker *w,
 			 const fx_worker *x)
 {
@@ -873,6 +894,7 @@
 	worker_answer(f, w, x);
 }
 
+/* Sends a request to a worker; a silent one gets only half of them. */
 static void exchange_send(struct fleet *f, unsigned slot, effect *fx)
 {
 	struct exchange *x = xcalloc(1, sizeof(*x));
@@ -933,6 +955,7 @@
 	}
 }
 
+/* Stops the tasks of an expired lease, or waits if it was extended. */
 static void worker_lease_end(struct fleet *f, const struct queue_item *q)
 {
 	struct fake_worker *w = &f->workers[q->a];
@@ -945,6 +968,7 @@
 		worker_tick(f, w);
 }
 
+/* Restarts a worker, which loses its tasks, epochs and connections. */
 static void worker_restart(struct fleet *f, struct fake_worker *w)
 {
 	unsigned i;
@@ -958,6 +982,7 @@
 	w->blocked_count = 0;
 }
 
+/* Resumes a frozen worker, which then processes the blocked requests. */
 static void worker_thaw(struct fleet *f, struct fake_worker *w)
 {
 	struct exchange *blocked[NELEMS(w->blocked)];
@@ -971,7 +996,7 @@
 		worker_receive(f, blocked[i]);
 }
 
-/* The peers' network. */
+/* Returns the index of a running entry VM by its name, or -1. */
 static int entry_named(const struct fleet *f, bstr name)
 {
 	int i;
@@ -982,6 +1007,7 @@
 	return -1;
 }
 
+/* Tells an entry VM that a message to a peer was lost. */
 static void peer_report_lost(struct fleet *f, unsigned slot, bstr to)
 {
 	event *ev = event_new(EV_PEER_LOST);
@@ -1038,8 +1064,7 @@
 		peer_report_lost(f, slot, p->to);
 	if (f->late && !fleet_random(f, 4))
 		delay += (int64_t)fleet_random(f, 1900);
-	/* the edge drops duplicates, but a delivered message may count as lost
-	 */
+	/* the edge drops duplicates, but may report a delivered message lost */
 	if (f->late && !fleet_random(f, 4))
 		peer_report_lost(f, slot, p->to);
 	ev = event_new(EV_PEER);
@@ -1052,7 +1077,6 @@
 	entry_post(f, (unsigned)to, f->entries[to].gen, delay, ev);
 }
 
-/* Callers. */
 static bool answer_contains(const caller_answer *a, const char *words)
 {
 	return a->detail.bstr_len &&
@@ -1060,7 +1084,7 @@
 		      strlen(words));
 }
 
-/* Checks that a view is true and of the requested job. */
+/* Checks that a view is of the requested job and agrees with the workers. */
 static void check_view(struct fleet *f, unsigned job, const job_view *v)
 {
 	struct fake_job *j = &f->jobs[job];
@@ -1109,6 +1133,7 @@
 				check_view(f, k, &a->jobs.jobs_val[i]);
 }
 
+/* Checks an answer to a caller and records what it states. */
 static void call_answered(struct fleet *f, unsigned slot, const fx_answer *x)
 {
 	const caller_answer *a = &x->answer;
@@ -1207,6 +1232,7 @@
 	return c;
 }
 
+/* Returns a caller's request, authenticated by a key of a team. */
 static event *call_event_new(struct fleet *f, caller_kind kind, unsigned team,
 			     unsigned key)
 {
@@ -1219,6 +1245,7 @@
 	return ev;
 }
 
+/* Submits a job, for the first time or again under the same key. */
 static void job_submit(struct fleet *f, unsigned job, unsigned preferred)
 {
 	struct fake_job *j = &f->jobs[job];
@@ -1245,6 +1272,7 @@
 	j->submit_count++;
 }
 
+/* Creates a job, whose kind the bits of an argument give, and submits it. */
 static void job_create(struct fleet *f, unsigned kind)
 {
 	struct fake_job *j = &f->jobs[f->job_count];
@@ -1299,7 +1327,7 @@
 		c->kind = CALL_OF_LABEL;
 }
 
-/* Operators. */
+/* Checks and records a reply to an operator. */
 static void op_answered(struct fleet *f, unsigned slot, const fx_op_reply *x)
 {
 	struct fake_call *c = &f->calls[x->call % CALLS_MAX];
@@ -1320,6 +1348,7 @@
 		f->withdrawn_at[c->a][c->b] = f->now;
 }
 
+/* Sends an operator's request; a and b are its arguments. */
 static void operate(struct fleet *f, op_kind kind, unsigned a, unsigned b)
 {
 	event *ev = event_new(EV_OPERATE);
@@ -1356,7 +1385,6 @@
 	c->b = b;
 }
 
-/* The entry VMs. */
 static void entry_settings(struct settings *s, const struct entry *e,
 			   unsigned slot)
 {
@@ -1402,6 +1430,7 @@
 					 .n = 1});
 }
 
+/* Kills an entry VM; a new one replaces it after ms milliseconds. */
 static void entry_kill(struct fleet *f, unsigned slot, int64_t ms)
 {
 	struct entry *e = &f->entries[slot];
@@ -1433,6 +1462,7 @@
 	}
 }
 
+/* Executes the effects of one step of an entry VM's reducer. */
 static void entry_execute(struct fleet *f, unsigned slot, struct effects *out)
 {
 	struct entry *e = &f->entries[slot];
@@ -1550,6 +1580,7 @@
 	e->inbox[e->inbox_count++] = ev;
 }
 
+/* Resumes a frozen entry VM, which then handles the held events. */
 static void entry_thaw(struct fleet *f, unsigned slot)
 {
 	struct entry *e = &f->entries[slot];
@@ -1566,6 +1597,7 @@
 	free(inbox);
 }
 
+/* Runs a tick of an entry VM; a planned stop must end within 12 seconds. */
 static void entry_tick(struct fleet *f, const struct queue_item *q)
 {
 	struct entry *e = &f->entries[q->a];
@@ -1629,6 +1661,7 @@
 	}
 }
 
+/* Advances the clock to the next item of the queue and processes it. */
 static void fleet_process_next(struct fleet *f)
 {
 	struct queue_item q = queue_take(f);
@@ -1681,7 +1714,7 @@
 	f->now = until;
 }
 
-/* Faults and requests. */
+/* Freezes, silences or restarts a worker, or makes all its tasks fail. */
 static void worker_fault(struct fleet *f, unsigned i, unsigned how, int64_t ms)
 {
 	struct fake_worker *w = &f->workers[i];
@@ -1728,6 +1761,7 @@
 	entry_post(f, slot, e->gen, 1, event_new(EV_STOP));
 }
 
+/* Starts a fault of the network, platform or workers, or a worker's leave. */
 static void step_fault(struct fleet *f, struct fleet_step s)
 {
 	int64_t ms = 300 + 400 * (int64_t)(s.arg2 % 32);
@@ -1786,6 +1820,7 @@
 	}
 }
 
+/* Kills, freezes or stops entry VMs, or advances the clock of one. */
 static void step_entry(struct fleet *f, struct fleet_step s)
 {
 	unsigned slot = s.arg1 % FLEET_ENTRIES, i;
@@ -2020,6 +2055,7 @@
 	json_decref(head);
 }
 
+/* Creates the workers and their rows. */
 static void fleet_populate(struct fleet *f)
 {
 	vms_head head = {.generation = FLEET_WORKERS};
--- a/tests/support-sim.c
+++ b/tests/support-sim.c
@@ -20,7 +20,7 @@
 	int64_t at;
 	uint64_t seq;
 	enum queue_item_kind kind;
-	unsigned entry, gen; /* entry: or the index of a worker */
+	unsigned entry, gen; /* entry: an entry VM or, for workers, a worker */
 	uint64_t n;
 	event *ev;
 	effect *fx;
@@ -32,7 +32,7 @@
 	task_state state;
 	const char *reason;
 	int64_t began_at;
-	int64_t elapsed, left; /* elapsed: run time, also of earlier starts */
+	int64_t elapsed, left; /* elapsed: run time, with earlier starts */
 	uint64_t seq, end_id;  /* end_id: of the queue item that ends it */
 };
 struct sim_watch {
@@ -139,6 +139,7 @@
 	xdr_free(XDR_PROC(xdr_vm_row), (char *)&row);
 }
 
+/* Commits a transaction and calls the hook for each of its writes. */
 static void table_commit(struct sim *s, const fx_commit *c, ev_platform *p)
 {
 	u_int i;
@@ -187,6 +188,7 @@
 		fake_table_request(&s->fabric->table, fx, p);
 }
 
+/* Processes a request to the platform, with the fault that the hook chooses. */
 static void platform_receive(struct sim *s, struct queue_item *it)
 {
 	enum sim_fault fault = s->hooks.request ? s->hooks.request(s, it->fx)
@@ -210,7 +212,6 @@
 	effect_free(it->fx);
 }
 
-/* The workers. */
 struct sim_worker *sim_worker_find(struct sim *s, bstr name)
 {
 	unsigned i = name_number(name, s->worker_count);
@@ -244,6 +245,7 @@
 		k->result = bstr_printf("%lld", (long long)t->elapsed);
 }
 
+/* Returns a worker's answer to a request, without tasks. */
 static event *answer_new(struct sim_worker *w, uint64_t req)
 {
 	event *ev = event_new(EV_WORKER);
@@ -283,6 +285,7 @@
 	}
 }
 
+/* Ends a run of a task and answers the watches. */
 static void task_end(struct sim *s, struct sim_worker *w, struct sim_task *t,
 		     task_state state, const char *reason)
 {
@@ -299,6 +302,7 @@
 	worker_answer_watches(s, w);
 }
 
+/* Starts a task, at its checkpoint if it has one; refused without free slot. */
 static void task_begin(struct sim *s, struct sim_worker *w, const task_start *x,
 		       unsigned pool)
 {
@@ -340,6 +344,10 @@
 	free(ck);
 }
 
+/*
+ * Carries out an order.  A stop of an unknown task leaves a tombstone, which
+ * refuses a start that arrives later.
+ */
 static void task_order_apply(struct sim *s, struct sim_worker *w,
 			     const task_order *o, unsigned pool)
 {
@@ -453,6 +461,7 @@
 	}
 }
 
+/* Completes the task whose run time is over, unless it was stopped. */
 static void task_complete(struct sim *s, const struct queue_item *it)
 {
 	struct sim_worker *w = &s->workers[it->entry];
@@ -507,7 +516,7 @@
 	memset(w->epochs, 0, sizeof(w->epochs));
 }
 
-/* The entry VMs. */
+/* Writes the name of an entry VM's current process. */
 static void entry_name(struct sim *s, unsigned entry, char *name, size_t size)
 {
 	snprintf(name, size, "e%u-%u", entry, s->generation[entry]);
@@ -551,6 +560,7 @@
 	s->entries[entry] = NULL;
 }
 
+/* Delivers a message to a peer, or reports it lost if the peer is down. */
 static void peer_deliver(struct sim *s, unsigned from, const fx_peer *p)
 {
 	char name[16];
@@ -641,6 +651,7 @@
 	queue_put(s, it);
 }
 
+/* Runs the reducer of an entry VM on an event and executes the effects. */
 static void entry_reduce(struct sim *s, unsigned entry, event *ev)
 {
 	struct effects out;
@@ -750,7 +761,6 @@
 	return n;
 }
 
-/* Operators. */
 void sim_operate_begin(struct sim *s, unsigned entry, const op_request *rq)
 {
 	event *ev = event_new(EV_OPERATE);
@@ -869,6 +879,7 @@
 	bstr_free(&got);
 }
 
+/* Stores the first configuration. */
 static void sim_configure(struct sim *s)
 {
 	struct sim_fabric *f = s->fabric;
@@ -920,6 +931,7 @@
 	bstr_free(&value);
 }
 
+/* Creates the workers of all pools and the head of the list of VMs. */
 static void sim_populate(struct sim *s)
 {
 	vms_head head = {.generation = 1};
