--- a/tests/support-fleet.c
+++ b/tests/support-fleet.c
@@ -503,7 +503,7 @@
 }
 
 enum {
-	PLATFORM_FINE,
+	PLATFORM_UP,
 	PLATFORM_DOWN,
 	PLATFORM_REFUSING,
 	PLATFORM_SLOW,
@@ -518,17 +518,17 @@
 static void platform_send(struct fleet *f, unsigned slot, effect *fx)
 {
 	struct entry *e = &f->entries[slot];
-	int64_t there = 1 + (int64_t)fleet_random(f, 4);
-	int64_t back = 1 + (int64_t)fleet_random(f, 4);
-	bool platform_cut = e->platform_cut || f->dc_platform_cut[slot % 2];
-	bool reaches = !platform_cut, answered = !platform_cut;
+	int64_t request_ms = 1 + (int64_t)fleet_random(f, 4);
+	int64_t reply_ms = 1 + (int64_t)fleet_random(f, 4);
+	bool cut = e->platform_cut || f->dc_platform_cut[slot % 2];
+	bool reaches = !cut, answered = !cut;
 	event *ev = event_new(EV_PLATFORM);
 	ev_platform *p = &ev->body.event_body_u.platform;
 
 	p->req = effect_request_id(fx);
 	p->outcome = PLATFORM_UNKNOWN;
 	if (f->platform_mode == PLATFORM_SLOW)
-		there += (int64_t)fleet_random(f, 2500);
+		request_ms += (int64_t)fleet_random(f, 2500);
 	if (f->platform_mode == PLATFORM_DOWN)
 		reaches = answered = false;
 	if (f->platform_mode == PLATFORM_LOSING && !fleet_random(f, 3))
@@ -537,8 +537,8 @@
 		reaches = answered = false;
 		p->outcome = PLATFORM_REFUSED;
 		p->retry_after_ms = 100;
-		entry_post(f, slot, e->gen, there, ev);
-	} else if (!answered || there + back > PLATFORM_TIMEOUT_MS) {
+		entry_post(f, slot, e->gen, request_ms, ev);
+	} else if (!answered || request_ms + reply_ms > PLATFORM_TIMEOUT_MS) {
 		answered = false;
 		entry_post(f, slot, e->gen, PLATFORM_TIMEOUT_MS, ev);
 	}
@@ -548,11 +548,11 @@
 		effect_free(fx);
 		return;
 	}
-	queue_put(f, (struct queue_item){.at = f->now + there,
+	queue_put(f, (struct queue_item){.at = f->now + request_ms,
 					 .kind = Q_PLATFORM,
 					 .a = slot,
 					 .b = e->gen,
-					 .n = answered ? (uint64_t)back : 0,
+					 .n = answered ? (uint64_t)reply_ms : 0,
 					 .fx = fx});
 }
 
@@ -593,26 +593,26 @@
 	int64_t since = f->fault_ended > w->state_at ? f->fault_ended
 						     : w->state_at;
 
-	TRACE(f, "%s begins %s, job %u", w->name, t->id, job);
+	TRACE(f, "%s starts %s, job %u", w->name, t->id, job);
 	f->counters[FLEET_TASKS_STARTED]++;
 	/* a task that resumes from a checkpoint isn't run a second time */
 	if (++j->start_count > 1 + j->checkpoints && !j->may_repeat)
-		VIOLATION(f, "once: job %u (%s) begins again as %s on %s", job,
+		VIOLATION(f, "once: job %u (%s) starts again as %s on %s", job,
 			  j->id, t->id, w->name);
 	if (j->not_run)
-		VIOLATION(f, "not-run: job %u begins as %s after the answer",
+		VIOLATION(f, "not-run: job %u starts as %s after the answer",
 			  job, t->id);
 	if (j->refused && j->submit_count == 1)
-		VIOLATION(f, "not-run: job %u begins after its refusal", job);
+		VIOLATION(f, "not-run: job %u starts after its refusal", job);
 	if (w->pool != t->pool)
-		VIOLATION(f, "pool: %s begins %s of another pool", w->name,
+		VIOLATION(f, "pool: %s starts %s of another pool", w->name,
 			  t->id);
 	if (!f->faults && w->state != VM_ACTIVE && f->now - since > LEAVING_MS)
-		VIOLATION(f, "leaving: %s begins %s while it drains", w->name,
+		VIOLATION(f, "leaving: %s starts %s while it drains", w->name,
 			  t->id);
 	since = f->fault_ended > w->leaving_at ? f->fault_ended : w->leaving_at;
 	if (!f->faults && w->leaving && f->now - since > LEAVING_MS)
-		VIOLATION(f, "leaving: %s begins %s while it leaves", w->name,
+		VIOLATION(f, "leaving: %s starts %s while it leaves", w->name,
 			  t->id);
 	for (i = 0; i < FLEET_WORKERS; i++)
 		running += worker_running(&f->workers[i], (int)t->team);
@@ -1034,7 +1034,7 @@
 		      BSTR_ARG(p->message.peer_message_u.dispatch.job),
 		      BSTR_ARG(p->to));
 	if (p->message.kind == PM_UPDATE)
-		TRACE(f, "%s tells %.*s to %.*s: known %d state %d %.*s",
+		TRACE(f, "%s reports %.*s to %.*s: known %d state %d %.*s",
 		      f->entries[slot].name,
 		      BSTR_ARG(p->message.peer_message_u.update.job),
 		      BSTR_ARG(p->to),
@@ -1042,7 +1042,7 @@
 		      (int)p->message.peer_message_u.update.view.state,
 		      BSTR_ARG(p->message.peer_message_u.update.view.reason));
 	if (p->message.kind == PM_QUERY)
-		TRACE(f, "%s asks %.*s after %.*s", f->entries[slot].name,
+		TRACE(f, "%s queries %.*s about %.*s", f->entries[slot].name,
 		      BSTR_ARG(p->to),
 		      BSTR_ARG(p->message.peer_message_u.attempt.job));
 	if (p->message.kind == PM_FORWARD)
@@ -1077,11 +1077,11 @@
 	entry_post(f, (unsigned)to, f->entries[to].gen, delay, ev);
 }
 
-static bool answer_contains(const caller_answer *a, const char *words)
+static bool answer_contains(const caller_answer *a, const char *text)
 {
 	return a->detail.bstr_len &&
-	       memmem(a->detail.bstr_val, a->detail.bstr_len, words,
-		      strlen(words));
+	       memmem(a->detail.bstr_val, a->detail.bstr_len, text,
+		      strlen(text));
 }
 
 /* Checks that a view is of the requested job and agrees with the workers. */
@@ -1110,11 +1110,10 @@
 	if (v->state == JOB_NOT_RUN) {
 		f->counters[FLEET_NOT_RUN]++;
 		if (j->start_count)
-			VIOLATION(
-				f,
-				"not-run: job %u is said not to have run, but "
-				"has begun (%.*s)",
-				job, BSTR_ARG(v->reason));
+			VIOLATION(f,
+				  "not-run: job %u is reported as not run, but "
+				  "was started (%.*s)",
+				  job, BSTR_ARG(v->reason));
 		j->not_run = true;
 	}
 	if (v->state >= JOB_DONE)
@@ -1172,7 +1171,7 @@
 		j->refused = true;
 		if (j->start_count && j->submit_count == 1)
 			VIOLATION(f,
-				  "not-run: job %u is refused, but has begun",
+				  "not-run: job %u is refused, but was started",
 				  c->job);
 	}
 	if (a->http == 404 && j->accepted && !j->memory_only)
@@ -1640,7 +1639,7 @@
 			e->platform_cut = false;
 		break;
 	case FLEET_PLATFORM:
-		f->platform_mode = PLATFORM_FINE;
+		f->platform_mode = PLATFORM_UP;
 		break;
 	case FLEET_LATE:
 		f->late = 0;
@@ -1761,7 +1760,7 @@
 	entry_post(f, slot, e->gen, 1, event_new(EV_STOP));
 }
 
-/* Starts a fault of the network, platform or workers, or a worker's leave. */
+/* Starts a fault of network, platform or workers, or lets a worker leave. */
 static void step_fault(struct fleet *f, struct fleet_step s)
 {
 	int64_t ms = 300 + 400 * (int64_t)(s.arg2 % 32);
@@ -1809,7 +1808,7 @@
 		f->workers[i].leaving_at = f->now;
 		f->workers[i].seq++;
 		worker_answer_watches(f, &f->workers[i]);
-		/* not counted as a fault: during faults it may be ignored */
+		/* not counted as a fault, which would suspend its check */
 		queue_put(f, (struct queue_item){.at = f->now + ms * 2,
 						 .kind = Q_FAULT_END,
 						 .a = FLEET_LEAVE,
@@ -1945,7 +1944,7 @@
 }
 
 /* Sets limits, budgets and pools so that all accepted jobs can finish. */
-static void settle_operators(struct fleet *f)
+static void restore_capacity(struct fleet *f)
 {
 	unsigned i, have[POOLS] = {0};
 
@@ -1973,7 +1972,7 @@
 	for (i = 0; i < 120 && f->faults; i++)
 		fleet_run(f, 500);
 	fleet_run(f, 10000); /* pending operators' requests */
-	settle_operators(f);
+	restore_capacity(f);
 	fleet_run(f, 60000);
 	for (i = 0; i < FLEET_ENTRIES && !f->violation[0]; i++)
 		if (f->entries[i].revision != f->revision)
--- a/tests/test-queue.c
+++ b/tests/test-queue.c
@@ -105,7 +105,8 @@
 				  "case %u: job %u waited %lld ms", i, k,
 				  (long long)wait_time(s, k));
 		cr_expect(s->checkpoints <= 2 * cases[i].count + 4,
-			  "case %u: %u checkpoints", i, (unsigned)s->checkpoints);
+			  "case %u: %u checkpoints", i,
+			  (unsigned)s->checkpoints);
 		sim_run(s, 240000);
 		for (k = 0; k < s->job_count; k++) {
 			cr_expect_eq(s->jobs[k].state, JOB_DONE, "case %u: %u",
@@ -148,7 +149,7 @@
 		quick_count++;
 		late_count += wait_time(s, i) > 20000;
 	}
-	cr_expect(late_count * 100 < quick_count, "%u of %u are late", late_count,
+	cr_expect(late_count * 100 < quick_count, "%u of %u late", late_count,
 		  quick_count);
 	sim_free(s);
 }
