--- a/tests/prop-edge-http.cc
+++ b/tests/prop-edge-http.cc
@@ -21,15 +21,16 @@
 	"\"state\":\"done\",\"reason\":\"\",\"result\":\"aGk=\","
 	"\"ran_ms\":5,\"cpu_milli\":6,\"memory_mb\":7}]}"};
 
-/* Change bytes here and there, drop some, add some, or cut the end off. */
-static std::string damage(std::string text)
+/* Changes, drops or inserts a few bytes, or cuts off the end. */
+static std::string corrupt(std::string text)
 {
-	static const std::string likely = "{}[]\",:0123456789-.eE\\u+ /\r\n";
+	static const std::string json_chars =
+		"{}[]\",:0123456789-.eE\\u+ /\r\n";
 	int edits = *rc::gen::inRange(1, 4);
 
 	while (edits-- && !text.empty()) {
 		size_t at = *rc::gen::inRange<size_t>(0, text.size());
-		char c = *rc::gen::oneOf(rc::gen::elementOf(likely),
+		char c = *rc::gen::oneOf(rc::gen::elementOf(json_chars),
 					 rc::gen::inRange<char>(1, 127),
 					 rc::gen::inRange<char>(-128, 0));
 
@@ -51,7 +52,7 @@
 	return text;
 }
 
-static effect *request(kind k, uint16_t port)
+static effect *request_new(kind k, uint16_t port)
 {
 	static const effect_kind kinds[] = {FX_READ, FX_SCAN, FX_VM_LIST,
 					    FX_WORKER};
@@ -79,7 +80,7 @@
 	return std::string(b.bstr_val ? b.bstr_val : "", b.bstr_len);
 }
 
-/* What must hold of any event of the platform. */
+/* Checks what must hold of any event from the platform. */
 static void check_platform(kind k, const ev_platform &p)
 {
 	std::set<std::string> names;
@@ -108,7 +109,7 @@
 	}
 }
 
-/* What must hold of any event of a worker. */
+/* Checks what must hold of any event from a worker. */
 static void check_worker(const ev_worker &w)
 {
 	std::set<std::string> names;
@@ -125,20 +126,23 @@
 	}
 }
 
-/* One exchange with a damaged answer: one event, and nothing wrong in it. */
+/*
+ * Makes an exchange with a corrupted answer.  It must yield one event, which
+ * has no invalid or contradictory data.
+ */
 static void exchange(kind k)
 {
 	std::string body = bodies[k];
 	bool headers = *rc::gen::weightedElement<bool>({{1, true}, {3, false}});
 
 	if (!headers)
-		body = damage(body);
+		body = corrupt(body);
 	std::string text = "HTTP/1.1 200 OK\r\nContent-Length: " +
 			   std::to_string(body.size()) + "\r\n\r\n" + body;
 	if (headers)
-		text = damage(text);
-	fake_step only = {FAKE_RAW, 0, text.c_str(), NULL, NULL, 0};
-	struct fake *f = fake_start(&only, 1);
+		text = corrupt(text);
+	fake_step answer = {FAKE_RAW, 0, text.c_str(), NULL, NULL, 0};
+	struct fake *f = fake_start(&answer, 1);
 	struct mailbox *inbox = mailbox_new(16);
 	std::string url = "http://127.0.0.1:" + std::to_string(fake_port(f));
 	struct settings s = {};
@@ -150,7 +154,7 @@
 	s.platform.max_in_flight = s.workers.max_connections = 2;
 	struct edge_platform *p = edge_platform_start(&s, inbox, &e);
 	struct edge_worker *w = edge_worker_start(&s, inbox, &e);
-	effect *fx = request(k, fake_port(f));
+	effect *fx = request_new(k, fake_port(f));
 	bool sent = k == WATCH ? edge_worker_send(w, fx)
 			       : edge_platform_send(p, fx);
 	event *ev = fake_next_event(inbox);
