--- a/tests/support-world.c
+++ b/tests/support-world.c
@@ -221,7 +221,7 @@
 				if (n != o->pending_tasks[i].count)
 					world_report_violation(
 						w,
-						"wrong count of a step's pending tasks",
+						"wrong count of pending tasks",
 						j->id);
 			}
 		}
--- a/tests/test-sched.c
+++ b/tests/test-sched.c
@@ -1,6 +1,6 @@
 /*
- * The scheduler in a small world: what callers see of jobs while VMs, the
- * store, workers and machines fail.  Each failure is a row of a table.
+ * Tests of the scheduler in the simulated world: what callers see of jobs while
+ * VMs, the store, workers and machines fail.
  */
 #include "world-calm.h"
 
@@ -9,33 +9,36 @@
 #define JOB_C "f0000000000000cc"
 
 static const struct world_job quick = {.tasks = 3, .task_ms = 400};
-static const struct world_job chain = {
+static const struct world_job two_steps = {
 	.tasks = 4, .more_tasks = 3, .task_ms = 500};
-static const struct world_job lasting = {
+static const struct world_job long_lived = {
 	.tasks = 4, .long_running = true, .max_per_worker = 1, .may_miss = 1};
-static const struct world_job crowded = {
+static const struct world_job unspread = {
 	.tasks = 4, .long_running = true, .may_miss = 1};
 static const struct world_job flaky = {
 	.tasks = 2, .task_ms = 300, .failures = 2};
 
-/* Check that all was kept, and free the world. */
+/* Checks that no invariant was violated, and frees the world. */
 static void check_free(struct world *w)
 {
 	cr_expect_null(world_violation(w), "%s", world_violation(w));
 	world_free(w);
 }
 
-/* What callers get on a calm day. */
+/*
+ * Submits, states and repeated submits are answered as specified when nothing
+ * fails.
+ */
 Test(sched, calm_day)
 {
 	struct world *w = calm(1);
-	uint64_t a = world_submit(w, other(w), JOB_A, &chain), b, c;
+	uint64_t a = world_submit(w, other(w), JOB_A, &two_steps), b, c;
 
 	world_run(w, 20);
 	cr_expect_eq(world_call_status(w, a), 200);
 	a = world_call(w, owner(w), VERB_STATE, JOB_A);
 	b = world_call(w, other(w), VERB_STATE, JOB_B);
-	c = world_submit(w, owner(w), JOB_A, &chain);
+	c = world_submit(w, owner(w), JOB_A, &two_steps);
 	world_run(w, 60);
 	cr_expect_eq(world_call_status(w, a), 200);
 	cr_expect_eq(world_call_status(w, b), 410, "no such job");
@@ -50,19 +53,18 @@
 }
 
 /*
- * Callers of the queue whose turn it is wait for machines that other pools
- * could lend, but for a task or two on each.  Lasting tasks of several jobs
- * share as few workers as their steps allow, and short ones go beside them, so
- * that the others stay empty.
+ * Another pool can borrow a machine only if its worker is empty, so tasks must
+ * not be spread over all workers. Long-running tasks of several jobs share as
+ * few workers as their steps allow, and short ones go beside them.
  */
 Test(sched, idle_workers_stay_empty)
 {
 	struct world *w = calm(50);
 	unsigned i, used = 0;
 
-	world_submit(w, 0, JOB_A, &lasting);
+	world_submit(w, 0, JOB_A, &long_lived);
 	world_run(w, 300);
-	world_submit(w, 0, JOB_B, &lasting);
+	world_submit(w, 0, JOB_B, &long_lived);
 	world_run(w, 300);
 	world_submit(w, 0, JOB_C, &quick);
 	world_run(w, 1500);
@@ -74,12 +76,13 @@
 }
 
 /*
- * Callers of a queue's turn wait ever longer if a VM with little processor
- * time owns the scheduling: it can't place as fast as work comes.  All VMs
- * are lost at once and start together; three are small, and the large one has
- * to own, whichever owned before and whoever is first to see that nobody does.
- * Nobody may claim before it has the configuration; that it comes late to all,
- * and to all at once, must not make them forget to let the large one go first.
+ * A VM with little processor time that owns the scheduling can't place tasks as
+ * fast as jobs arrive, so the wait of callers grows without bound. All VMs are
+ * lost at once and start together; three are small. The large one must become
+ * the owner, whichever owned before and whichever notices first that there is
+ * no owner. No VM may claim the ownership before it has read the configuration;
+ * where that arrives late at all VMs at once, they must still let the large one
+ * claim first.
  */
 Test(sched, large_vm_owns)
 {
@@ -102,7 +105,7 @@
 	}
 }
 
-/* A key that was taken away stops working, and gets 401. */
+/* A key that was removed stops working; requests with it get 401. */
 Test(sched, key_withdrawn)
 {
 	struct world *w = calm(2);
@@ -121,14 +124,14 @@
 	check_free(w);
 }
 
-/* A cancelled job's tasks end and no more of it begin. */
+/* A cancelled job's tasks are stopped, and no more of them are started. */
 Test(sched, cancel)
 {
 	struct world *w = calm(3);
 	uint64_t a;
 	unsigned starts;
 
-	world_submit(w, other(w), JOB_A, &lasting);
+	world_submit(w, other(w), JOB_A, &long_lived);
 	world_run(w, 200);
 	a = world_call(w, other(w), VERB_CANCEL, JOB_A);
 	world_run(w, 600);
@@ -140,7 +143,7 @@
 	check_free(w);
 }
 
-/* No more runs than the organisation's limit; the rest waits. */
+/* Tasks run only up to the organisation's upper limit; the rest wait. */
 Test(sched, upper_limit)
 {
 	struct world *w = calm(4);
@@ -148,19 +151,20 @@
 
 	world_set_limit(w, 4000);
 	world_run(w, 20);
-	world_submit(w, 0, JOB_A, &chain);
-	world_submit(w, 1, JOB_B, &chain);
+	world_submit(w, 0, JOB_A, &two_steps);
+	world_submit(w, 1, JOB_B, &two_steps);
 	world_run(w, 60);
 	a = world_call(w, owner(w), VERB_STATE, "");
 	world_run(w, 10);
-	cr_expect_eq(world_call_waiting(w, a), 1, "one job has no task yet");
+	cr_expect_eq(world_call_waiting(w, a), 1,
+		     "one job has no running task yet");
 	world_run(w, 6500);
 	cr_expect_str_eq(world_job_state(w, JOB_A), "completed");
 	cr_expect_str_eq(world_job_state(w, JOB_B), "completed");
 	check_free(w);
 }
 
-/* A task that fails fewer times than its queue allows is done in the end. */
+/* A task that fails fewer times than its queue allows is completed. */
 Test(sched, failing_tasks)
 {
 	static const struct world_job hopeless = {
@@ -176,7 +180,7 @@
 	check_free(w);
 }
 
-/* What happens to the owner while jobs run. */
+/* Faults of the owner while jobs run. */
 enum owner_fault {
 	OWNER_KILLED,
 	OWNER_STOPPED,
@@ -189,7 +193,7 @@
 	OWNER_HISTORY_GONE,
 	OWNER_SHORT_FREEZE
 };
-static void owner_hurt(struct world *w, enum owner_fault fault)
+static void owner_fault_inject(struct world *w, enum owner_fault fault)
 {
 	unsigned n = owner(w), i;
 
@@ -236,36 +240,36 @@
 }
 
 /*
- * The owner is lost at any moment of a job of two steps and a lasting one.
- * The caller sees the job completed, and each task runs once: the successor
- * takes over what runs, and what has ended was acknowledged only after it was
- * durable.
+ * The owner is lost at various moments of a two-step job and a long-running
+ * one. The caller sees the job completed and each task runs once: the successor
+ * takes over running tasks, and ends are acknowledged only after they are
+ * stored.
  */
 static const struct {
 	const char *name;
 	enum owner_fault fault;
 } owner_faults[] = {
 	{"killed", OWNER_KILLED},
-	{"stopped by plan", OWNER_STOPPED},
-	{"frozen past its lease", OWNER_FROZEN},
-	{"frozen for a moment", OWNER_SHORT_FREEZE},
+	{"stopped as planned", OWNER_STOPPED},
+	{"suspended past its lease", OWNER_FROZEN},
+	{"suspended for a moment", OWNER_SHORT_FREEZE},
 	{"cut off from the store", OWNER_CUT},
 	{"refused by the store", OWNER_REFUSED},
 	{"killed with all others", OWNER_ALL_KILLED},
 	{"without a store for 3 s", OWNER_STORE_DOWN},
 	{"without answers to its writes", OWNER_STORE_LOSES},
-	{"without the feeds' history", OWNER_HISTORY_GONE},
+	{"with the feeds' history dropped", OWNER_HISTORY_GONE},
 };
 static void owner_lost(const char *name, enum owner_fault fault, int64_t at)
 {
 	struct world *w = calm(100 + (uint64_t)at);
 	uint64_t a;
 
-	world_submit(w, other(w), JOB_B, &lasting);
+	world_submit(w, other(w), JOB_B, &long_lived);
 	world_run(w, 300);
-	world_submit(w, other(w), JOB_A, &chain);
+	world_submit(w, other(w), JOB_A, &two_steps);
 	world_run(w, at);
-	owner_hurt(w, fault);
+	owner_fault_inject(w, fault);
 	world_run(w, 9000);
 	a = world_call(w, owner(w), VERB_STATE, JOB_A);
 	world_run(w, 50);
@@ -287,12 +291,12 @@
 }
 
 /*
- * A caller's task is done twice if its end was acknowledged before it was
- * written and the owner is lost then.  A commit that holds the ends of a job's
- * first step gets no answer; meanwhile its second step ends, on one of the
- * workers, and more jobs change than one commit holds.  The job is written by
- * a later one, and the ends on the other workers are not acknowledged sooner.
- * The world compares each acknowledgement with the rows of the store.
+ * A task runs twice if its end is acknowledged before it is stored, and the
+ * owner is lost then. A commit with the ends of a job's first step gets no
+ * answer; meanwhile its second step ends on one of the workers, and more jobs
+ * change than one commit holds. A later commit stores the job, and the ends on
+ * the other workers must not be acknowledged before that. The world compares
+ * each acknowledgement with the rows of the store.
  */
 Test(sched, acknowledged_when_written)
 {
@@ -308,7 +312,7 @@
 	for (row = 0; row < 80; row++) {
 		w = calm(900 + row);
 		n = owner(w);
-		/* Of one job at a time; the crowd waits. */
+		/* The limit lets one job run at a time; the others wait. */
 		world_set_limit(w, 8000);
 		world_run(w, 10);
 		world_submit(w, (n + 1) % 4, JOB_A, &steps);
@@ -333,16 +337,16 @@
 }
 
 /*
- * The owner is cut off from the store and from one worker, and is replaced;
- * the successor renews that worker.  The old owner sees a silent worker whose
- * lease, as it knows it, is over, and must not start its tasks elsewhere.
+ * The owner is cut off from the store and from some workers, and is replaced;
+ * the successor renews those workers' leases. To the old owner the workers are
+ * silent and their leases expired, but it must not start their tasks elsewhere.
  */
 Test(sched, replaced_owner_sees_silent_worker)
 {
 	struct world *w = calm(7);
 	unsigned n, i;
 
-	world_submit(w, other(w), JOB_A, &lasting);
+	world_submit(w, other(w), JOB_A, &long_lived);
 	world_run(w, 500);
 	n = owner(w);
 	world_cut_store(w, n, true);
@@ -355,10 +359,10 @@
 }
 
 /*
- * Users of lasting jobs get each answer twice.  A data centre is cut off with
- * the owner and three workers in it; the owner goes on renewing them.  Its
- * successor is stopped by plan before it knows what runs there, and the third
- * owner must not take that for a release by one who knew.
+ * Long-running tasks run twice at the same time. A network partition cuts off
+ * the owner with three workers, whose leases it goes on renewing. Its successor
+ * is stopped as planned before it knows what runs there, and the third owner
+ * must not take that release for one by an owner that knew.
  */
 Test(sched, released_before_settled)
 {
@@ -367,8 +371,8 @@
 
 	for (row = 0; row < 14; row++) {
 		w = calm(200 + row);
-		world_submit(w, other(w), JOB_A, &lasting);
-		world_submit(w, other(w), JOB_B, &lasting);
+		world_submit(w, other(w), JOB_A, &long_lived);
+		world_submit(w, other(w), JOB_B, &long_lived);
 		world_run(w, 500);
 		n = owner(w);
 		world_cut_store(w, n, true);
@@ -387,18 +391,18 @@
 }
 
 /*
- * A data centre is cut off with the owner and two workers in it.  The
- * workers' rows lapse, the successor does not see them, and the old owner
- * goes on renewing them for a while: their tasks may start elsewhere only
- * when no lease of the old owner can hold any more.
+ * A network partition cuts off the owner with two workers. The workers' rows
+ * expire, so the successor doesn't see them, while the old owner goes on
+ * renewing their leases for a while. Their tasks may start elsewhere only when
+ * no lease that the old owner gave can still be valid.
  */
 Test(sched, cut_workers_have_no_rows)
 {
 	struct world *w = calm(8);
 	unsigned n, i, k;
 
-	world_submit(w, other(w), JOB_A, &lasting);
-	world_submit(w, other(w), JOB_B, &lasting);
+	world_submit(w, other(w), JOB_A, &long_lived);
+	world_submit(w, other(w), JOB_B, &long_lived);
 	world_run(w, 500);
 	n = owner(w);
 	world_cut_store(w, n, true);
@@ -408,17 +412,17 @@
 	world_unlist_worker(w, 0, true);
 	world_unlist_worker(w, 1, true);
 	world_run(w, 3000);
-	/* A second change of owner, before the first has settled. */
+	/* The owner changes again before the first successor has settled. */
 	world_stop_vm(w, owner(w));
 	world_run(w, 12000);
 	check_free(w);
 }
 
 /*
- * Callers get the same answer twice: a write without an answer is carried out
- * seconds later, after a newer one, and sets a job's progress back.  The ends
- * of its tasks were acknowledged on the newer one's word, and the next owner
- * starts them again.
+ * Tasks run twice: a write that timed out is carried out seconds later, after a
+ * newer one, and overwrites a job's progress with an older state. The ends of
+ * its tasks were acknowledged because of the newer write, and the next owner
+ * would start them again.
  */
 Test(sched, late_writes)
 {
@@ -432,7 +436,7 @@
 		for (k = 0; k < 3; k++) {
 			snprintf(id, sizeof(id), "%016x", 0xa0 + k);
 			world_set_store_mode(w, WORLD_STORE_OK);
-			world_submit(w, other(w), id, &chain);
+			world_submit(w, other(w), id, &two_steps);
 			world_run(w, 300 + 40 * row);
 			world_set_vm_store_mode(w, owner(w), WORLD_STORE_LATE);
 			world_run(w, 500 + 30 * row);
@@ -450,9 +454,9 @@
 }
 
 /*
- * An operator sees one job waiting where many do.  Jobs that may run, by the
- * store, have found no room when their owner dies: its successor counts them
- * as waiting still, for it finds no trace of a run of them.
+ * An operator sees one job waiting where many are. Jobs that the store has as
+ * admitted have found no free capacity when their owner dies. The successor
+ * must still count them as waiting, as it finds no run of them.
  */
 Test(sched, waiting_after_takeover)
 {
@@ -478,12 +482,15 @@
 	check_free(w);
 }
 
-/* A store that is away for long lets what runs go on or end, never twice. */
+/*
+ * During a long outage of the store, running tasks go on or end, but never run
+ * twice.
+ */
 Test(sched, long_outage)
 {
 	struct world *w = calm(9);
 
-	world_submit(w, other(w), JOB_A, &lasting);
+	world_submit(w, other(w), JOB_A, &long_lived);
 	world_run(w, 500);
 	world_set_store_mode(w, WORLD_STORE_REFUSES);
 	world_run(w, 12000);
@@ -493,7 +500,7 @@
 	check_free(w);
 }
 
-/* While the store is away, callers are refused at once, not held. */
+/* While the store is down, callers are refused at once instead of waiting. */
 Test(sched, refused_at_once)
 {
 	struct world *w = calm(10);
@@ -506,13 +513,13 @@
 	cr_expect_eq(world_call_status(w, a), 503);
 	world_set_store_mode(w, WORLD_STORE_OK);
 	world_run(w, 500);
-	cr_expect_eq(world_starts(w), 0, "refused work has not run");
+	cr_expect_eq(world_starts(w), 0, "a refused job has not run");
 	check_free(w);
 }
 
 /*
- * The answer to storing a job is lost.  The caller is told 200 once a second
- * try has found the row, and it is one job.
+ * The answer to the write of a job is lost. The caller gets 200 once a retry
+ * has found the row, and the job exists once.
  */
 Test(sched, lost_answer)
 {
@@ -530,7 +537,7 @@
 	check_free(w);
 }
 
-/* Workers that leave, crash, fall silent or fail all they run. */
+/* Faults of workers: they drain, crash, fall silent or fail all their tasks. */
 Test(sched, draining_worker_gets_nothing)
 {
 	struct world *w = calm(12);
@@ -540,7 +547,7 @@
 		world_drain_worker(w, i);
 	world_run(w, 50);
 	before = world_starts_of(w, 0);
-	world_submit(w, 0, JOB_A, &chain);
+	world_submit(w, 0, JOB_A, &two_steps);
 	world_run(w, 3000);
 	cr_expect_str_eq(world_job_state(w, JOB_A), "completed");
 	cr_expect_eq(world_starts_of(w, 0), before);
@@ -552,7 +559,7 @@
 	struct world *w = calm(13);
 	unsigned i;
 
-	world_submit(w, 0, JOB_A, &lasting);
+	world_submit(w, 0, JOB_A, &long_lived);
 	world_run(w, 300);
 	for (i = 0; i < 6; i++)
 		world_crash_worker(w, i);
@@ -565,7 +572,7 @@
 	struct world *w = calm(14);
 	unsigned k;
 
-	world_submit(w, 0, JOB_A, &chain);
+	world_submit(w, 0, JOB_A, &two_steps);
 	world_run(w, 100);
 	for (k = 0; k < 4; k++)
 		world_cut_worker(w, k, 0, true);
@@ -575,20 +582,23 @@
 }
 
 /*
- * A task that a new life of a silent worker did late runs a second time; one
- * whose start can't have reached another life must not wait for that.
+ * A start that timed out may have reached a later process of a silent worker,
+ * which would run the task a second time, so the task waits until no such run
+ * is possible. A start that went over an old connection can't have reached
+ * another process and must not wait.
  */
 static const struct {
 	const char *name;
 	bool old_connections;
-	int64_t silent_ms; /* the workers that got the starts */
+	int64_t silent_ms; /* of the worker that got the starts */
 	int64_t after_ms;
 	const char *state;
 } silent_start_rows[] = {
-	{"any life", false, 16000, 9000, "running"},
-	{"any life, in the end", false, 16000, 15000, "completed"},
-	{"any life, and the known one is back", false, 5000, 7000, "completed"},
-	{"the known life only", true, 16000, 9000, "completed"},
+	{"any process", false, 16000, 9000, "running"},
+	{"any process, after the wait", false, 16000, 15000, "completed"},
+	{"any process, and the known one is back", false, 5000, 7000,
+	 "completed"},
+	{"only the known process", true, 16000, 9000, "completed"},
 };
 Test(sched, start_at_a_silent_worker)
 {
@@ -605,7 +615,7 @@
 		world_set_lost_starts(w, 100);
 		world_submit(w, 0, JOB_A, &quick);
 		world_run(w, 20);
-		/* The first of the workers got them. */
+		/* The first worker got all of them. */
 		for (k = 0; k < 4; k++)
 			world_cut_worker(w, k, 0, true);
 		world_set_lost_starts(w, 0);
@@ -622,9 +632,10 @@
 }
 
 /*
- * A task runs a second time: the owner stands still while the first word of a
- * worker's new life lies in its inbox, and reckons the birth by when it reads
- * that.  The birth seems to be after a start that this life has got.
+ * A task runs twice: the owner is suspended while the first answer of a
+ * restarted worker's process is in its inbox, and derives the start of the
+ * process from when it reads the answer. The process then seems to have started
+ * after a start order that it got.
  */
 Test(sched, birth_told_to_a_frozen_owner)
 {
@@ -640,7 +651,8 @@
 		world_set_late_orders(w, 100);
 		world_submit(w, other(w), JOB_A, &quick);
 		world_run(w, 14 + 6 * (row / 12));
-		world_unlist_worker(w, 0, true); /* its tasks go elsewhere */
+		world_unlist_worker(w, 0,
+				    true); /* its tasks are placed elsewhere */
 		world_freeze_vm(w, owner(w), 1250);
 		world_run(w, 500);
 		world_set_late_orders(w, 0);
@@ -650,15 +662,15 @@
 }
 
 /*
- * A task that was done runs a second time: a worker has more ends than it
- * lists at once, because none is acknowledged while the store is away, and
- * what is in neither of its lists is taken for lost.
+ * A completed task runs again: a worker has more ends than it lists at once,
+ * because none is acknowledged while the store is down, and a task in neither
+ * of its lists is taken for lost.
  */
 static const struct {
 	const char *name;
 	unsigned listed;
-	bool kill; /* the owner: its successor sees the first of them only */
-} cut_rows[] = {
+	bool kill; /* the owner; its successor sees only the first ends */
+} truncated_list_rows[] = {
 	{"all fit", 500, false},
 	{"three fit", 3, false},
 	{"one fits", 1, false},
@@ -671,21 +683,21 @@
 	struct world *w;
 	unsigned i;
 
-	for (i = 0; i < NELEMS(cut_rows); i++) {
+	for (i = 0; i < NELEMS(truncated_list_rows); i++) {
 		w = calm(180 + i);
-		world_set_ends_listed(w, cut_rows[i].listed);
+		world_set_ends_listed(w, truncated_list_rows[i].listed);
 		world_submit(w, other(w), JOB_A, &many);
 		world_run(w, 300);
 		world_set_store_mode(w, WORLD_STORE_NO_ANSWER);
 		world_run(w, 1500);
-		if (cut_rows[i].kill)
+		if (truncated_list_rows[i].kill)
 			world_kill_vm(w, owner(w));
 		world_set_store_mode(w, WORLD_STORE_OK);
 		world_run(w, 12000);
 		cr_expect_str_eq(world_job_state(w, JOB_A), "completed", "%s",
-				 cut_rows[i].name);
+				 truncated_list_rows[i].name);
 		cr_expect_eq(world_starts(w), 24, "%s: %u starts",
-			     cut_rows[i].name, world_starts(w));
+			     truncated_list_rows[i].name, world_starts(w));
 		check_free(w);
 	}
 }
@@ -694,9 +706,9 @@
 	struct world *w = calm(15);
 
 	world_fail_tasks(w, 0, true);
-	world_submit(w, 0, JOB_A, &chain);
-	world_submit(w, 0, JOB_B, &chain);
-	world_submit(w, 0, JOB_C, &chain);
+	world_submit(w, 0, JOB_A, &two_steps);
+	world_submit(w, 0, JOB_B, &two_steps);
+	world_submit(w, 0, JOB_C, &two_steps);
 	world_run(w, 6000);
 	cr_expect_str_eq(world_job_state(w, JOB_A), "completed");
 	cr_expect_str_eq(world_job_state(w, JOB_B), "completed");
@@ -704,14 +716,14 @@
 	check_free(w);
 }
 
-/* Orders that get no answer and are carried out seconds later. */
+/* Orders time out and are carried out seconds later. */
 Test(sched, late_orders)
 {
 	struct world *w = calm(16);
 
 	world_set_late_orders(w, 30);
-	world_submit(w, 0, JOB_A, &chain);
-	world_submit(w, 0, JOB_B, &lasting);
+	world_submit(w, 0, JOB_A, &two_steps);
+	world_submit(w, 0, JOB_B, &long_lived);
 	world_run(w, 15000);
 	world_set_late_orders(w, 0);
 	world_run(w, 5000);
@@ -720,9 +732,9 @@
 }
 
 /*
- * Ends by failure of two workers reach a successor in any order and were
- * partly counted before: a task that failed twice of three times is not
- * given up, and one that failed three times is not started again.
+ * Failed runs on two workers are reported to a successor in any order, and some
+ * were counted before. A task that failed twice of three allowed attempts must
+ * not be given up, and failures must not be counted twice or forgotten.
  */
 Test(sched, failures_counted_once)
 {
@@ -743,30 +755,30 @@
 	}
 }
 
-/* A queue that needs advice: only workers with a ticket get its tasks. */
+/* In a queue that needs advice, only workers with a ticket get tasks. */
 Test(sched, advice)
 {
 	struct world *w = calm(30);
 
 	world_require_advice(w);
 	world_run(w, 20);
-	world_submit(w, 0, JOB_A, &chain);
-	world_submit(w, 0, JOB_B, &lasting);
+	world_submit(w, 0, JOB_A, &two_steps);
+	world_submit(w, 0, JOB_B, &long_lived);
 	world_run(w, 3000);
 	cr_expect_str_eq(world_job_state(w, JOB_A), "completed");
 	cr_expect_eq(world_starts_of(w, 1), 0);
 	cr_expect_eq(world_starts_of(w, 3), 0);
-	cr_expect_eq(world_starts(w), 7 + 3, "one task finds no worker");
+	cr_expect_eq(world_starts(w), 7 + 3, "one task has no eligible worker");
 	check_free(w);
 }
 
-/* Maintenance waves: every machine once, never too many at once. */
+/* A maintenance wave handles every machine once, and never too many at once. */
 Test(sched, wave)
 {
 	struct world *w = calm(18);
 
-	world_submit(w, 0, JOB_A, &lasting);
-	world_submit(w, 0, JOB_B, &lasting);
+	world_submit(w, 0, JOB_A, &long_lived);
+	world_submit(w, 0, JOB_B, &long_lived);
 	world_run(w, 500);
 	world_start_wave(w, 6, 3);
 	world_run(w, 25000);
@@ -779,7 +791,7 @@
 	struct world *w = world_new(19, 4, 2);
 
 	world_run(w, 2000);
-	world_submit(w, 0, JOB_A, &crowded);
+	world_submit(w, 0, JOB_A, &unspread);
 	world_run(w, 500);
 	world_start_wave(w, 2, 1);
 	world_run(w, 25000);
@@ -787,11 +799,12 @@
 }
 
 /*
- * The users of a lasting job see two of its tasks gone where one may be.  A
- * machine is due, but busy: the call for it is refused.  Its worker is
- * replaced, the owner dies, and its successor's call succeeds.  If that goes by
- * the worker that was noted first it takes the new one for spared, counts its
- * tasks as at work until their leases end, and takes a second machine.
+ * Two tasks of a long-running step are unavailable where one may be. A machine
+ * is due for maintenance but busy, so the request is refused. Its worker is
+ * replaced, the owner dies, and its successor's request succeeds. If the
+ * successor goes by the worker that was recorded first, it takes the new one
+ * for unaffected, counts its tasks as running until their leases end, and takes
+ * a second machine.
  */
 Test(sched, wave_after_busy)
 {
@@ -800,8 +813,8 @@
 
 	for (seed = 60; seed < 66; seed++) {
 		w = calm(seed);
-		world_submit(w, 0, JOB_A, &lasting);
-		world_submit(w, 0, JOB_B, &lasting);
+		world_submit(w, 0, JOB_A, &long_lived);
+		world_submit(w, 0, JOB_B, &long_lived);
 		world_run(w, 500);
 		world_set_maintenance_busy(w, true);
 		world_start_wave(w, 6, 5);
@@ -810,7 +823,7 @@
 			world_replace_worker(w, i);
 			world_run(w, 1500);
 		}
-		world_submit(w, 0, JOB_C, &lasting);
+		world_submit(w, 0, JOB_C, &long_lived);
 		world_run(w, 5000);
 		world_kill_vm(w, owner(w));
 		world_set_maintenance_busy(w, false);
@@ -822,10 +835,10 @@
 }
 
 /*
- * Machines are told by two VMs at a time what to do: the owner is cut off
- * from the store, and from the workers that would refuse it, in the middle of
- * a wave, and goes on while its successor takes over.  The list of machines
- * checks no epochs, so the owner has to stop by itself.
+ * Two VMs give orders about machines at the same time. In the middle of a wave
+ * the owner is cut off from the store, and from the workers that would refuse
+ * its epoch, and goes on while its successor takes over. Machines don't check
+ * epochs, so the owner must stop by itself.
  */
 Test(sched, replaced_owner_leaves_machines)
 {
@@ -834,7 +847,7 @@
 
 	for (row = 0; row < 12; row++) {
 		w = calm(300 + row);
-		world_submit(w, 0, JOB_A, &lasting);
+		world_submit(w, 0, JOB_A, &long_lived);
 		world_run(w, 500);
 		world_silence_machines(w, true);
 		world_start_wave(w, 6, 6);
@@ -851,9 +864,9 @@
 }
 
 /*
- * The owner is lost in the middle of a wave.  Its successor asks again for
- * machines that have been taken already, which succeeds: the new workers'
- * tasks go on and are not started elsewhere.
+ * The owner is lost in the middle of a wave. Its successor asks again for
+ * maintenance of machines that have had it, which succeeds. The tasks of the
+ * new workers must go on and must not be started elsewhere.
  */
 Test(sched, wave_changes_hands)
 {
@@ -862,8 +875,8 @@
 	for (at = 200; at < 4000; at += 350) {
 		struct world *w = calm(20 + (uint64_t)at);
 
-		world_submit(w, 0, JOB_A, &lasting);
-		world_submit(w, 0, JOB_B, &lasting);
+		world_submit(w, 0, JOB_A, &long_lived);
+		world_submit(w, 0, JOB_B, &long_lived);
 		world_run(w, 500);
 		world_start_wave(w, 6, 2);
 		world_run(w, at);
--- a/tests/test-takeover.c
+++ b/tests/test-takeover.c
@@ -1,6 +1,6 @@
 /*
- * A new owner of the scheduling and the facts it takes over: none is used,
- * published or written over before it was read, or when it is old.
+ * Tests of a takeover of the scheduling by a new owner: it must not use,
+ * publish or overwrite what it has not read yet, nor use what is out of date.
  */
 #include "world-calm.h"
 
@@ -10,12 +10,12 @@
 #define JOB_B "10000000000000bb"
 
 static const struct world_job quick = {.tasks = 3, .task_ms = 400};
-static const struct world_job pair = {
+static const struct world_job two_tasks = {
 	.tasks = 2, .long_running = true, .max_per_worker = 1};
-static const struct world_job four = {
+static const struct world_job four_tasks = {
 	.tasks = 4, .long_running = true, .max_per_worker = 1};
 
-/* Check that all was kept, and free the world. */
+/* Checks that no invariant was violated, and frees the world. */
 static void check_free(struct world *w, const char *name, unsigned row)
 {
 	cr_expect_null(world_violation(w), "%s, row %u: %s", name, row,
@@ -23,7 +23,10 @@
 	world_free(w);
 }
 
-/* Cut a VM off from the store, and from all others the workers in use. */
+/*
+ * Cuts a VM off from the store, and all other VMs from the workers in use; the
+ * VM itself keeps only those.
+ */
 static void cut_with_its_workers(struct world *w, unsigned n)
 {
 	unsigned i, k;
@@ -37,25 +40,26 @@
 }
 
 /*
- * An organisation runs twice what its limit allows.  A data centre is cut off
- * with the owner and two workers that run all the organisation may have.  The
- * successor, or the one after it, has to go by the ceilings that the owner cut
- * off has told: a beat written before they were read, or before all leases of
- * before have ended, must not leave them out.
+ * An organisation runs twice what its limit allows. A network partition cuts
+ * off the owner with two workers, which run all that the organisation may have.
+ * The successor, or the one after it, must respect the ceilings that the old
+ * owner stored. A heartbeat that is written before they are read, or before all
+ * earlier leases have ended, must not drop them.
  */
 static const struct {
 	const char *name;
-	enum table slow; /* pages of it come late at the takeover */
+	enum table slow; /* its pages are late at the takeover */
 	int64_t slow_ms;
-	int64_t next_ms; /* the successor dies so long after it; 0: not */
+	int64_t next_ms; /* the successor dies this long after the takeover; 0:
+			    it doesn't */
 } ceiling_rows[] = {
 	{"progress is read late", TABLE_PROGRESS, 650, 0},
 	{"jobs are read late", TABLE_JOBS, 650, 0},
-	{"the beat is read late", TABLE_OWNER, 650, 0},
+	{"the heartbeat is read late", TABLE_OWNER, 650, 0},
 	{"the successor dies while it reads", TABLE_PROGRESS, 690, 500},
-	{"the successor dies before it has read the beat", TABLE_OWNER, 690,
-	 500},
-	{"the successor dies as it begins", TABLE_JOBS, 0, 60},
+	{"the successor dies before it has read the heartbeat", TABLE_OWNER,
+	 690, 500},
+	{"the successor dies at the start", TABLE_JOBS, 0, 60},
 	{"the successor dies before it has settled", TABLE_JOBS, 0, 500},
 };
 static void ceilings_at_takeover(unsigned row)
@@ -65,7 +69,7 @@
 
 	world_set_limit(w, 4000);
 	world_run(w, 2500);
-	world_submit(w, other(w), JOB_A, &pair);
+	world_submit(w, other(w), JOB_A, &two_tasks);
 	world_run(w, 900);
 	cr_assert_eq(world_starts(w), 2);
 	world_set_page_delay(w, ceiling_rows[row].slow,
@@ -96,10 +100,11 @@
 }
 
 /*
- * Nothing that callers submit begins any more.  While a successor reads, the
- * history of the jobs' feed goes, so that they are read anew; the page of
- * progress that was under way comes meanwhile.  It has to be asked for again,
- * or the successor reads for ever, and beats so that nobody replaces it.
+ * Jobs are no longer started. While a successor reads the tables, the history
+ * of the jobs' feed is dropped, so that the jobs are read again, and the
+ * requested page of progress arrives meanwhile. The page must be requested
+ * again, or the successor reads for ever, and isn't replaced because its
+ * heartbeats go on.
  */
 Test(takeover, history_gone_while_reading)
 {
@@ -117,8 +122,9 @@
 			world_run(w, 10);
 		world_run(w, 20 + 20 * row);
 		world_set_page_delay(w, TABLE_JOBS, 400);
-		world_unlist_worker(w, 5,
-				    false); /* a change of after it asked */
+		world_unlist_worker(
+			w, 5,
+			false); /* changes after the successor's request */
 		world_compact_history(w);
 		a = world_submit(w, other(w), JOB_A, &quick);
 		world_run(w, 1500);
@@ -132,10 +138,10 @@
 }
 
 /*
- * A job of long ago runs a second time.  Its rows are to be removed, and the
- * store refuses that, or gives no answer; then the history of the feeds goes
- * and all jobs are read again, this one too.  It is final as long as its row
- * may be there.
+ * An old job runs a second time. Its rows are due for removal, and the store
+ * refuses that or doesn't answer. Then the history of the feeds is dropped and
+ * all jobs are read again, this one too. It must stay final as long as its row
+ * may exist.
  */
 Test(takeover, removal_fails)
 {
@@ -149,7 +155,10 @@
 		world_submit(w, other(w), JOB_A, &quick);
 		world_run(w, 99500);
 		cr_assert_str_eq(world_job_state(w, JOB_A), "completed");
-		/* Its removal falls into an outage too short to end leases. */
+		/*
+		 * The removal falls into an outage that is too short for leases
+		 * to expire.
+		 */
 		world_set_store_mode(w, modes[i]);
 		world_run(w, 4000);
 		world_set_store_mode(w, WORLD_STORE_OK);
@@ -159,15 +168,15 @@
 		cr_expect_eq(world_starts(w), 3, "%u starts, row %u",
 			     world_starts(w), i);
 		cr_expect_str_eq(world_job_state(w, JOB_A), "",
-				 "it goes, row %u", i);
+				 "its rows are removed, row %u", i);
 		check_free(w, "removal", i);
 	}
 }
 
 /*
- * A job of long ago runs a second time.  The history of the feeds goes, all
- * jobs are read again, and this one's rows are removed between the reading of
- * its page and the page's arrival: the page must not make it a new job.
+ * An old job runs a second time. The history of the feeds is dropped and all
+ * jobs are read again. This job's rows are removed after its page was read and
+ * before the page arrives, and the page must not make it a new job.
  */
 Test(takeover, removed_after_its_page)
 {
@@ -179,8 +188,8 @@
 		world_submit(w, other(w), JOB_A, &quick);
 		world_run(w, 99800 + 250 * row);
 		world_set_page_delay(w, TABLE_JOBS, 650);
-		world_unlist_worker(w, 5,
-				    false); /* a change of after the last */
+		world_unlist_worker(
+			w, 5, false); /* changes after the last revision read */
 		world_compact_history(w);
 		world_submit(w, other(w), JOB_B, &quick);
 		world_run(w, 2500);
@@ -189,20 +198,21 @@
 		cr_expect_eq(world_starts(w), 6, "%u starts, row %u",
 			     world_starts(w), row);
 		cr_expect_str_eq(world_job_state(w, JOB_A), "",
-				 "it goes, row %u", row);
+				 "its rows are removed, row %u", row);
 		check_free(w, "page", row);
 	}
 }
 
 /*
- * The users of a lasting job get each answer twice.  A beat without an answer
- * is carried out seconds later and sets the row of noted workers back: a
- * worker that was noted since is not in it.  That one is cut off with its row
- * lapsed when the owner dies, and the successor must know of it.
+ * Tasks of a long-running job run twice at the same time. A heartbeat that
+ * timed out is carried out seconds later and overwrites the row of known
+ * workers with an older state, which lacks a worker that was recorded since.
+ * That worker is cut off and its row has expired when the owner dies, but the
+ * successor must know of it.
  */
 Test(takeover, late_beat)
 {
-	static const struct world_job five = {
+	static const struct world_job five_tasks = {
 		.tasks = 5, .long_running = true, .max_per_worker = 1};
 	struct world *w;
 	unsigned row, n, k;
@@ -220,10 +230,10 @@
 		world_run(w, 900);
 		world_unlist_worker(w, 1, false);
 		world_run(w, 500);
-		/* The owner can't use one, which its successor can. */
+		/* The owner can't use this worker, but its successor can. */
 		world_cut_worker(w, n, 0, true);
 		world_run(w, 1500);
-		world_submit(w, other(w), JOB_A, &five);
+		world_submit(w, other(w), JOB_A, &five_tasks);
 		world_run(w, 700);
 		cr_assert_eq(owner(w), n);
 		cr_assert_eq(world_starts_of(w, 1), 1, "row %u", row);
@@ -233,20 +243,20 @@
 		world_run(w, 200);
 		world_kill_vm(w, n);
 		world_run(w, 9000);
-		check_free(w, "late beat", row);
+		check_free(w, "late heartbeat", row);
 	}
 }
 
 /*
- * The operator sees a wave run on that was completed, and the users of a
- * lasting job get each answer twice.  A note of the wave without an answer is
- * carried out seconds later: the machine that was done since is not in it.
- * All VMs start anew, the next owner calls for that machine again, which
- * succeeds, and takes the life that serves there now for ended.
+ * A completed wave goes on, and tasks of a long-running job run twice at the
+ * same time. A write of the wave's progress that timed out is carried out
+ * seconds later; it lacks the machine that had maintenance since. All VMs
+ * restart, and the next owner asks for maintenance of that machine again, which
+ * succeeds, and takes the process that now runs there for ended.
  */
 Test(takeover, late_wave_note)
 {
-	static const struct world_job five = {
+	static const struct world_job five_tasks = {
 		.tasks = 5, .long_running = true, .max_per_worker = 1};
 	static const struct world_job many = {.tasks = 43,
 					      .long_running = true};
@@ -255,7 +265,7 @@
 
 	for (row = 0; row < 8; row++) {
 		w = calm(600 + row);
-		world_submit(w, other(w), JOB_A, &five);
+		world_submit(w, other(w), JOB_A, &five_tasks);
 		world_run(w, 500);
 		n = owner(w);
 		world_set_vm_store_mode(w, n, WORLD_STORE_LATE);
@@ -271,22 +281,26 @@
 		cr_expect(world_wave_is_completed(w), "row %u", row);
 		world_call(w, other(w), VERB_CANCEL, JOB_A);
 		world_run(w, 50);
-		/* Who follows knows better than the row: all start anew. */
+		/*
+		 * All VMs restart, as the running ones know more than the row
+		 * has.
+		 */
 		for (k = 0; k < 4; k++)
 			world_kill_vm(w, k);
 		for (k = 0; k < 4; k++)
 			world_start_vm(w, k);
 		world_run(w, 16000);
 		cr_expect(world_wave_is_completed(w), "row %u", row);
-		check_free(w, "late note", row);
+		check_free(w, "late wave row", row);
 	}
 }
 
 /*
- * The users of a lasting job get each answer twice.  A claim without an answer
- * is carried out seconds later.  Meanwhile the owner is at work again, and
- * then cut off with workers that it goes on renewing: their leases count from
- * its last beat, not from the one that was seen before the claim was sent.
+ * Tasks of a long-running job run twice at the same time. A claim of the
+ * ownership that timed out is carried out seconds later. Meanwhile the owner
+ * has resumed, and is then cut off with workers whose leases it goes on
+ * renewing. The leases count from its last heartbeat, not from the one seen
+ * before the claim was sent.
  */
 Test(takeover, late_claim)
 {
@@ -295,7 +309,7 @@
 
 	for (row = 0; row < 24; row++) {
 		w = calm(640 + row);
-		world_submit(w, other(w), JOB_A, &four);
+		world_submit(w, other(w), JOB_A, &four_tasks);
 		world_run(w, 500);
 		n = owner(w);
 		for (k = 0; k < 4; k++)
@@ -315,9 +329,9 @@
 }
 
 /*
- * An organisation runs more than its limit, and a job is given up after one
- * failure where three are allowed: all VMs start anew and read the
- * configuration last.  The owner has to wait for it.
+ * An organisation runs more than its limit, or a job is given up after one
+ * failure where three are allowed: all VMs restart and read the configuration
+ * last. The owner must wait for it.
  */
 Test(takeover, configuration_is_read_late)
 {
@@ -330,7 +344,7 @@
 		w = calm(680 + row);
 		world_set_limit(w, 4000);
 		world_run(w, 2500);
-		world_submit(w, 0, JOB_A, row % 2 ? &flaky : &four);
+		world_submit(w, 0, JOB_A, row % 2 ? &flaky : &four_tasks);
 		world_run(w, 40);
 		for (k = 0; k < 4; k++)
 			world_kill_vm(w, k);
@@ -346,10 +360,10 @@
 }
 
 /*
- * A pool never gives back what it was lent.  How many machines the operator
- * gave each pool is known from the first list, before anything was moved: an
- * owner that moves one before the store knows these sizes, and dies, leaves its
- * successor a list that shows others.
+ * A pool never returns the machines it borrowed. The number of machines that
+ * the operator gave each pool is taken from the first list, before any move. If
+ * an owner moves a machine before these sizes are stored, and dies, its
+ * successor derives wrong sizes from the changed list.
  */
 Test(takeover, moves_wait_for_the_sizes)
 {
@@ -376,25 +390,25 @@
 }
 
 /*
- * Nothing that callers submit begins any more.  The store serves a table to
- * some VMs and not to the one that takes over: it can beat, and never has read
- * what it needs.  It has to let another VM own.
+ * Jobs are no longer started. The store answers reads of a table to some VMs,
+ * but not to the VM that takes over. That VM's heartbeats succeed, but it can't
+ * read what it needs, and must let another VM own.
  */
 Test(takeover, cannot_read)
 {
 	static const enum table tables[] = {TABLE_JOBS, TABLE_PROGRESS,
 					    TABLE_WORKERS};
 	struct world *w;
-	unsigned row, n, k, sees;
+	unsigned row, n, k, reader;
 
 	for (row = 0; row < 6; row++) {
 		w = calm(720 + row);
 		n = owner(w);
-		sees = (n + 1 + row / 3) % 4;
+		reader = (n + 1 + row / 3) % 4;
 		for (k = 0; k < 4; k++)
-			world_stall_pages(w, k, tables[row % 3], k != sees);
+			world_stall_pages(w, k, tables[row % 3], k != reader);
 		world_kill_vm(w, n);
-		world_submit(w, sees, JOB_A, &quick);
+		world_submit(w, reader, JOB_A, &quick);
 		world_run(w, 20000);
 		cr_expect_str_eq(world_job_state(w, JOB_A), "completed",
 				 "row %u", row);
@@ -403,10 +417,10 @@
 }
 
 /*
- * A caller's tasks run a second time.  They have ended, and the owner takes the
- * machine that they ran on: the ends that its worker lists go with it, while
- * the commit that writes them has no answer yet.  If it is never carried out
- * and the owner is lost, nobody knows that they were done.
+ * Tasks run a second time. They have ended, and the owner takes the machine
+ * that they ran on for maintenance. The ends that its worker lists are lost
+ * with it, while the commit that stores them has no answer yet. If the commit
+ * is never carried out and the owner is lost, no record of the ends is left.
  */
 Test(takeover, ends_are_written_before_their_machine_goes)
 {
@@ -426,16 +440,16 @@
 		world_run(w, 500);
 		world_kill_vm(w, n);
 		world_run(w, 9000);
-		check_free(w, "written before it goes", row);
+		check_free(w, "stored before the machine is taken", row);
 	}
 }
 
 /*
- * All that waits is served seconds late, without anybody having failed.  A
- * beat without an answer is carried out late, while the next one is on its way
- * to the store.  The owner hears of the first by its own feed before it is told
- * that the second was refused: the row's revision is then not newer than what
- * it knows, but newer than what the second demanded.  It is still the owner.
+ * Waiting jobs are delayed by seconds although nothing failed. A heartbeat that
+ * timed out is carried out late, while the next one is on its way to the store.
+ * The owner's feed reports the first before the second is refused: the row's
+ * revision is then no newer than the one the owner knows, but newer than the
+ * second one's condition. The VM is still the owner.
  */
 Test(takeover, late_beat_is_heard_first)
 {
@@ -452,15 +466,16 @@
 		for (k = 0; k < 600 && owner(w) == n; k++)
 			world_run(w, 10);
 		lost += owner(w) != n;
-		check_free(w, "heard first", row);
+		check_free(w, "feed is first", row);
 	}
 	cr_expect_eq(lost, 0, "%u owners of %u were replaced", lost, row);
 }
 
 /*
- * Machines that are not needed are called up and paid for.  A successor has
- * not noted its workers yet, or has not heard them all, and counts only those
- * it may use: pools with room in plenty seem to have none for what runs there.
+ * Standby machines that aren't needed are moved into a pool, at a cost. A
+ * successor that hasn't recorded its workers, or hasn't reached them all,
+ * counts only those it may use, so pools with plenty of capacity seem to have
+ * too little for what runs there.
  */
 Test(takeover, no_moves_before_workers_are_known)
 {
@@ -474,7 +489,8 @@
 		world_run(w, 4000);
 		world_submit(w, other(w), JOB_A, &little);
 		world_run(w, 1500);
-		cr_expect_eq(world_move_count(w), 0, "%u moved before, row %u",
+		cr_expect_eq(world_move_count(w), 0,
+			     "%u moved before the takeover, row %u",
 			     world_move_count(w), row);
 		world_set_store_delay(w, row % 2 ? 300 : 0);
 		world_run(w, 500);
@@ -487,9 +503,9 @@
 }
 
 /*
- * Nobody schedules, although the owner is dead.  The store discards the feeds'
- * history each half second, so that its rows are read whole again and again:
- * a beat that was known before is no new sign of life.
+ * There is no scheduling although the owner is dead. The store drops the feeds'
+ * history every half second, so that its rows are read in full again and again.
+ * A heartbeat that was known before must not count as a sign of life.
  */
 Test(takeover, old_beat_is_no_sign_of_life)
 {
@@ -506,17 +522,19 @@
 			world_compact_history(w);
 			world_run(w, 480);
 		}
-		cr_expect_neq(world_owner(w), -1, "nobody in 8 s, row %u", row);
+		cr_expect_neq(world_owner(w), -1, "no owner in 8 s, row %u",
+			      row);
 		world_run(w, 4000);
-		cr_expect_neq(world_owner(w), -1, "nobody after, row %u", row);
-		check_free(w, "old beat", row);
+		cr_expect_neq(world_owner(w), -1, "no owner afterwards, row %u",
+			      row);
+		check_free(w, "old heartbeat", row);
 	}
 }
 
 /*
- * Lasting tasks stand still for as long as VMs replace each other: one that
- * reads thousands of jobs for longer than an owner may be silent does not beat
- * meanwhile, and the next one begins anew.
+ * Long-running tasks stop while VMs replace each other. A VM that reads
+ * thousands of jobs for longer than an owner may be silent sends no heartbeat
+ * meanwhile, and the next owner starts reading again from the beginning.
  */
 Test(takeover, reading_a_long_book_is_no_silence)
 {
@@ -539,12 +557,12 @@
 		world_run(w, 12000);
 		cr_expect_eq(world_epoch(w), 2, "row %u: epoch %u", row,
 			     world_epoch(w));
-		check_free(w, "long book", row);
+		check_free(w, "long read", row);
 	}
 }
 
-/* Have a successor own the scheduling; how long it then takes to settle. */
-static int64_t settling_ms(struct world *w)
+/* Kills the owner and returns the time that its successor takes to settle. */
+static int64_t takeover_settle_ms(struct world *w)
 {
 	unsigned n = owner(w), k;
 
@@ -557,18 +575,23 @@
 	return k * 10;
 }
 
-/* A successor waits, until no lease can hold, for a life it need not know. */
+/*
+ * A successor must not wait for the expiry of leases of processes that hold
+ * none; where it can't know that, it must wait.
+ */
 static const struct {
 	const char *name;
-	unsigned replaced; /* workers whose lives ended under the old owner */
-	bool late;	   /* one is listed only after the takeover */
-	bool silent;	   /* a noted worker can't be reached: it does wait */
-	bool leaves;	   /* but not if it was empty and about to be moved */
+	unsigned replaced; /* workers whose processes ended under the old owner
+			    */
+	bool late;	   /* one worker is listed only after the takeover */
+	bool silent; /* a recorded worker can't be reached: the successor waits
+		      */
+	bool leaves; /* it was empty and about to be moved: no wait */
 } settle_rows[] = {
 	{"all answer", 0, false, false, false},
-	{"lives that were replaced", 4, false, false, false},
-	{"one that nobody had noted", 0, true, false, false},
-	{"one that was noted and is silent", 0, false, true, false},
+	{"processes that were replaced", 4, false, false, false},
+	{"one that was not recorded", 0, true, false, false},
+	{"one that was recorded and is silent", 0, false, true, false},
 	{"one that was about to be moved", 0, false, true, true},
 };
 static void settles_in_time(unsigned row)
@@ -595,7 +618,7 @@
 		world_cut_worker(w, k, 0, true);
 	if (settle_rows[row].late)
 		world_unlist_worker(w, 5, false);
-	ms = settling_ms(w);
+	ms = takeover_settle_ms(w);
 	if (settle_rows[row].silent && !settle_rows[row].leaves)
 		cr_expect_gt(ms, 3000, "%s", settle_rows[row].name);
 	else
