--- a/tests/test-wave.c
+++ b/tests/test-wave.c
@@ -5,26 +5,29 @@
 #include <string.h>
 
 /*
- * Waves and moves through the reducers of three entry VMs, on a clock of
- * their own.  After each write the budget is checked against the table and
- * the workers: nothing here looks into a reducer.
+ * Tests of waves and moves with the reducers of three entry VMs on a simulated
+ * clock. After each write the budget is checked against the table and the
+ * workers; the tests don't look into the reducers.
  */
 #define WAVE_MS 600000
 
-/* What a test watches while it runs. */
+/* What a test records while it runs, and the fault that it injects. */
 struct watch {
-	unsigned out_most;  /* VMs out at once, failures included */
-	unsigned room_most; /* and the worst rack of what is left */
-	/* a fault in the requests of a kind, by its number */
+	unsigned out_max;      /* most VMs out at once, failed ones included */
+	unsigned rack_out_max; /* the same plus the largest rack left */
+	/* fault of the requests of a kind: count of them from the from-th on */
 	effect_kind kind;
-	const char *key; /* of a commit's first write; NULL: any */
+	const char *key; /* prefix of a commit's first key; NULL: any */
 	enum sim_fault fault;
 	unsigned from, count, seen;
 };
 
 static struct watch watch;
 
-/* A lost worker is known as lost when its leases have ended, and counts. */
+/*
+ * A lost worker counts as up until its leases have expired, which is when the
+ * loss is noticed.
+ */
 #define NOTICE_MS 15000
 
 static bool counts_as_up(const struct sim *s, const struct sim_worker *w)
@@ -32,8 +35,11 @@
 	return w->up || s->now - w->down_at < NOTICE_MS;
 }
 
-/* VMs of a pool that are not at work, and the worst rack of those that are. */
-static unsigned pool_outs(struct sim *s, const char *pool, unsigned *worst)
+/*
+ * Returns the number of VMs of a pool that aren't active, and the size of its
+ * largest rack of active ones, which may fail as a whole.
+ */
+static unsigned pool_count_out(struct sim *s, const char *pool, unsigned *worst)
 {
 	unsigned out = 0, n, i, k;
 
@@ -55,8 +61,8 @@
 	return out;
 }
 
-/* Note what a write of a VM's row makes of its pool. */
-static void written(struct sim *s, const table_write *t)
+/* Updates the maxima of a VM's pool after a write of the VM's row. */
+static void vm_write_record(struct sim *s, const table_write *t)
 {
 	struct sim_worker *w;
 	unsigned out, worst;
@@ -67,18 +73,22 @@
 	    !xdr_decode(XDR_PROC(xdr_vm_row), t->value, &row, sizeof(row)))
 		return;
 	w = sim_worker_find(s, row.vm);
-	out = pool_outs(s, w->pool, &worst);
-	if (out > watch.out_most)
-		watch.out_most = out;
-	if (row.state == VM_DRAINING && out + worst > watch.room_most)
-		watch.room_most = out + worst;
-	/* What is out, or in another pool, has nothing left to run. */
+	out = pool_count_out(s, w->pool, &worst);
+	if (out > watch.out_max)
+		watch.out_max = out;
+	if (row.state == VM_DRAINING && out + worst > watch.rack_out_max)
+		watch.rack_out_max = out + worst;
+	/*
+	 * A VM that is out, or has changed its pool, must have no running
+	 * tasks.
+	 */
 	if (row.state == VM_OUT)
-		cr_expect_eq(w->running, 0, "%s is out and runs", w->name);
+		cr_expect_eq(w->running, 0, "%s is out and has running tasks",
+			     w->name);
 	xdr_free(XDR_PROC(xdr_vm_row), (char *)&row);
 }
 
-static bool request_is(const effect *fx)
+static bool request_matches(const effect *fx)
 {
 	const fx_commit *c = &fx->effect_u.commit;
 
@@ -92,10 +102,10 @@
 		       strlen(watch.key));
 }
 
-static enum sim_fault request(struct sim *s, const effect *fx)
+static enum sim_fault fault_inject(struct sim *s, const effect *fx)
 {
 	(void)s;
-	if (!watch.count || !request_is(fx) || watch.seen++ < watch.from)
+	if (!watch.count || !request_matches(fx) || watch.seen++ < watch.from)
 		return SIM_NO_FAULT;
 	watch.count--;
 	return watch.fault;
@@ -116,13 +126,14 @@
 {
 	struct sim *s = sim_new(plan);
 
-	s->hooks.written = written;
-	s->hooks.request = request;
+	s->hooks.written = vm_write_record;
+	s->hooks.request = fault_inject;
 	return s;
 }
 
-/* A field of the first wave shown. */
-static json_int_t wave_figure(struct sim *s, const char *wave, const char *name)
+/* Returns an integer field of the first wave in the answer to a wave's show. */
+static json_int_t wave_show_integer(struct sim *s, const char *wave,
+				    const char *name)
 {
 	json_t *j;
 	json_int_t n;
@@ -149,7 +160,7 @@
 	return is;
 }
 
-static bool wave_over(struct sim *s)
+static bool wave_w_is_finished(struct sim *s)
 {
 	return wave_is(s, "w", WAVE_FINISHED);
 }
@@ -164,7 +175,7 @@
 	return n;
 }
 
-static unsigned active(const struct sim *s)
+static unsigned active_count(const struct sim *s)
 {
 	unsigned n = 0, i;
 
@@ -173,8 +184,8 @@
 	return n;
 }
 
-/* Keep a pool busy with jobs of so many ms. */
-static void load(struct sim *s, unsigned jobs, int64_t ms)
+/* Submits jobs of the given duration in ms through all entry VMs. */
+static void submit_load(struct sim *s, unsigned jobs, int64_t ms)
 {
 	struct sim_job j = {.run_ms = ms, .declared_ms = ms};
 
@@ -193,9 +204,9 @@
 }
 
 /*
- * A whole wave under work: each VM is rebooted once and none while a task
- * runs on it; every job comes to its end.  Budget 3 of racks of two: never
- * more than one out while a rack of two may fail.
+ * A complete wave under load: each VM is rebooted once and never while a task
+ * runs on it, and every job is completed. With a budget of 3 and racks of two,
+ * at most one VM may be out, as a rack of two may fail.
  */
 Test(wave, runs_whole)
 {
@@ -203,11 +214,11 @@
 	unsigned i;
 
 	watch = (struct watch){0};
-	load(s, 60, 3000);
+	submit_load(s, 60, 3000);
 	cr_expect_eq(sim_wave(s, OP_WAVE_PLAN, "w", "p0", 2000), OP_OK);
 	cr_expect_eq(reboots(s, "p0"), 0);
 	cr_expect_eq(sim_wave(s, OP_WAVE_START, "w", "", 0), OP_OK);
-	cr_expect(sim_run_until(s, wave_over, WAVE_MS));
+	cr_expect(sim_run_until(s, wave_w_is_finished, WAVE_MS));
 	for (i = 0; i < s->worker_count; i++) {
 		cr_expect_eq(s->workers[i].reboots, i < 6, "%s: %u",
 			     s->workers[i].name, s->workers[i].reboots);
@@ -215,13 +226,13 @@
 	}
 	sim_run(s, 30000);
 	cr_expect_eq(jobs_done(s), 60, "%u", jobs_done(s));
-	cr_expect_eq(active(s), 8);
-	cr_expect(watch.room_most <= 3, "%u", watch.room_most);
-	cr_expect_eq(wave_figure(s, "w", "done"), 6);
+	cr_expect_eq(active_count(s), 8);
+	cr_expect(watch.rack_out_max <= 3, "%u", watch.rack_out_max);
+	cr_expect_eq(wave_show_integer(s, "w", "done"), 6);
 	sim_free(s);
 }
 
-/* What an operator may ask of a wave in each of its states. */
+/* Requests of an operator for a wave are accepted or refused by its state. */
 Test(wave, states_table)
 {
 	static const struct {
@@ -249,7 +260,7 @@
 
 	watch = (struct watch){0};
 	for (i = 0; i < NELEMS(steps); i++) {
-		/* a step of the wave itself may be first; ask again then */
+		/* a step of the wave itself may have come first: retry */
 		do
 			got = sim_wave(s, steps[i].ask, "w", "p0", 500);
 		while (got == OP_CONFLICT && steps[i].want == OP_OK &&
@@ -263,9 +274,9 @@
 }
 
 /*
- * Pause and cancel at each moment of a wave.  Paused: what was begun ends,
- * nothing else begins.  Cancelled: what was being emptied goes back to work
- * without a reboot, what is being rebooted comes back after it.
+ * Pause and cancel at various moments of a wave. After a pause, VMs in progress
+ * are finished and no others are begun. After a cancel, draining VMs become
+ * active without a reboot, and rebooting ones after it.
  */
 Test(wave, pause_and_cancel_at_each_step)
 {
@@ -278,7 +289,7 @@
 	for (i = 0; i < 2 * NELEMS(moments); i++) {
 		s = start(&small);
 		watch = (struct watch){0};
-		load(s, 8, 3000);
+		submit_load(s, 8, 3000);
 		sim_wave(s, OP_WAVE_PLAN, "w", "p0", 1000);
 		sim_wave(s, OP_WAVE_START, "w", "", 0);
 		sim_run(s, moments[i / 2]);
@@ -289,14 +300,15 @@
 		sim_run(s, 40000);
 		before = reboots(s, "p0");
 		cr_expect(before <= 2, "case %u: %u", i, before);
-		cr_expect_eq(active(s), 8, "case %u: %u at work", i, active(s));
+		cr_expect_eq(active_count(s), 8, "case %u: %u active", i,
+			     active_count(s));
 		sim_run(s, 60000);
 		cr_expect_eq(reboots(s, "p0"), before, "case %u", i);
 		cr_expect_eq(s->workers[0].kills, 0, "case %u", i);
 		if (i % 2 == 0) {
 			cr_expect_eq(sim_wave(s, OP_WAVE_RESUME, "w", "", 0),
 				     OP_OK);
-			cr_expect(sim_run_until(s, wave_over, WAVE_MS),
+			cr_expect(sim_run_until(s, wave_w_is_finished, WAVE_MS),
 				  "case %u", i);
 			cr_expect_eq(reboots(s, "p0"), 6, "case %u", i);
 		}
@@ -305,9 +317,9 @@
 }
 
 /*
- * A request of a kind is lost, its answer is lost, or it is refused: the
- * first, a later one, or a run of them.  The operator sees the wave end all
- * the same, each VM rebooted once and the budget kept.
+ * Requests of a kind get lost, lose their answers or are refused: the first, a
+ * later one, or several in a row. The wave still ends, with each VM rebooted
+ * once and the budget kept.
  */
 Test(wave, platform_faults_at_each_step)
 {
@@ -330,7 +342,7 @@
 
 	for (i = 0; i < 3 * NELEMS(cases); i++) {
 		s = start(&small);
-		load(s, 6, 3000);
+		submit_load(s, 6, 3000);
 		sim_wave(s, OP_WAVE_PLAN, "w", "p0", 1000);
 		sim_wave(s, OP_WAVE_START, "w", "", 0);
 		watch = (struct watch){.kind = cases[i / 3].kind,
@@ -338,24 +350,25 @@
 				       .fault = faults[i % 3],
 				       .from = cases[i / 3].from,
 				       .count = cases[i / 3].count};
-		cr_expect(sim_run_until(s, wave_over, WAVE_MS), "case %u", i);
+		cr_expect(sim_run_until(s, wave_w_is_finished, WAVE_MS),
+			  "case %u", i);
 		for (k = 0; k < 6; k++)
 			cr_expect_eq(s->workers[k].reboots, 1, "case %u: %s %u",
 				     i, s->workers[k].name,
 				     s->workers[k].reboots);
-		cr_expect(watch.room_most <= 3, "case %u: %u", i,
-			  watch.room_most);
-		cr_expect_eq(watch.count, 0, "case %u never happened", i);
+		cr_expect(watch.rack_out_max <= 3, "case %u: %u", i,
+			  watch.rack_out_max);
+		cr_expect_eq(watch.count, 0, "case %u: fault not injected", i);
 		sim_run(s, 10000);
-		cr_expect_eq(active(s), 8, "case %u", i);
+		cr_expect_eq(active_count(s), 8, "case %u", i);
 		sim_free(s);
 	}
 }
 
 /*
- * Each entry VM dies in turn, the runner of the wave and the owner of the
- * cell among them, at each moment of a wave; a new one comes 3 s later.
- * Another goes on from the rows; nothing is rebooted twice.
+ * Each entry VM dies in turn, among them the runner of the wave and the owner
+ * of the cell, at various moments of a wave; it restarts 3 s later. Another VM
+ * continues from the stored rows, and no VM is rebooted twice.
  */
 Test(wave, entry_vm_dies_at_each_step)
 {
@@ -365,30 +378,32 @@
 	for (i = 0; i < 3 * 14; i++) {
 		s = start(&small);
 		watch = (struct watch){0};
-		load(s, 6, 3000);
+		submit_load(s, 6, 3000);
 		sim_wave(s, OP_WAVE_PLAN, "w", "p0", 1000);
 		sim_wave(s, OP_WAVE_START, "w", "", 0);
 		sim_run(s, 1300 * (i / 3) + 50);
 		sim_entry_kill(s, i % 3);
 		sim_run(s, 3000);
 		sim_entry_boot(s, i % 3);
-		cr_expect(sim_run_until(s, wave_over, WAVE_MS), "case %u", i);
+		cr_expect(sim_run_until(s, wave_w_is_finished, WAVE_MS),
+			  "case %u", i);
 		for (k = 0; k < 6; k++)
 			cr_expect_eq(s->workers[k].reboots, 1, "case %u: %s %u",
 				     i, s->workers[k].name,
 				     s->workers[k].reboots);
-		cr_expect(watch.room_most <= 3, "case %u: %u", i,
-			  watch.room_most);
-		cr_expect_eq(wave_figure(s, "w", "skipped"), 0, "case %u", i);
+		cr_expect(watch.rack_out_max <= 3, "case %u: %u", i,
+			  watch.rack_out_max);
+		cr_expect_eq(wave_show_integer(s, "w", "skipped"), 0, "case %u",
+			     i);
 		sim_free(s);
 	}
 }
 
 /*
- * Two waves on one pool, by two operators: each VM is rebooted for both,
- * and together they keep the budget.
+ * Two operators run a wave each on one pool: each VM is rebooted for both, and
+ * together they keep the budget.
  */
-static bool both_over(struct sim *s)
+static bool both_are_finished(struct sim *s)
 {
 	return wave_is(s, "w", WAVE_FINISHED) && wave_is(s, "v", WAVE_FINISHED);
 }
@@ -402,19 +417,19 @@
 	sim_wave(s, OP_WAVE_PLAN, "v", "p0", 1000);
 	sim_wave(s, OP_WAVE_START, "w", "", 0);
 	sim_wave(s, OP_WAVE_START, "v", "", 0);
-	cr_expect(sim_run_until(s, both_over, 2 * WAVE_MS));
+	cr_expect(sim_run_until(s, both_are_finished, 2 * WAVE_MS));
 	sim_run(s, 3000); /* what is shown is at most one poll old */
 	cr_expect_eq(reboots(s, "p0"), 12, "%u", reboots(s, "p0"));
-	cr_expect(watch.room_most <= 3, "%u", watch.room_most);
-	cr_expect_eq(wave_figure(s, "w", "done"), 6);
-	cr_expect_eq(wave_figure(s, "v", "done"), 6);
+	cr_expect(watch.rack_out_max <= 3, "%u", watch.rack_out_max);
+	cr_expect_eq(wave_show_integer(s, "w", "done"), 6);
+	cr_expect_eq(wave_show_integer(s, "v", "done"), 6);
 	sim_free(s);
 }
 
 /*
- * A VM fails in the midst of a wave, before its turn, while it is emptied,
- * or never comes back from its reboot.  It counts against the budget first;
- * the wave goes on with the others and says which one it waits for.
+ * A VM fails during a wave: before its turn, while it drains, or it never
+ * returns from its reboot. It counts against the budget; the wave goes on with
+ * the others and shows which VM it waits for.
  */
 Test(wave, vm_fails)
 {
@@ -422,7 +437,7 @@
 		unsigned victim;
 		int64_t at;
 		bool in_reboot;
-		unsigned reboots; /* of the others */
+		unsigned reboots; /* of the other VMs */
 	} cases[] = {
 		{5, 500, false, 5},
 		{0, 1500, false, 5},
@@ -438,7 +453,7 @@
 	for (i = 0; i < NELEMS(cases); i++) {
 		s = start(&plan);
 		watch = (struct watch){0};
-		load(s, 6, 8000);
+		submit_load(s, 6, 8000);
 		s->workers[cases[i].victim].never_returns = cases[i].in_reboot;
 		sim_wave(s, OP_WAVE_PLAN, "w", "p0", 4000);
 		sim_wave(s, OP_WAVE_START, "w", "", 0);
@@ -446,34 +461,35 @@
 		if (!cases[i].in_reboot)
 			sim_worker_kill(s, &s->workers[cases[i].victim]);
 		sim_run(s, 400000);
-		cr_expect(!wave_over(s), "case %u", i);
+		cr_expect(!wave_w_is_finished(s), "case %u", i);
 		for (k = n = 0; k < 6; k++)
 			n += k == cases[i].victim ? 0 : s->workers[k].reboots;
 		cr_expect_eq(n, cases[i].reboots, "case %u: %u", i, n);
-		cr_expect(watch.room_most <= 4, "case %u: %u", i,
-			  watch.room_most);
+		cr_expect(watch.rack_out_max <= 4, "case %u: %u", i,
+			  watch.rack_out_max);
 		sim_wave(s, OP_WAVE_SHOW, "w", "", 0);
 		j = sim_reply_json(s);
 		cr_expect(json_array_size(json_object_get(json_array_get(j, 0),
 							  "late")) ||
 				  json_string_length(json_object_get(
 					  json_array_get(j, 0), "blocked")),
-			  "case %u tells nobody", i);
+			  "case %u: reason not shown", i);
 		json_decref(j);
-		/* It comes back: the wave ends, and all are at work. */
+		/* When the VM returns, the wave ends and all VMs are active. */
 		s->workers[cases[i].victim].never_returns = false;
 		sim_worker_boot(s, &s->workers[cases[i].victim]);
-		cr_expect(sim_run_until(s, wave_over, WAVE_MS), "case %u", i);
+		cr_expect(sim_run_until(s, wave_w_is_finished, WAVE_MS),
+			  "case %u", i);
 		sim_run(s, 10000);
-		cr_expect_eq(active(s), 8, "case %u", i);
+		cr_expect_eq(active_count(s), 8, "case %u", i);
 		sim_free(s);
 	}
 }
 
 /*
- * A failure is noted while the platform is down, and its end by another
- * owner than the one that noted it.  The budget is whole again then: a drain
- * that it forbade is accepted.
+ * A failure is recorded while the platform is down, and its end by another
+ * owner than the one that recorded it. The budget must be whole again then: a
+ * drain that the failure forbade is accepted.
  */
 Test(wave, failure_is_counted_and_uncounted)
 {
@@ -505,44 +521,44 @@
 	sim_free(s);
 }
 
-/* An operator sees how far a wave is, what blocks it and when it may end. */
+/* A wave's progress, what blocks it and its expected end are shown. */
 Test(wave, is_shown)
 {
 	struct sim *s = start(&small);
 	json_int_t expected;
 
 	watch = (struct watch){0};
-	load(s, 2, 1000);
+	submit_load(s, 2, 1000);
 	sim_vm(s, OP_VM_DRAIN, "w5", "", 0);
 	sim_wave(s, OP_WAVE_PLAN, "w", "p0", 1000);
 	sim_wave(s, OP_WAVE_START, "w", "", 0);
 	sim_run(s, 5000);
-	cr_expect_eq(wave_figure(s, "w", "waiting"), 6);
+	cr_expect_eq(wave_show_integer(s, "w", "waiting"), 6);
 	sim_wave(s, OP_WAVE_SHOW, "w", "", 0);
 	cr_expect(memmem(s->reply.body.bstr_val, s->reply.body.bstr_len,
 			 "its budget is 3", 15),
 		  "%.*s", BSTR_ARG(s->reply.body));
 	cr_expect_eq(sim_vm(s, OP_VM_RETURN, "w5", "", 0), OP_OK);
 	sim_run(s, 60000);
-	expected = wave_figure(s, "w", "expected_ms");
+	expected = wave_show_integer(s, "w", "expected_ms");
 	cr_expect(expected > 10000 && expected < 300000, "%lld",
 		  (long long)expected);
-	cr_expect(wave_figure(s, "w", "done") > 1);
-	cr_expect(sim_run_until(s, wave_over, WAVE_MS));
+	cr_expect(wave_show_integer(s, "w", "done") > 1);
+	cr_expect(sim_run_until(s, wave_w_is_finished, WAVE_MS));
 	sim_free(s);
 }
 
 /*
- * An operator takes a VM out of a wave.  While it is emptied it may be given
- * back at once; once empty its reboot may be under way, and it must be taken
- * out of the wave first, or the reboot would come upon new work.
+ * An operator takes a VM out of a wave. A draining VM may be returned at once.
+ * The reboot of an empty one may be in progress, so it must be drained out of
+ * the wave first: otherwise the reboot would hit new tasks.
  */
 Test(wave, operator_takes_a_vm_out)
 {
 	struct sim *s = start(&small);
 
 	watch = (struct watch){0};
-	load(s, 12, 6000);
+	submit_load(s, 12, 6000);
 	sim_wave(s, OP_WAVE_PLAN, "w", "p0", 20000);
 	sim_wave(s, OP_WAVE_START, "w", "", 0);
 	sim_run(s, 2000);
@@ -553,17 +569,17 @@
 	cr_expect_eq(sim_vm(s, OP_VM_RETURN, "w1", "", 0), OP_REFUSED);
 	cr_expect_eq(sim_vm(s, OP_VM_DRAIN, "w1", "", 0), OP_OK);
 	cr_expect_eq(sim_vm(s, OP_VM_RETURN, "w1", "", 0), OP_OK);
-	cr_expect(sim_run_until(s, wave_over, WAVE_MS));
+	cr_expect(sim_run_until(s, wave_w_is_finished, WAVE_MS));
 	cr_expect_eq(s->workers[0].reboots, 0);
-	cr_expect_eq(wave_figure(s, "w", "skipped"), 2);
+	cr_expect_eq(wave_show_integer(s, "w", "skipped"), 2);
 	sim_free(s);
 }
 
 /*
- * A VM moves from p0 to p1.  At each step a request is lost or its answer,
- * an entry VM dies, or another operator races: the VM is in one pool at
- * each moment, changes it empty, and ends in the pool it was moved to, or
- * in its own if the other operator was first.
+ * A VM moves from p0 to p1. At each step a request or its answer is lost, an
+ * entry VM dies, or another operator's request races. The VM is in exactly one
+ * pool at any time, is empty when it changes the pool, and ends in the pool it
+ * was moved to, or in its own if the other operator was first.
  */
 Test(move, steps_and_faults)
 {
@@ -572,9 +588,9 @@
 		effect_kind kind;
 		enum sim_fault fault;
 		unsigned from;
-		int kill;	  /* an entry VM, -1: none */
-		int64_t after_ms; /* then */
-		op_kind race;	  /* by another operator; 0: none */
+		int kill;	  /* an entry VM; -1: none */
+		int64_t after_ms; /* before the kill and the race */
+		op_kind race;	  /* of another operator; 0: none */
 	} cases[] = {
 		{"nothing", FX_COMMIT, SIM_NO_FAULT, 0, -1, 0, 0},
 		{"the read is lost", FX_READ, SIM_DROP_REQUEST, 0, -1, 0, 0},
@@ -612,7 +628,7 @@
 	rq.op_request_u.vm.deadline_ms = 500;
 	for (i = 0; i < NELEMS(cases); i++) {
 		s = start(&small);
-		load(s, 12, 2000);
+		submit_load(s, 12, 2000);
 		sim_run(s, 300);
 		watch = (struct watch){
 			.kind = cases[i].kind,
@@ -631,10 +647,13 @@
 			sim_vm(s, cases[i].race, "w0", "p1", 500);
 		sim_run(s, 60000);
 		want = cases[i].race == OP_VM_RETURN ? "p0" : "p1";
-		/* The mover died before the first write: nothing was done. */
+		/*
+		 * The entry VM that got the move may die before its first
+		 * write; the move has no effect then.
+		 */
 		if (cases[i].kill == 0 && cases[i].after_ms == 1)
 			want = s->workers[0].pool;
-		/* The other operator was first. */
+		/* The other operator's drain came first. */
 		if (cases[i].race == OP_VM_DRAIN &&
 		    s->workers[0].state == VM_OUT)
 			want = "p0";
@@ -651,7 +670,7 @@
 		}
 		cr_expect_eq(n, s->workers[0].state == VM_OUT, "%s: %u out",
 			     cases[i].what, n);
-		/* What waits at an entry VM ends with it. */
+		/* Jobs that wait at an entry VM are lost with it. */
 		if (cases[i].kill < 0)
 			cr_expect_eq(jobs_done(s), 12, "%s: %u done",
 				     cases[i].what, jobs_done(s));
