--- a/tests/test-admit.c
+++ b/tests/test-admit.c
@@ -1,5 +1,6 @@
 /*
- * What a queue can't do in time is refused at once, and nothing else is.
+ * Tests of admission control: jobs that a queue can't complete in time are
+ * refused at once, and no others are.
  */
 #include "../sched-state.h"
 #include "support-world.h"
@@ -7,18 +8,21 @@
 #include <criterion/criterion.h>
 #include <stdio.h>
 
-/* How much of what comes is taken, by what waits already. */
+/*
+ * The share of new jobs that is admitted, by the time that the waiting ones
+ * take.
+ */
 static const struct {
 	const char *name;
 	double drain_ms;
 	double objective_ms;
-	unsigned least, most; /* in thousandths */
+	unsigned least, most; /* thousandths */
 } share_rows[] = {
-	{"nothing waits", 0, 2600, 1000, 1000},
-	{"what waits can be done", 5000, 2600, 1000, 1000},
-	{"some can't", 6500, 2600, 450, 550},
-	{"as much again can't", 7800, 2600, 0, 0},
-	{"far too much", 90000, 2600, 0, 0},
+	{"no backlog", 0, 2600, 1000, 1000},
+	{"the backlog can be completed in time", 5000, 2600, 1000, 1000},
+	{"some of it can't", 6500, 2600, 450, 550},
+	{"too large a backlog", 7800, 2600, 0, 0},
+	{"far too large a backlog", 90000, 2600, 0, 0},
 	{"long jobs wait longer", 18000, 10000, 1000, 1000},
 };
 Test(admit, as_much_as_can_be_done_in_time)
@@ -36,34 +40,36 @@
 }
 
 /*
- * Guards against an overload in which all is accepted and next to nothing is
- * done in time: callers wait for what is never of use to them, and the queues
- * are worked off long after.  Each row asks once more while a queue of tasks of
- * one second waits for 24 to 48 of them to run at once.
+ * Guards against an overload in which all jobs are accepted and almost none is
+ * completed in time: callers wait for results that come too late to be of use,
+ * and the backlog lasts long after. Each row submits one more job while a queue
+ * of tasks of one second waits, of which 24 to 48 can run at once.
  */
 static const struct {
 	const char *name;
 	unsigned queued; /* tasks */
-	bool second;	 /* it is asked of the other queue */
-	bool lasts;
-	bool known;   /* it was accepted before */
-	bool limited; /* the queue waits for its organisation's limit */
-	bool orphan;  /* the owner is gone */
+	bool second;	 /* the job is submitted to the other queue */
+	bool long_running;
+	bool known;	/* the job was accepted before */
+	bool limited;	/* the organisation's limit blocks the queue */
+	bool ownerless; /* the owner is gone */
 	int status;
 } full_rows[] = {
 	{"much is queued", .queued = 600, .status = 503},
 	{"little is queued", .queued = 60, .status = 200},
 	{"the other queue is free", .queued = 600, .second = true,
 	 .status = 200},
-	{"it is to last", .queued = 600, .lasts = true, .status = 200},
+	{"the job is long-running", .queued = 600, .long_running = true,
+	 .status = 200},
 	{"it was accepted before", .queued = 600, .known = true, .status = 200},
-	{"there is room", .queued = 600, .limited = true, .status = 200},
-	{"nobody works on it", .queued = 600, .orphan = true, .status = 503},
+	{"the pool has free capacity", .queued = 600, .limited = true,
+	 .status = 200},
+	{"there is no owner", .queued = 600, .ownerless = true, .status = 503},
 };
 Test(admit, what_cannot_be_done_in_time_is_refused)
 {
-	static const char asked[] = "00000000000000bb";
-	struct world_job heap = {.tasks = 600, .task_ms = 1000};
+	static const char job_id[] = "00000000000000bb";
+	struct world_job backlog = {.tasks = 600, .task_ms = 1000};
 	struct world_job one = {.tasks = 1, .task_ms = 1000};
 	struct world *w;
 	unsigned row, n, vm;
@@ -78,15 +84,15 @@
 		n = (unsigned)world_owner(w);
 		vm = (n + 1) % WORLD_VMS;
 		one.second_queue = full_rows[row].second;
-		one.long_running = full_rows[row].lasts;
-		heap.tasks = full_rows[row].queued;
+		one.long_running = full_rows[row].long_running;
+		backlog.tasks = full_rows[row].queued;
 		if (full_rows[row].known)
-			world_submit(w, vm, asked, &one);
-		world_submit(w, vm, "00000000000000aa", &heap);
+			world_submit(w, vm, job_id, &one);
+		world_submit(w, vm, "00000000000000aa", &backlog);
 		world_run(w, 1500);
-		if (full_rows[row].orphan)
+		if (full_rows[row].ownerless)
 			world_kill_vm(w, n);
-		call = world_submit(w, vm, asked, &one);
+		call = world_submit(w, vm, job_id, &one);
 		world_run(w, 100);
 		cr_expect_eq(world_call_status(w, call), full_rows[row].status,
 			     "%s: %d", full_rows[row].name,
@@ -97,13 +103,14 @@
 }
 
 /*
- * Guards against a request without the time for an exchange with the store that
- * is held until its caller has gone, and may be stored then.
+ * Guards against a request whose deadline is too close for an exchange with the
+ * store: it would be held until its caller has gone, and might still be stored
+ * then.
  */
 static const struct {
-	int64_t patience_ms;
+	int64_t timeout_ms;
 	int status;
-	const char *state; /* of the job after that */
+	const char *state; /* of the job afterwards */
 } time_rows[] = {
 	{3000, 200, "completed"},
 	{300, 200, "completed"},
@@ -121,7 +128,7 @@
 	for (row = 0; row < NELEMS(time_rows); row++) {
 		w = world_new(2340 + row, WORLD_VMS, WORLD_WORKERS);
 		world_run(w, 4000);
-		world_set_caller_timeout(w, time_rows[row].patience_ms);
+		world_set_caller_timeout(w, time_rows[row].timeout_ms);
 		call = world_submit(w, 0, "00000000000000aa", &one);
 		if (time_rows[row].status == 503)
 			cr_expect_eq(world_call_status(w, call), 503,
@@ -137,12 +144,12 @@
 }
 
 /*
- * Guards against callers who are turned away together and all come back at the
- * same moment, or when the queue is as full as before, or for nothing.
+ * Guards against refused callers that all retry at the same moment, or while
+ * the queue is still as full, or in vain.
  */
 Test(admit, who_is_refused_comes_back_when_there_is_room)
 {
-	static const struct world_job heap = {.tasks = 700, .task_ms = 1000};
+	static const struct world_job backlog = {.tasks = 700, .task_ms = 1000};
 	static const struct world_job one = {.tasks = 1, .task_ms = 200};
 	unsigned seen[60] = {0}, k, n, vm, most = 0;
 	uint64_t calls[40];
@@ -153,7 +160,7 @@
 	world_run(w, 4000);
 	n = (unsigned)world_owner(w);
 	vm = (n + 1) % WORLD_VMS;
-	world_submit(w, vm, "00000000000000aa", &heap);
+	world_submit(w, vm, "00000000000000aa", &backlog);
 	world_run(w, 1500);
 	for (k = 0; k < NELEMS(calls); k++) {
 		snprintf(id, sizeof(id), "%016x", 1000 + 77 * k);
@@ -167,8 +174,8 @@
 	}
 	for (k = 0; k < NELEMS(seen); k++)
 		most = seen[k] > most ? seen[k] : most;
-	cr_expect_eq(seen[0], 0, "no time to come back");
-	cr_expect_leq(most, NELEMS(calls) / 2, "%u come at once", most);
+	cr_expect_eq(seen[0], 0, "no time to retry");
+	cr_expect_leq(most, NELEMS(calls) / 2, "%u retry at once", most);
 	world_run(w, 1000 * (int64_t)world_call_retry_after(w, calls[0]));
 	snprintf(id, sizeof(id), "%016x", 1000);
 	calls[0] = world_submit(w, vm, id, &one);
--- a/tests/test-load.c
+++ b/tests/test-load.c
@@ -1,6 +1,6 @@
 /*
- * Patterns of load and trouble that callers feel, and how they are answered:
- * a burst at a takeover, an overload, work that is late beside what is not.
+ * Tests of the scheduler under patterns of load and faults: a burst at a
+ * takeover, overload, a large fleet, and an owner with little processor time.
  */
 #include "../sched-state.h"
 #include "support-world.h"
@@ -9,7 +9,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A world in which somebody owns the scheduling and workers are known. */
+/* Returns a world in which a VM owns the scheduling and knows the workers. */
 static struct world *calm(uint64_t seed)
 {
 	struct world *w = world_new(seed, WORLD_VMS, WORLD_WORKERS);
@@ -25,19 +25,19 @@
 }
 
 /*
- * Guards against a burst that waits after a takeover until each worker has
- * had the time to answer: machines in standby are free all the while.
+ * Guards against a burst that waits after a takeover until every worker has
+ * answered or its leases have expired, although standby machines are free.
  */
 static const struct {
 	const char *name;
-	unsigned silent; /* workers that nobody reaches */
+	unsigned silent; /* workers that can't be reached */
 } burst_rows[] = {
 	{"all answer", 0},
 	{"one is silent", 1},
 };
 Test(load, machines_come_right_after_a_takeover)
 {
-	static const struct world_job heap = {.tasks = 200, .task_ms = 2000};
+	static const struct world_job backlog = {.tasks = 200, .task_ms = 2000};
 	struct world *w;
 	unsigned row, k, n;
 
@@ -48,7 +48,8 @@
 		for (k = 0; k < WORLD_VMS && burst_rows[row].silent; k++)
 			world_cut_worker(w, k, 0, true);
 		n = (unsigned)world_owner(w);
-		world_submit(w, (n + 1) % WORLD_VMS, "00000000000000aa", &heap);
+		world_submit(w, (n + 1) % WORLD_VMS, "00000000000000aa",
+			     &backlog);
 		world_run(w, 20);
 		world_kill_vm(w, n);
 		for (k = 0; k < 400 && world_owner(w) == -1; k++)
@@ -61,14 +62,14 @@
 }
 
 /*
- * Guards against an overload in which all that waits is written down as begun:
- * the few that have room wait for thousands of writes, and a successor takes
- * all of it for running somewhere.  The workers hold 48 tasks, a job that waits
- * has two.
+ * Guards against an overload in which all waiting jobs are stored as running:
+ * the few that fit wait for thousands of writes, and a successor takes all of
+ * them for running somewhere. The workers have capacity for 48 tasks, and each
+ * waiting job has two.
  */
 static const struct {
-	unsigned taken; /* by a job that runs on */
-	unsigned most;	/* of 30 jobs that may begin beside it */
+	unsigned running_tasks; /* tasks of a job that runs meanwhile */
+	unsigned most;		/* of 30 jobs that may start beside it */
 } begin_rows[] = {
 	{22, 13},
 	{34, 7},
@@ -76,45 +77,45 @@
 };
 Test(load, only_what_has_room_begins)
 {
-	static const struct world_job pair = {.tasks = 2, .task_ms = 4000};
-	unsigned row, k, begun;
+	static const struct world_job two_tasks = {.tasks = 2, .task_ms = 4000};
+	unsigned row, k, started;
 	struct world_job job;
 	struct world *w;
 	char id[24];
 
 	for (row = 0; row < NELEMS(begin_rows); row++) {
 		w = calm(1680 + row);
-		job = (struct world_job){.tasks = begin_rows[row].taken,
+		job = (struct world_job){.tasks = begin_rows[row].running_tasks,
 					 .task_ms = 9000};
 		world_submit(w, 0, "00000000000000aa", &job);
 		world_run(w, 500);
 		for (k = 0; k < 30; k++) {
 			snprintf(id, sizeof(id), "%x0000000000000%02x", k % 16,
 				 k);
-			world_submit(w, k % WORLD_VMS, id, &pair);
+			world_submit(w, k % WORLD_VMS, id, &two_tasks);
 		}
 		world_run(w, 1000);
-		for (k = begun = 0; k < 30; k++) {
+		for (k = started = 0; k < 30; k++) {
 			snprintf(id, sizeof(id), "%x0000000000000%02x", k % 16,
 				 k);
-			begun += !strcmp(world_job_state(w, id), "running");
+			started += !strcmp(world_job_state(w, id), "running");
 		}
-		cr_expect_geq(begun, 1, "row %u: none has begun", row);
-		cr_expect_leq(begun, begin_rows[row].most,
-			      "row %u: %u have begun", row, begun);
-		check_free(w, "only what has room begins");
+		cr_expect_geq(started, 1, "row %u: no job has started", row);
+		cr_expect_leq(started, begin_rows[row].most,
+			      "row %u: %u jobs have started", row, started);
+		check_free(w, "only jobs that fit start");
 	}
 }
 
 /*
- * Guards against an overload of all queues in which pools take machines from
- * each other: one that has just fallen empty leaves a pool with much to do,
- * and is gone for the time of a move.
+ * Guards against pools that take machines from each other while all queues are
+ * overloaded: a machine that is empty for a moment leaves a pool with a
+ * backlog, and is lost for the time of a move.
  */
 Test(load, busy_pools_lend_nothing)
 {
-	static const struct world_job heap = {.tasks = 200, .task_ms = 2000};
-	static const struct world_job heap2 = {
+	static const struct world_job backlog = {.tasks = 200, .task_ms = 2000};
+	static const struct world_job second_backlog = {
 		.tasks = 120, .task_ms = 2000, .second_queue = true};
 	unsigned row, before;
 	struct world *w;
@@ -123,24 +124,30 @@
 		w = world_new(1700 + row, WORLD_VMS, WORLD_WORKERS);
 		world_add_second_pool(w, 3);
 		world_run(w, 4000);
-		/* The store answers late: all is empty until jobs begin. */
+		/*
+		 * The store is slow, so all workers stay empty until jobs
+		 * start.
+		 */
 		world_set_store_delay(w, 150 + 100 * (int64_t)row);
-		world_submit(w, 0, "00000000000000aa", &heap);
-		world_submit(w, 1, "00000000000000bb", &heap2);
-		/* One may go before the owner has seen the second job. */
+		world_submit(w, 0, "00000000000000aa", &backlog);
+		world_submit(w, 1, "00000000000000bb", &second_backlog);
+		/*
+		 * A machine may move before the owner has read the second job.
+		 */
 		world_run(w, 300 + 100 * (int64_t)row);
 		before = world_move_count(w);
 		world_run(w, 5000);
 		cr_expect_eq(world_move_count(w), before,
 			     "row %u: %u moves more", row,
 			     world_move_count(w) - before);
-		check_free(w, "busy pools lend nothing");
+		check_free(w, "busy pools keep their machines");
 	}
 }
 
 /*
- * Guards against an owner short of processor that gives each long answer of the
- * jobs' feed up and asks for it again: it reads no job and no cancel any more.
+ * Guards against an owner with little processor time that abandons each long
+ * answer of the jobs' feed and requests it again: it would read no more jobs
+ * and cancels.
  */
 Test(load, slow_answers_of_the_feed_come_at_last)
 {
@@ -162,8 +169,8 @@
 }
 
 /*
- * Guards against repeated jobs whose times are all taken for late but the
- * first: each is due by its own time of day.
+ * Guards against repeated jobs whose runs all but the first are taken for late:
+ * each is due by its own scheduled time.
  */
 Test(load, repeated_jobs_are_due_by_their_times)
 {
@@ -182,8 +189,8 @@
 	}
 }
 
-/* Workers that the owner would give work to. */
-static unsigned taking(struct world *w)
+/* Returns the number of workers that the owner would place tasks on. */
+static unsigned eligible_count(struct world *w)
 {
 	const struct sched *s = world_sched(w, (unsigned)world_owner(w));
 	const struct worker *k;
@@ -195,17 +202,17 @@
 }
 
 /*
- * Guards against a large fleet, idle for the most part, that takes the owner's
- * processor by looks at it; and against workers that seem lost between them.
+ * Guards against polls of a large, mostly idle fleet that use up the owner's
+ * processor time, and against workers that seem lost between polls.
  */
 static const struct {
 	const char *name;
 	unsigned workers;
-	unsigned least; /* requests a second, the store's included */
+	unsigned least; /* requests per second, the store's included */
 	unsigned most;
 } idle_rows[] = {
-	{"a few are looked at often", 6, 10, 40},
-	{"many are looked at seldom", 1000, 500, 800},
+	{"a few are polled often", 6, 10, 40},
+	{"many are polled seldom", 1000, 500, 800},
 };
 Test(load, idle_workers_cost_little)
 {
@@ -221,8 +228,8 @@
 		before = s->last_request;
 		for (k = 0; k < 20; k++) {
 			world_run(w, 200);
-			cr_expect_eq(taking(w), idle_rows[row].workers, "%s",
-				     idle_rows[row].name);
+			cr_expect_eq(eligible_count(w), idle_rows[row].workers,
+				     "%s", idle_rows[row].name);
 		}
 		asked = (s->last_request - before) / 4;
 		cr_expect_geq(asked, idle_rows[row].least, "%s: %u",
@@ -232,24 +239,24 @@
 		for (k = 0; k < WORLD_VMS; k++)
 			world_cut_worker(w, k, 0, true);
 		world_run(w, 2500);
-		cr_expect_eq(taking(w), idle_rows[row].workers - 1, "%s",
-			     idle_rows[row].name);
+		cr_expect_eq(eligible_count(w), idle_rows[row].workers - 1,
+			     "%s", idle_rows[row].name);
 		check_free(w, idle_rows[row].name);
 	}
 }
 
 /*
- * Guards against a store that is asked by every VM for each of an owner's
- * beats, which come as often as limits are raised and workers join.
+ * Guards against reads by every VM of each of the owner's heartbeats, which
+ * come as often as limits are raised and workers join.
  */
 static const struct {
 	const char *name;
-	double cores; /* of the VM that follows */
+	double cores; /* of the VM that reads the heartbeats */
 	unsigned least;
-	unsigned most; /* requests a second, beats coming each 20 ms */
+	unsigned most; /* requests per second, with a heartbeat every 20 ms */
 } beat_rows[] = {
-	{"one that claims at once hears each", 0.5, 20, 60},
-	{"one that claims late does not", 0.12, 2, 8},
+	{"a VM that would claim early reads each", 0.5, 20, 60},
+	{"a VM that would claim late does not", 0.12, 2, 8},
 };
 Test(load, beats_are_not_asked_for_by_all)
 {
@@ -281,8 +288,9 @@
 }
 
 /*
- * Guards against a successor that looks at what waits a tenth as often as it
- * could: it keeps final jobs until it knows what runs on a silent worker.
+ * Guards against a successor that runs placement a tenth as often as it could
+ * because of many final jobs, which it keeps until it knows what runs on a
+ * silent worker.
  */
 Test(load, final_jobs_space_no_looks)
 {
@@ -318,20 +326,21 @@
 }
 
 /*
- * Guards against a turn that waits for machines beside hundreds of idle ones:
- * as many are moved at once in a fleet of a thousand as in one of fifty.
+ * Guards against a queue with a backlog that waits for machines beside hundreds
+ * of idle ones, because a fleet of a thousand moves no more machines at once
+ * than one of fifty.
  */
 static const struct {
 	const char *name;
 	unsigned workers;
-	unsigned least; /* moves in a second */
+	unsigned least; /* moves in the first second */
 } turn_rows[] = {
 	{"a small fleet", 40, 10},
 	{"a large fleet", 1000, 200},
 };
 Test(load, machines_follow_a_turn_at_the_fleets_pace)
 {
-	static const struct world_job heap = {
+	static const struct world_job backlog = {
 		.tasks = 2000, .task_ms = 3000, .second_queue = true};
 	struct world *w;
 	unsigned row, n;
@@ -342,7 +351,8 @@
 		world_add_second_pool(w, n / 20);
 		world_run(w, 5000);
 		n = (unsigned)world_owner(w);
-		world_submit(w, (n + 1) % WORLD_VMS, "00000000000000aa", &heap);
+		world_submit(w, (n + 1) % WORLD_VMS, "00000000000000aa",
+			     &backlog);
 		world_run(w, 1300);
 		cr_expect_geq(world_move_count(w), turn_rows[row].least,
 			      "%s: %u", turn_rows[row].name,
@@ -352,14 +362,15 @@
 }
 
 /*
- * Guards against an owner short of processor that orders more than it can hear
- * the answers of: all run out of time, and what they cost keeps it there.
+ * Guards against an owner with little processor time that sends more orders
+ * than it can process the answers of: all time out, and the cost of that keeps
+ * it overloaded.
  */
 static const struct {
 	const char *name;
-	unsigned answers; /* one each ms */
-	int64_t ms;	  /* until each is dealt with */
-	unsigned least;	  /* starts that may be under way then */
+	unsigned answers; /* one per ms */
+	int64_t ms;	  /* delay until each is processed */
+	unsigned least;	  /* starts that may be in flight then */
 	unsigned most;
 } window_rows[] = {
 	{"answers in time", 4000, 20, 1000, 1100},
@@ -396,8 +407,8 @@
 }
 
 /*
- * Guards against a start that waits for ever: nobody looks at what waits when
- * the window has room again.
+ * Guards against a start that is never sent: pending tasks must be placed again
+ * when the window has space.
  */
 Test(load, what_the_window_held_back_is_started)
 {
@@ -418,19 +429,19 @@
 }
 
 /*
- * Guards against a pool that stands empty beside its work while another pool's
- * backlog takes the whole window of starts, look for look.
+ * Guards against a pool that stays empty beside its pending tasks while another
+ * pool's backlog uses the whole window of starts in every placement pass.
  */
 static const struct {
 	const char *name;
-	bool second_first; /* whose backlog came first */
+	bool second_first; /* the backlog is the second pool's */
 } share_rows[] = {
 	{"the backlog is the first pool's", false},
 	{"the backlog is the second pool's", true},
 };
 Test(load, the_window_is_shared_by_the_pools)
 {
-	struct world_job heap = {.tasks = 100, .task_ms = 1000};
+	struct world_job backlog = {.tasks = 100, .task_ms = 1000};
 	struct world_job few = {.tasks = 3, .task_ms = 1000};
 	struct world *w;
 	struct sched *s;
@@ -443,12 +454,12 @@
 		world_set_order_delay(w, 100);
 		n = (unsigned)world_owner(w);
 		s = world_sched(w, n);
-		heap.second_queue = share_rows[row].second_first;
-		few.second_queue = !heap.second_queue;
+		backlog.second_queue = share_rows[row].second_first;
+		few.second_queue = !backlog.second_queue;
 		for (k = 0; k < 480; k++) {
 			if (k == 0)
 				world_submit(w, (n + 1) % WORLD_VMS,
-					     "00000000000000aa", &heap);
+					     "00000000000000aa", &backlog);
 			if (k == 40)
 				world_submit(w, (n + 1) % WORLD_VMS,
 					     "00000000000000bb", &few);
@@ -461,8 +472,8 @@
 	}
 }
 
-/* Workers that have told ends which have to wait. */
-static unsigned world_ends_held(struct world *w)
+/* Returns the number of workers with ends that can't be processed yet. */
+static unsigned ends_held_count(struct world *w)
 {
 	const struct sched *s = world_sched(w, (unsigned)world_owner(w));
 	const struct worker *k;
@@ -474,9 +485,9 @@
 }
 
 /*
- * Guards against a second run of what is done, by an owner whose starts wait in
- * its client: the task was given up on a silent worker, which lists its end
- * while the next start is under way.  The seeds shift the looks at it.
+ * Guards against a second run of a completed task by an owner whose starts wait
+ * in its HTTP client: the task was given up on a silent worker, which lists its
+ * end while the next start is in flight. The seeds shift the times of polls.
  */
 Test(load, an_end_waits_for_the_start_under_way)
 {
@@ -504,12 +515,12 @@
 			world_cut_worker(w, vm, worker, false);
 		for (k = 0; k < 140 && s->starts_in_flight; k++) {
 			world_run(w, 5);
-			held += world_ends_held(w);
+			held += ends_held_count(w);
 		}
 		world_run(w, 6000);
 		cr_expect_str_eq(world_job_state(w, "00000000000000aa"),
 				 "completed", "seed %u", seed);
 		check_free(w, "an end listed late");
 	}
-	cr_expect_gt(held, 0, "no end came while a start was under way");
+	cr_expect_gt(held, 0, "no end came while a start was in flight");
 }
--- a/tests/test-waiting.c
+++ b/tests/test-waiting.c
@@ -1,8 +1,8 @@
 /*
- * How many jobs of a queue wait, as callers are told it by every VM while
- * owners, the store and workers fail.  The world asks all VMs all through and
- * knows what waits, see support-world.h: who can't tell may refuse, but not
- * tell too little.
+ * Tests of the count of waiting jobs that all VMs report to callers while
+ * owners, the store and workers fail. The world asks all VMs throughout and
+ * knows what waits, see support-world.h: a VM that doesn't know the count may
+ * refuse, but may not report too low a one.
  */
 #include "support-world.h"
 
@@ -12,20 +12,23 @@
 #define JOBS 50
 #define FILLER "0fffffffffffffff"
 #define ASK_MS 50
-/* Two tasks' worth: so few jobs run at a time. */
+/* Capacity of two tasks, so that few jobs run at a time. */
 #define LOW_LIMIT 4000
 
 static const struct world_job one = {.tasks = 1, .task_ms = 2000};
-/* All that the pool holds. */
+/* The whole capacity of the pool. */
 static const struct world_job filler = {.tasks = 48, .long_running = true};
 
 enum fill {
-	EMPTY,	 /* the pool has room */
-	LIMITED, /* the organisation's upper limit lets little run */
-	FILLED	 /* lasting tasks take the whole pool */
+	EMPTY,	 /* the pool has free capacity */
+	LIMITED, /* the organisation's upper limit lets few tasks run */
+	FILLED	 /* long-running tasks use the whole pool */
 };
 
-/* A world with an owner, in which new jobs have to wait, or not. */
+/*
+ * Returns a world with an owner, in which new jobs must wait unless the fill is
+ * EMPTY.
+ */
 static struct world *calm(uint64_t seed, enum fill fill)
 {
 	struct world *w = world_new(seed, VMS, WORLD_WORKERS);
@@ -40,7 +43,7 @@
 	return w;
 }
 
-/* The id of a job; they lie in all parts of the table. */
+/* Returns the id of a job; the ids are spread over all parts of the table. */
 static const char *job_id(unsigned i)
 {
 	static char id[17];
@@ -49,11 +52,11 @@
 	return id;
 }
 
-/* A set of VMs, as a bit each. */
+/* Sets of VMs are bit masks. */
 #define VM(n) (1U << (n))
 
-/* Hand all jobs in, through every VM but a few. */
-static void submit_all(struct world *w, unsigned but)
+/* Submits all jobs, through every VM except those of a set. */
+static void submit_all(struct world *w, unsigned excluded)
 {
 	uint64_t calls[JOBS];
 	unsigned i, vm = 0;
@@ -61,7 +64,7 @@
 	for (i = 0; i < JOBS; i++) {
 		do
 			vm = (vm + 1) % VMS;
-		while (but & VM(vm));
+		while (excluded & VM(vm));
 		calls[i] = world_submit(w, vm, job_id(i), &one);
 	}
 	world_run(w, 10);
@@ -70,10 +73,10 @@
 }
 
 /*
- * When all is calm again, every VM tells the number whenever it is asked, and
- * all jobs are done.
+ * Ends all faults, and checks that every VM then reports the count whenever it
+ * is asked, and that all jobs are completed.
  */
-static void check_calm(struct world *w, const char *row)
+static void check_recovered(struct world *w, const char *row)
 {
 	unsigned told, refused, i, done = 0;
 
@@ -93,30 +96,30 @@
 	told = world_counts_answered(w);
 	refused = world_counts_refused(w);
 	world_run(w, 1000);
-	cr_expect_eq(world_counts_refused(w), refused, "%s: refused in calm",
-		     row);
+	cr_expect_eq(world_counts_refused(w), refused,
+		     "%s: refused after the faults", row);
 	cr_expect_geq(world_counts_answered(w),
-		      told + VMS * (1000 / ASK_MS - 1), "%s: not told in calm",
-		      row);
+		      told + VMS * (1000 / ASK_MS - 1),
+		      "%s: not reported after the faults", row);
 	world_set_limit(w, 0);
 	world_call(w, 0, VERB_CANCEL, FILLER);
 	world_run(w, 20000);
 	for (i = 0; i < JOBS; i++)
 		done += !strcmp(world_job_state(w, job_id(i)), "completed");
-	cr_expect_eq(done, JOBS, "%s: %u jobs are done", row, done);
-	cr_log_info("%s: %u told, %u refused", row, world_counts_answered(w),
-		    world_counts_refused(w));
+	cr_expect_eq(done, JOBS, "%s: %u jobs are completed", row, done);
+	cr_log_info("%s: %u reported, %u refused", row,
+		    world_counts_answered(w), world_counts_refused(w));
 	cr_expect_null(world_violation(w), "%s: %s", row, world_violation(w));
 	world_free(w);
 }
 
 /*
- * Fifty jobs have waited for six seconds as the owner is lost.  Its successor
- * reads the store, which answers slowly and a few rows at a time, for longer
- * than it leaves between two beats.  Callers that ask any VM meanwhile are not
- * told of the few jobs that it has read so far as if they were all.  They were:
- * its beats told the count of a book that was being read, 0 at first, to all
- * VMs.  The first wrong answers came between OWNER_GAINED and OWNER_READY.
+ * Fifty jobs have waited for six seconds when the owner is lost. Its successor
+ * takes longer to read the store, which answers slowly and a few rows at a
+ * time, than the interval of its heartbeats. Callers of any VM must not be told
+ * the few jobs read so far as the count. The fault: a successor's heartbeats
+ * published the count of a table that was still being read, 0 at first, to all
+ * VMs; the first wrong answers came between OWNER_GAINED and OWNER_READY.
  */
 Test(waiting, successor_reads_slowly)
 {
@@ -133,8 +136,8 @@
 		{"killed, slow, large pages", FILLED, 500, 0},
 		{"killed, very slow", LIMITED, 600, 1},
 		{"killed and started again", FILLED, 300, 1, .returns = true},
-		{"stopped by plan", LIMITED, 300, 1, .stops = true},
-		{"stands still", FILLED, 300, 1, .freezes = true},
+		{"stopped as planned", LIMITED, 300, 1, .stops = true},
+		{"suspended", FILLED, 300, 1, .freezes = true},
 	};
 	struct world *w;
 	unsigned i, lost;
@@ -159,17 +162,17 @@
 		if (rows[i].returns)
 			world_start_vm(w, lost);
 		world_run(w, 9000);
-		check_calm(w, rows[i].name);
+		check_recovered(w, rows[i].name);
 	}
 }
 
 /*
- * Fifty jobs are accepted, and nobody beats any more before the next beat
- * would have told of them: the owner is lost, and nobody may follow for ten
- * seconds.  What was told before them is old by then, and callers are not
- * told it; nor by a VM that stood still and reads the last beat only then.
- * They were, without end: a count had no age.  COUNT_TOLD showed source=beat
- * and an age of 5 s and more at each wrong answer.
+ * Fifty jobs are accepted, and heartbeats stop before the next one would have
+ * counted them: the owner is lost, and no VM can take over for ten seconds. The
+ * last published count becomes out of date then, and callers must not be told
+ * it, nor by a VM that was suspended and reads the last heartbeat only then.
+ * The fault: a count had no age and was reported without end; COUNT_TOLD showed
+ * source=beat and an age of 5 s and more at each wrong answer.
  */
 Test(waiting, nobody_follows)
 {
@@ -179,7 +182,7 @@
 		bool killed;
 		enum world_store_mode all;
 		bool cut;
-		bool sleeps; /* one stands still, and is not cut off */
+		bool suspends; /* one VM is suspended, and is not cut off */
 	} rows[] = {
 		{"killed, the others cut off", FILLED, true, WORLD_STORE_OK,
 		 true},
@@ -192,47 +195,48 @@
 		 WORLD_STORE_REFUSES},
 		{"alive, the store loses answers", FILLED, false,
 		 WORLD_STORE_LOSES_ANSWERS},
-		{"killed, one stood still", FILLED, true, WORLD_STORE_OK, true,
+		{"killed, one suspended", FILLED, true, WORLD_STORE_OK, true,
 		 true},
 	};
 	struct world *w;
-	unsigned i, vm, lost, asleep, told;
+	unsigned i, vm, lost, suspended, told;
 
 	for (i = 0; i < NELEMS(rows); i++) {
 		w = calm(720 + i, rows[i].fill);
 		lost = (unsigned)world_owner(w);
-		asleep = (lost + 1) % VMS;
+		suspended = (lost + 1) % VMS;
 		world_poll_counts(w, ASK_MS);
-		if (rows[i].sleeps) {
-			world_freeze_vm(w, asleep, 8000);
+		if (rows[i].suspends) {
+			world_freeze_vm(w, suspended, 8000);
 			world_run(w, 2500);
 		}
-		submit_all(w, VM(lost) | VM(asleep));
+		submit_all(w, VM(lost) | VM(suspended));
 		if (rows[i].killed)
 			world_kill_vm(w, lost);
 		world_set_store_mode(w, rows[i].all);
 		for (vm = 0; vm < VMS; vm++)
 			world_cut_store(w, vm,
-					rows[i].cut && !(rows[i].sleeps &&
-							 vm == asleep));
-		/* 2 s after what was known, and 1 s that this was old. */
+					rows[i].cut && !(rows[i].suspends &&
+							 vm == suspended));
+		/* The published count is valid for 2 s, with 1 s of margin. */
 		world_run(w, 3000);
 		told = world_counts_answered(w);
 		world_run(w, 7000);
-		if (rows[i].all != WORLD_STORE_LOSES_ANSWERS && !rows[i].sleeps)
+		if (rows[i].all != WORLD_STORE_LOSES_ANSWERS &&
+		    !rows[i].suspends)
 			cr_expect_eq(world_counts_answered(w), told,
-				     "%s: told for longer", rows[i].name);
-		check_calm(w, rows[i].name);
+				     "%s: reported for too long", rows[i].name);
+		check_recovered(w, rows[i].name);
 	}
 }
 
 /*
- * One VM alone does not hear of what is beaten for ten seconds, the owner or
- * another; fifty jobs are accepted through the others meanwhile and wait.
- * Callers that ask it are not told the number from before, neither while it is
- * cut off, nor the moment it runs or hears again.  A VM that stood still reads
- * answers from before first: its idea of the store's clock must not go back by
- * them, or the old count would seem new.
+ * One VM, the owner or another, gets no heartbeats for ten seconds; meanwhile
+ * fifty jobs are accepted through the others and wait. Its callers must not be
+ * told the earlier count, neither while it is cut off nor right after it
+ * resumes or is reconnected. A suspended VM first reads answers that were sent
+ * before: they must not set its estimate of the store's clock back, which would
+ * make the old count seem current.
  */
 Test(waiting, one_does_not_hear)
 {
@@ -244,12 +248,12 @@
 		{"cut off", WORLD_STORE_OK, .cut = true},
 		{"refused", WORLD_STORE_REFUSES},
 		{"silent", WORLD_STORE_NO_ANSWER},
-		{"stands still", WORLD_STORE_OK, .freezes = true},
+		{"suspended", WORLD_STORE_OK, .freezes = true},
 		{"the owner's rows stall", WORLD_STORE_OK, .stalled = true},
 		{"the owner cut off", WORLD_STORE_OK, .cut = true,
 		 .owns = true},
 		{"the owner refused", WORLD_STORE_REFUSES, .owns = true},
-		{"the owner stands still", WORLD_STORE_OK, .freezes = true,
+		{"the owner suspended", WORLD_STORE_OK, .freezes = true,
 		 .owns = true},
 	};
 	struct world *w;
@@ -264,37 +268,38 @@
 		world_stall_reads(w, vm, TABLE_OWNER, rows[i].stalled);
 		if (rows[i].freezes)
 			world_freeze_vm(w, vm, 12500);
-		/* What it asked for before may still come. */
+		/* Answers to earlier requests may still arrive. */
 		world_run(w, 2500);
 		submit_all(w, VM(vm));
 		world_run(w, 10000);
 		world_stall_reads(w, vm, TABLE_OWNER, false);
-		check_calm(w, rows[i].name);
+		check_recovered(w, rows[i].name);
 	}
 }
 
 /*
- * Fifty jobs are accepted and ordered to start, and all workers turn every
- * start away, or never get one.  No task has begun, so all of them wait, and
- * with an owner that lives and is heard every VM can tell; a successor, which
- * sees only that starts were ordered, tells the same or nothing.  The owner
- * said 0 to 2: a job counted as begun from its first order on, whatever the
- * worker said.  No owner had changed, and each job's starts had been refused.
+ * Fifty jobs are accepted and ordered to start, but all workers refuse every
+ * start or never get it. No task has started, so all jobs wait. With a running
+ * owner that the VMs hear from, every VM must report that; a successor, which
+ * sees only that starts were ordered, must report the same or refuse. The
+ * fault: the owner reported 0 to 2, as it counted a job as started from its
+ * first order on, whatever the worker answered. No owner had changed, and each
+ * job's starts had been refused.
  */
 Test(waiting, no_start_is_taken)
 {
 	static const struct {
 		const char *name;
 		enum refusal why;
-		unsigned vanish;
+		unsigned lost_percent;
 		bool killed;
 	} rows[] = {
-		{"unwell", REFUSAL_UNHEALTHY},
-		{"no room", REFUSAL_CAPACITY},
+		{"unhealthy", REFUSAL_UNHEALTHY},
+		{"no capacity", REFUSAL_CAPACITY},
 		{"busy", REFUSAL_BUSY},
 		{"invalid", REFUSAL_INVALID},
 		{"lost on the way", REFUSAL_NONE, 100},
-		{"unwell, the owner killed", REFUSAL_UNHEALTHY, 0, true},
+		{"unhealthy, the owner killed", REFUSAL_UNHEALTHY, 0, true},
 		{"lost on the way, the owner killed", REFUSAL_NONE, 100, true},
 	};
 	struct world *w;
@@ -304,7 +309,7 @@
 		w = calm(760 + i, EMPTY);
 		world_poll_counts(w, ASK_MS);
 		world_refuse_starts(w, rows[i].why);
-		world_set_lost_starts(w, rows[i].vanish);
+		world_set_lost_starts(w, rows[i].lost_percent);
 		starts = world_starts(w);
 		submit_all(w, 0);
 		world_run(w, 6000);
@@ -315,15 +320,16 @@
 				     rows[i].name);
 		world_run(w, 9000);
 		cr_expect_eq(world_starts(w), starts);
-		check_calm(w, rows[i].name);
+		check_recovered(w, rows[i].name);
 	}
 }
 
 /*
- * The owner beats in time and reads the jobs' table late or not at all, while
- * fifty jobs are accepted through the other VMs.  It does not know of them,
- * and nobody tells its number as if it did.  All did: a beat's age is not that
- * of the book it was counted in, which OWNER_BEAT showed to be 5 s and more.
+ * The owner's heartbeats are in time, but it reads the jobs' table late or not
+ * at all, while fifty jobs are accepted through the other VMs. As it doesn't
+ * know of them, no VM may report its count as current. The fault: all VMs did,
+ * as the age of a heartbeat isn't the age of the table that it was counted
+ * from, which OWNER_BEAT showed to be 5 s and more.
  */
 Test(waiting, owner_reads_no_jobs)
 {
@@ -333,45 +339,48 @@
 		bool stalled;
 		int64_t slow_ms;
 		unsigned page_rows;
-		int64_t gone_every_ms;
+		int64_t drop_every_ms;
 	} rows[] = {
 		{"reads get no answer", FILLED, true},
 		{"reads get no answer, an upper limit", LIMITED, true},
 		{"slow for the owner", FILLED, false, 500},
 		{"at the edge of the timeout", FILLED, false, 690},
-		{"history gone again and again", FILLED, false, 0, 0, 100},
-		{"history gone, slow, small pages", FILLED, false, 350, 1, 300},
+		{"history dropped repeatedly", FILLED, false, 0, 0, 100},
+		{"history dropped, slow, small pages", FILLED, false, 350, 1,
+		 300},
 	};
 	struct world *w;
-	unsigned i, lame;
-	int64_t t, apart;
+	unsigned i, slow_owner;
+	int64_t t, interval_ms;
 
 	for (i = 0; i < NELEMS(rows); i++) {
 		w = calm(780 + i, rows[i].fill);
-		lame = (unsigned)world_owner(w);
+		slow_owner = (unsigned)world_owner(w);
 		world_poll_counts(w, ASK_MS);
-		world_stall_reads(w, lame, TABLE_JOBS, rows[i].stalled);
-		world_set_vm_store_delay(w, lame, rows[i].slow_ms);
+		world_stall_reads(w, slow_owner, TABLE_JOBS, rows[i].stalled);
+		world_set_vm_store_delay(w, slow_owner, rows[i].slow_ms);
 		world_set_page_rows(w, rows[i].page_rows);
-		apart = rows[i].gone_every_ms ? rows[i].gone_every_ms : 1000;
+		interval_ms = rows[i].drop_every_ms ? rows[i].drop_every_ms
+						    : 1000;
 		world_run(w, 1000);
-		if (rows[i].gone_every_ms)
+		if (rows[i].drop_every_ms)
 			world_compact_history(w);
-		submit_all(w, VM(lame));
-		for (t = 0; t < 10000; t += apart) {
-			if (rows[i].gone_every_ms)
+		submit_all(w, VM(slow_owner));
+		for (t = 0; t < 10000; t += interval_ms) {
+			if (rows[i].drop_every_ms)
 				world_compact_history(w);
-			world_run(w, apart);
+			world_run(w, interval_ms);
 		}
-		check_calm(w, rows[i].name);
+		check_recovered(w, rows[i].name);
 	}
 }
 
 /*
- * All VMs lose power while fifty jobs wait, and start together.  Callers ask
- * from the first moment on: the beat that the VMs find in the store is of
- * before the loss, or of a successor that still reads.  They told the first,
- * however long they had been off; now they reckon its age by the store's clock.
+ * All VMs lose power while fifty jobs wait, and start together. Callers ask
+ * from the first moment on: the heartbeat that the VMs find in the store is
+ * from before the loss, or from a successor that is still reading. The fault:
+ * they reported the earlier count, however long they had been off. The age of a
+ * heartbeat goes by the store's clock, which makes such a count out of date.
  */
 Test(waiting, all_lose_power)
 {
@@ -407,6 +416,6 @@
 			world_start_vm(w, vm);
 		world_poll_counts(w, ASK_MS);
 		world_run(w, 9000);
-		check_calm(w, rows[i].name);
+		check_recovered(w, rows[i].name);
 	}
 }
