--- a/tests/prop-sched.cc
+++ b/tests/prop-sched.cc
@@ -1,8 +1,8 @@
 /*
- * Properties of the scheduler: work and faults drawn at random, in a small
- * world on a simulated clock.  What must always hold is checked by the world
- * after each event, see support-world.h; when the faults are over and some
- * time has passed, every job that was accepted is done.
+ * Property tests of the scheduler: random operations and faults in the
+ * simulated world. The world checks the invariants after each event, see
+ * support-world.h. Some time after the faults have ended, every accepted job
+ * must be completed.
  */
 #include "support-world.h"
 
@@ -42,8 +42,9 @@
 	OP_STALL,
 	OP_REFUSE,
 	OP_VANISH,
-	OP_LONG,	/* as RUN, and five times as long */
-	OP_WRITES_LATE, /* one VM's, for a while: done seconds later */
+	OP_LONG,	/* like RUN, and five times as long */
+	OP_WRITES_LATE, /* for a while, writes of one VM are carried out
+			   seconds later */
 	OP_PAGES_SLOW,	/* of one table */
 	OPS
 };
@@ -55,30 +56,30 @@
 	"HEAL",	      "ASK",	"SLOW",	    "PAGES",	   "STALL",
 	"REFUSE",     "VANISH", "LONG",	    "WRITES_LATE", "PAGES_SLOW"};
 
-struct step_of {
+struct operation {
 	op what;
 	unsigned a, b;
 };
-using steps = std::vector<step_of>;
+using operations = std::vector<operation>;
 
 static const world_job quick = {3, 0, 300, 0, false, 0, 0};
 static const world_job chain = {3, 2, 400, 1, false, 0, 0};
 static const world_job lasting = {3, 0, 0, 0, true, 1, 1};
 
-struct handed_in {
+struct submitted_job {
 	char id[17];
 	const world_job *job;
 	std::vector<uint64_t> calls;
 	uint64_t cancel;
 };
 
-struct play {
+struct simulation {
 	world *w;
-	std::vector<handed_in> jobs;
-	bool waved;
+	std::vector<submitted_job> jobs;
+	bool wave_started;
 };
 
-static std::string text(uint64_t seed, const steps &v)
+static std::string operations_format(uint64_t seed, const operations &v)
 {
 	std::ostringstream o;
 
@@ -88,8 +89,8 @@
 	return o.str();
 }
 
-/* End all faults; who was killed starts again. */
-static void heal(play &p)
+/* Ends all faults and starts the VMs that were killed or have stopped. */
+static void faults_end(simulation &p)
 {
 	unsigned i, k;
 
@@ -118,9 +119,9 @@
 	}
 }
 
-static void submit(play &p, unsigned vm, const world_job *job)
+static void submit(simulation &p, unsigned vm, const world_job *job)
 {
-	handed_in h = {{0}, job, {}, 0};
+	submitted_job h = {{0}, job, {}, 0};
 
 	if (p.jobs.size() >= 24)
 		return;
@@ -130,11 +131,11 @@
 	p.jobs.push_back(h);
 }
 
-/* What workers answer to all starts. */
+/* Answers of workers to all starts. */
 static const refusal refusals[] = {REFUSAL_NONE, REFUSAL_UNHEALTHY,
 				   REFUSAL_CAPACITY, REFUSAL_BUSY};
 
-static void act(play &p, const step_of &s)
+static void operation_apply(simulation &p, const operation &s)
 {
 	unsigned vm = s.a % 4, worker = s.b % WORLD_WORKERS, i;
 
@@ -212,12 +213,12 @@
 		world_set_limit(p.w, s.a % 2 ? 0 : 8000 + 1000 * (s.b % 20));
 		break;
 	case OP_WAVE:
-		if (!p.waved)
+		if (!p.wave_started)
 			world_start_wave(p.w, 2 + s.a % 5, 1 + s.b % 2);
-		p.waved = true;
+		p.wave_started = true;
 		break;
 	case OP_HEAL:
-		heal(p);
+		faults_end(p);
 		break;
 	case OP_ASK:
 		world_poll_counts(p.w, 20 + s.a);
@@ -258,8 +259,8 @@
 	}
 }
 
-/* Was a job accepted by any of its calls? */
-static bool accepted(const play &p, const handed_in &h)
+/* Returns true if any of a job's calls was accepted. */
+static bool job_is_accepted(const simulation &p, const submitted_job &h)
 {
 	for (uint64_t c : h.calls)
 		if (world_call_status(p.w, c) == 200)
@@ -267,56 +268,61 @@
 	return false;
 }
 
-/* What became of the jobs, once all is calm again. */
-static std::string outcome(play &p)
+/*
+ * Checks the jobs and the wave after the faults; returns what is wrong, or "".
+ */
+static std::string final_state_check(simulation &p)
 {
 	for (const auto &h : p.jobs) {
 		std::string state = world_job_state(p.w, h.id);
 
-		if (!accepted(p, h))
+		if (!job_is_accepted(p, h))
 			continue;
 		if (state != "completed" && state != "failed" && !h.cancel &&
 		    h.job != &lasting)
-			return "accepted and not done: " + std::string(h.id) +
-			       " " + state;
+			return "accepted and not completed: " +
+			       std::string(h.id) + " " + state;
 		if (state != "running" && h.job == &lasting && !h.cancel)
-			return "to last and is not running: " +
+			return "long-running and not running: " +
 			       std::string(h.id) + " " + state;
 	}
-	if (p.waved && !world_wave_is_completed(p.w))
+	if (p.wave_started && !world_wave_is_completed(p.w))
 		return "the wave is not completed";
 	return "";
 }
 
-static std::string run(uint64_t seed, const steps &v)
+static std::string run(uint64_t seed, const operations &v)
 {
-	play p = {world_new(seed, 4, WORLD_WORKERS), {}, false};
-	std::string broken;
+	simulation p = {world_new(seed, 4, WORLD_WORKERS), {}, false};
+	std::string failure;
 
 	world_run(p.w, 2000);
 	for (const auto &s : v) {
-		act(p, s);
+		operation_apply(p, s);
 		world_run(p.w, 7);
 	}
-	/* Who was asked to stop ends by then, and is started again. */
-	heal(p);
+	/*
+	 * VMs that were asked to stop have ended by the second call, which
+	 * starts them again.
+	 */
+	faults_end(p);
 	world_run(p.w, 8000);
-	heal(p);
+	faults_end(p);
 	world_run(p.w, 36000);
 	if (world_violation(p.w))
-		broken = world_violation(p.w);
+		failure = world_violation(p.w);
 	else
-		broken = outcome(p);
+		failure = final_state_check(p);
 	world_free(p.w);
-	return broken;
+	return failure;
 }
 
-struct mix {
+struct fault_mix {
 	const char *name;
 	std::vector<op> faults;
-	bool asks; /* all VMs are asked all through how many jobs wait */
+	bool polls_counts; /* all VMs are asked throughout how many jobs wait */
 };
-static const std::vector<mix> mixes = {
+static const std::vector<fault_mix> mixes = {
 	{"undisturbed, with retries and cancels", {OP_RETRY, OP_CANCEL}},
 	{"VMs killed, stopped, frozen", {OP_KILL, OP_STOP, OP_FREEZE}},
 	{"the store away, refusing, losing answers",
@@ -349,7 +355,7 @@
 	 true},
 };
 
-static rc::Gen<step_of> any_step(const mix &m)
+static rc::Gen<operation> random_operation(const fault_mix &m)
 {
 	std::vector<op> all = {OP_RUN,	 OP_RUN,   OP_RUN,     OP_RUN,
 			       OP_QUICK, OP_CHAIN, OP_LASTING, OP_RETRY};
@@ -361,14 +367,17 @@
 					   rc::gen::inRange(0u, 256u),
 					   rc::gen::inRange(0u, 256u)),
 			    [](const std::tuple<op, unsigned, unsigned> &t) {
-				    return step_of{std::get<0>(t),
-						   std::get<1>(t),
-						   std::get<2>(t)};
+				    return operation{std::get<0>(t),
+						     std::get<1>(t),
+						     std::get<2>(t)};
 			    });
 }
 
-/* Name what fails as the known red tests are named: mix::its_words. */
-static void print_failed(const char *kind, const char *name)
+/*
+ * Prints a failure under the name that KNOWN-RED.txt uses, such as
+ * mix::its_words.
+ */
+static void failure_print(const char *kind, const char *name)
 {
 	std::string words;
 
@@ -380,13 +389,13 @@
 	printf("[FAIL] %s::%s\n", kind, words.c_str());
 }
 
-/* Run a sequence that stands as text. */
+/* Runs a sequence that is given as text. */
 static std::string replay(const char *s)
 {
 	uint64_t seed = strtoull(s + strlen("seed "), NULL, 10);
 	char name[32];
-	step_of one;
-	steps v;
+	operation one;
+	operations v;
 
 	while ((s = strchr(s, '{')) &&
 	       sscanf(s, "{%31[A-Z_] %u %u}", name, &one.a, &one.b) == 3) {
@@ -399,11 +408,11 @@
 	return run(seed, v);
 }
 
-/* Sequences that broke a promise once, with what was broken. */
+/* Sequences that violated an invariant once, with the fault that they found. */
 static const struct {
-	const char *broken;
+	const char *failure;
 	const char *sequence;
-} kept[] = {
+} regressions[] = {
 	{"a paused task was not looked at again",
 	 "seed 129418: {WAVE 120 35} {CHAIN 20 118} {RUN 145 52} {RUN 33 33} "
 	 "{QUICK 51 13} {RUN 147 52} {LIMIT 36 132} {RETRY 145 121} "
@@ -436,7 +445,10 @@
 	 "{LATE 72 60} {CUT_WORKER 113 113} {LATE 151 27} {CRASH 97 92} "
 	 "{CUT_WORKER 132 25} {RUN 41 49} {LATE 146 6} {QUICK 121 103} "
 	 "{CUT_WORKER 150 88} {RUN 30 134} {RUN 34 95}"},
-	/* The check had taken 0, which is no limit, for a low one. */
+	/*
+	 * A check that takes a limit of 0, which means none, for a low one
+	 * fails here.
+	 */
 	{"a start under no limit, as one was set, was counted against it",
 	 "seed 399222: {CHAIN 36 78} {WAVE 35 90} {WAVE 33 10} {LIMIT 36 59} "
 	 "{CHAIN 37 130} {WAVE 125 85} {KILL 73 76} {RETRY 30 110} "
@@ -595,34 +607,39 @@
 		printf("%s\n", replay(argv[1]).c_str());
 		return 0;
 	}
-	/* The same verdict each time; other seeds are given by hand. */
+	/*
+	 * Fixed seeds give the same result in each run; RC_PARAMS overrides
+	 * them.
+	 */
 	setenv("RC_PARAMS", "seed=7 max_success=60 noshrink=1", 0);
 	for (const auto &m : mixes) {
 		bool ok = rc::check(m.name, [&] {
 			const auto seed = *rc::gen::inRange<uint64_t>(1,
 								      1 << 20);
 			auto v = *rc::gen::resize(
-				60, rc::gen::container<steps>(any_step(m)));
+				60, rc::gen::container<operations>(
+					    random_operation(m)));
 
-			if (m.asks)
+			if (m.polls_counts)
 				v.insert(v.begin(), {OP_ASK, 30, 0});
-			const auto broken = run(seed, v);
+			const auto failure = run(seed, v);
 
-			if (!broken.empty())
-				RC_FAIL(broken + "\n" + text(seed, v));
+			if (!failure.empty())
+				RC_FAIL(failure + "\n" +
+					operations_format(seed, v));
 		});
 		if (!ok)
-			print_failed("mix", m.name);
+			failure_print("mix", m.name);
 		(ok ? passed : failed)++;
 	}
-	for (const auto &k : kept) {
-		const auto broken = replay(k.sequence);
+	for (const auto &k : regressions) {
+		const auto failure = replay(k.sequence);
 
-		if (!broken.empty()) {
-			printf("%s: %s\n", k.broken, broken.c_str());
-			print_failed("kept", k.broken);
+		if (!failure.empty()) {
+			printf("%s: %s\n", k.failure, failure.c_str());
+			failure_print("kept", k.failure);
 		}
-		(broken.empty() ? passed : failed)++;
+		(failure.empty() ? passed : failed)++;
 	}
 	printf("%d passed, %d failed\n", passed, failed);
 	return failed != 0;
