--- a/tests/test-decode.c
+++ b/tests/test-decode.c
@@ -4,12 +4,12 @@
 #include <stdlib.h>
 
 /*
- * Guards against a full list of ends that is taken for all there are: tasks
- * whose ends come with the next one would be started again.
+ * Guards against a truncated list of ends that is taken for a complete one:
+ * tasks whose ends follow in the next list would be started again.
  */
 static const struct {
 	size_t ends;
-	bool cut;
+	bool truncated;
 } list_rows[] = {
 	{0, false},
 	{1, false},
@@ -36,8 +36,9 @@
 		ev->kind = EVENT_ANSWER;
 		runs_read(j, &ev->answer);
 		cr_expect_eq(ev->answer.ended_count, list_rows[row].ends);
-		cr_expect_eq(ev->answer.ended_truncated, list_rows[row].cut,
-			     "%zu", list_rows[row].ends);
+		cr_expect_eq(ev->answer.ended_truncated,
+			     list_rows[row].truncated, "%zu",
+			     list_rows[row].ends);
 		sched_event_free(ev);
 		json_decref(j);
 	}
--- a/tests/test-join.c
+++ b/tests/test-join.c
@@ -2,7 +2,7 @@
 
 #include <criterion/criterion.h>
 
-/* Entry VMs that join a fleet in which others decide. */
+/* Tests of entry VMs that join a fleet in which others own the shards. */
 static const struct sim_plan plan = {
 	.seed = 7,
 	.entries = 3,
@@ -15,13 +15,14 @@
 };
 
 /*
- * Guards against submissions that are refused because no VM decides them, as
- * one joins: it is the better owner of a third of the shards from then on, and
- * gets them only when their owner has seen it for a while and handed over.
+ * Guards against submissions that are refused because no VM decides them when
+ * one joins: it is the preferred owner of a third of the shards from then on,
+ * but gets them only after their owner has seen it for a while and has handed
+ * them over.
  */
 static const struct {
 	const char *name;
-	unsigned joining;  /* VMs, at once */
+	unsigned joining;  /* VMs that join at once */
 	int64_t absent_ms; /* since the VMs that they replace were lost */
 } join_rows[] = {
 	{"one joins, another was lost lately", 1, 30000},
--- a/tests/test-limit.c
+++ b/tests/test-limit.c
@@ -3,7 +3,10 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-/* Upper limits under trouble: one team, two pools that share its limit. */
+/*
+ * Tests of upper limits under faults, with one team and two pools that share
+ * its limit.
+ */
 static const struct sim_plan plan = {
 	.seed = 5,
 	.entries = 2,
@@ -15,11 +18,13 @@
 	.reboot_ms = 10000,
 };
 
-/* The platform goes away right after a race for the team's row. */
+/*
+ * An outage of the platform that starts right after a race for the team's row.
+ */
 struct outage {
-	unsigned armed_after; /* writes of the row, from now on; 0: never */
+	unsigned armed_after; /* writes of the row; 0: never */
 	unsigned writes;
-	int64_t from; /* simulated time; 0: it is there */
+	int64_t from; /* simulated time; 0: no outage */
 };
 
 static bool writes_allowance(const effect *fx)
@@ -35,7 +40,7 @@
 	return false;
 }
 
-static enum sim_fault request(struct sim *s, const effect *fx)
+static enum sim_fault fault_inject(struct sim *s, const effect *fx)
 {
 	struct outage *o = s->arg;
 
@@ -56,22 +61,23 @@
 }
 
 /*
- * Guards against a cell that starts nothing of a team as long as the platform
- * is away, because another cell has changed the team's row at the same time:
- * the row is to be read again, and can't be.  What the cell holds is still its.
+ * Guards against a cell that starts no task of a team during an outage of the
+ * platform, because another cell changed the team's row at the same time: the
+ * row must be read again, which isn't possible. What the cell already holds
+ * stays valid.
  */
 Test(limit, a_lost_race_takes_nothing_away)
 {
-	unsigned writes, job, pool, first, begun[2];
+	unsigned writes, job, pool, first, started[2];
 	struct outage o;
 	struct sim *s;
 
 	for (writes = 1; writes <= 4; writes++) {
 		memset(&o, 0, sizeof(o));
-		memset(begun, 0, sizeof(begun));
+		memset(started, 0, sizeof(started));
 		s = sim_new(&plan);
 		s->arg = &o;
-		s->hooks.request = request;
+		s->hooks.request = fault_inject;
 		for (pool = 0; pool < 2; pool++)
 			submit(s, pool, pool, 4);
 		sim_run(s, 2000);
@@ -85,10 +91,10 @@
 			submit(s, pool, pool, 4);
 		sim_run(s, 3000);
 		for (job = first; job < s->job_count; job++)
-			begun[s->jobs[job].pool] += s->jobs[job].began_at > 0;
+			started[s->jobs[job].pool] += s->jobs[job].began_at > 0;
 		for (pool = 0; pool < 2; pool++)
-			cr_expect_eq(begun[pool], 4, "%u writes, pool %u: %u",
-				     writes, pool, begun[pool]);
+			cr_expect_eq(started[pool], 4, "%u writes, pool %u: %u",
+				     writes, pool, started[pool]);
 		sim_free(s);
 	}
 }
--- a/tests/test-order.c
+++ b/tests/test-order.c
@@ -3,19 +3,20 @@
 #include <criterion/criterion.h>
 
 /*
- * Guards against answers that lie long in the inbox of an owner short of
- * processor and make its workers seem to have begun new lives: their ends would
- * be listed anew, and a dead worker's tasks be kept for a second lease.
+ * Guards against answers that stay long in the inbox of an owner with little
+ * processor time, and make its workers seem to have restarted: it would read
+ * their ends again from the start, and keep a dead worker's tasks for a second
+ * lease.
  */
 static const struct {
 	const char *name;
-	int64_t clock; /* in an answer to a start that was sent at 9,050 */
-	bool other;
+	int64_t clock; /* in the answer to a start that was sent at 9,050 */
+	bool restarted;
 } clock_rows[] = {
-	{"answered at once, read 3 s later", 5160, false},
+	{"answered at once, processed 3 s later", 5160, false},
 	{"answered late", 5700, false},
-	{"a new life's", 120, true},
-	{"not said", 0, false},
+	{"from a new process", 120, true},
+	{"without a clock", 0, false},
 };
 Test(order, age_of_an_answer_is_no_new_life)
 {
@@ -36,9 +37,9 @@
 
 		TAILQ_INIT(&out);
 		order_answer(&s, &rq, &a);
-		cr_expect_eq(w.later_life_until > 0, clock_rows[row].other,
+		cr_expect_eq(w.later_life_until > 0, clock_rows[row].restarted,
 			     "%s", clock_rows[row].name);
-		cr_expect_eq(w.same_life, !clock_rows[row].other, "%s",
+		cr_expect_eq(w.same_life, !clock_rows[row].restarted, "%s",
 			     clock_rows[row].name);
 		while ((fx = TAILQ_FIRST(&out))) {
 			TAILQ_REMOVE(&out, fx, entry);
--- a/tests/test-upkeep.c
+++ b/tests/test-upkeep.c
@@ -1,16 +1,16 @@
 /*
- * Maintenance waves under trouble: whether they end in time, and what holds
- * their machines.
+ * Tests of maintenance waves under faults: whether they end in time, and what
+ * delays their machines.
  */
 #include "world-calm.h"
 
 #define JOB_A "00000000000000aa"
 
-static const struct world_job lasting = {
+static const struct world_job long_lived = {
 	.tasks = 3, .long_running = true, .max_per_worker = 1, .may_miss = 1};
 
-/* How many more tasks than the pool has room for keep it busy. */
-static const struct world_job heap = {.tasks = 240, .task_ms = 4000};
+/* A backlog that exceeds the pool's capacity and keeps it busy. */
+static const struct world_job backlog = {.tasks = 240, .task_ms = 4000};
 
 static void check_free(struct world *w, const char *name)
 {
@@ -18,8 +18,8 @@
 	world_free(w);
 }
 
-/* Kill all VMs and start them again. */
-static void all_begin_anew(struct world *w)
+/* Kills all VMs and starts them again. */
+static void all_vms_restart(struct world *w)
 {
 	unsigned k;
 
@@ -31,15 +31,15 @@
 }
 
 /*
- * Guards against a wave that is late because each new life of all VMs reckons
- * its time anew: machines of a busy pool wait for a calmer moment that comes
- * after the operator's.
+ * Guards against a wave that is late because each restart of all VMs starts its
+ * time again: machines of a busy pool wait for a moment of less load, which
+ * comes after the operator's deadline.
  */
 static const struct {
 	const char *name;
-	unsigned lives;
-	int64_t apart_ms;
-} anew_rows[] = {
+	unsigned restarts;
+	int64_t interval_ms;
+} restart_rows[] = {
 	{"never", 0, 0},
 	{"once, late", 1, 6500},
 	{"twice", 2, 5500},
@@ -50,34 +50,35 @@
 	unsigned row, k;
 	struct world *w;
 
-	for (row = 0; row < NELEMS(anew_rows); row++) {
+	for (row = 0; row < NELEMS(restart_rows); row++) {
 		w = calm(1500 + row);
-		world_submit(w, other(w), JOB_A, &heap);
+		world_submit(w, other(w), JOB_A, &backlog);
 		world_run(w, 300);
 		world_start_wave(w, 6, 3);
-		for (k = 0; k < anew_rows[row].lives; k++) {
-			world_run(w, anew_rows[row].apart_ms - 300);
-			all_begin_anew(w);
+		for (k = 0; k < restart_rows[row].restarts; k++) {
+			world_run(w, restart_rows[row].interval_ms - 300);
+			all_vms_restart(w);
 		}
-		world_run(w, 20000 - anew_rows[row].lives *
-					     anew_rows[row].apart_ms);
+		world_run(w, 20000 - restart_rows[row].restarts *
+					     restart_rows[row].interval_ms);
 		cr_expect_eq(world_maintained_count(w), 6,
-			     "%s: %u of 6 in time", anew_rows[row].name,
+			     "%s: %u of 6 in time", restart_rows[row].name,
 			     world_maintained_count(w));
-		check_free(w, anew_rows[row].name);
+		check_free(w, restart_rows[row].name);
 	}
 }
 
 /*
- * Guards against a wave that stands still after a takeover for as long as one
- * silent worker may hold its leases: its machines would be late by that.
+ * Guards against a wave that waits after a takeover for as long as one silent
+ * worker may hold its leases, which would make its machines late by that time.
  */
 static const struct {
 	const char *name;
-	unsigned silent; /* workers that nobody reaches */
+	unsigned silent; /* workers that can't be reached */
 	/*
-	 * Machines down by then: not the silent ones, nor the two with other
-	 * tasks of the job, of which one may be away.
+	 * Machines that had maintenance by then: not those of the silent
+	 * workers, nor the two with other tasks of the job, of which one may be
+	 * unavailable.
 	 */
 	unsigned least;
 } silent_rows[] = {
@@ -92,7 +93,7 @@
 
 	for (row = 0; row < NELEMS(silent_rows); row++) {
 		w = calm(1520 + row);
-		world_submit(w, other(w), JOB_A, &lasting);
+		world_submit(w, other(w), JOB_A, &long_lived);
 		world_run(w, 800);
 		for (i = 0; i < silent_rows[row].silent; i++)
 			for (k = 0; k < WORLD_VMS; k++)
@@ -108,8 +109,8 @@
 }
 
 /*
- * Guards against a wave that takes machines in a burst, because an owner that
- * has just taken over has not looked at the pools yet.
+ * Guards against a wave that takes several machines at once because a new owner
+ * hasn't computed the load of the pools yet.
  */
 Test(upkeep, successor_looks_at_the_pools_first)
 {
@@ -118,7 +119,7 @@
 
 	for (row = 0; row < 4; row++) {
 		w = calm(1540 + row);
-		world_submit(w, other(w), JOB_A, &heap);
+		world_submit(w, other(w), JOB_A, &backlog);
 		world_run(w, 300);
 		world_kill_vm(w, owner(w));
 		world_start_wave(w, 6, 3);
@@ -126,8 +127,8 @@
 			world_run(w, 10);
 		world_run(w, 2000);
 		cr_expect_eq(world_maintained_count(w), 0,
-			     "row %u: %u taken in a burst", row,
+			     "row %u: %u taken at once", row,
 			     world_maintained_count(w));
-		check_free(w, "looks at the pools first");
+		check_free(w, "pools are read first");
 	}
 }
