--- a/tests/prop-sched.cc
+++ b/tests/prop-sched.cc
@@ -63,8 +63,8 @@
 using operations = std::vector<operation>;
 
 static const world_job quick = {3, 0, 300, 0, false, 0, 0};
-static const world_job chain = {3, 2, 400, 1, false, 0, 0};
-static const world_job lasting = {3, 0, 0, 0, true, 1, 1};
+static const world_job two_steps = {3, 2, 400, 1, false, 0, 0};
+static const world_job long_lived = {3, 0, 0, 0, true, 1, 1};
 
 struct submitted_job {
 	char id[17];
@@ -147,10 +147,10 @@
 		submit(p, vm, &quick);
 		break;
 	case OP_CHAIN:
-		submit(p, vm, &chain);
+		submit(p, vm, &two_steps);
 		break;
 	case OP_LASTING:
-		submit(p, vm, &lasting);
+		submit(p, vm, &long_lived);
 		break;
 	case OP_RETRY:
 		if (p.jobs.empty())
@@ -279,10 +279,10 @@
 		if (!job_is_accepted(p, h))
 			continue;
 		if (state != "completed" && state != "failed" && !h.cancel &&
-		    h.job != &lasting)
+		    h.job != &long_lived)
 			return "accepted and not completed: " +
 			       std::string(h.id) + " " + state;
-		if (state != "running" && h.job == &lasting && !h.cancel)
+		if (state != "running" && h.job == &long_lived && !h.cancel)
 			return "long-running and not running: " +
 			       std::string(h.id) + " " + state;
 	}
--- a/tests/support-world.c
+++ b/tests/support-world.c
@@ -485,7 +485,7 @@
 
 /*
  * Makes a caller's request; returns its number. A VM that isn't running or
- * stands still doesn't get it.
+ * is suspended doesn't get it.
  */
 static uint64_t call_make(struct world *w, unsigned vm, enum call_verb verb,
 			  const char *id, struct job_body *body)
--- a/tests/test-load.c
+++ b/tests/test-load.c
@@ -25,8 +25,8 @@
 }
 
 /*
- * Guards against a burst that waits after a takeover until every worker has
- * answered or its leases have expired, although standby machines are free.
+ * Guards against a burst that waits after a takeover until each worker has had
+ * time to answer, although standby machines are free.
  */
 static const struct {
 	const char *name;
--- a/tests/test-sched.c
+++ b/tests/test-sched.c
@@ -53,9 +53,11 @@
 }
 
 /*
- * Another pool can borrow a machine only if its worker is empty, so tasks must
- * not be spread over all workers. Long-running tasks of several jobs share as
- * few workers as their steps allow, and short ones go beside them.
+ * Callers of a queue with a backlog wait for machines that another pool could
+ * lend, if each of them didn't run a task or two: only empty ones can be moved.
+ * So long-running tasks of several jobs must share as few workers as their
+ * steps allow, and short ones must go beside them, so that the others stay
+ * empty.
  */
 Test(sched, idle_workers_stay_empty)
 {
@@ -304,7 +306,7 @@
 					       .max_per_worker = 1,
 					       .more_tasks = 1,
 					       .task_ms = 150};
-	static const unsigned crowds[] = {0, 30, 90, 150};
+	static const unsigned job_counts[] = {0, 30, 90, 150};
 	char id[JOB_ID_BYTES + 1];
 	struct world *w;
 	unsigned i, n, row;
@@ -317,7 +319,7 @@
 		world_run(w, 10);
 		world_submit(w, (n + 1) % 4, JOB_A, &steps);
 		world_run(w, 10);
-		for (i = 0; i < crowds[row % 4]; i++) {
+		for (i = 0; i < job_counts[row % 4]; i++) {
 			snprintf(id, sizeof(id), "%x%015x", i % 16, i);
 			world_submit(w, (n + 1 + i % 3) % 4, id, &steps);
 		}
@@ -330,8 +332,8 @@
 			world_call(w, (n + 1 + i % 3) % 4, VERB_CANCEL, id);
 		}
 		world_run(w, 8000);
-		cr_expect_null(world_violation(w), "row %u, crowd %u: %s", row,
-			       crowds[row % 4], world_violation(w));
+		cr_expect_null(world_violation(w), "row %u, %u jobs: %s", row,
+			       job_counts[row % 4], world_violation(w));
 		world_free(w);
 	}
 }
--- a/tests/test-upkeep.c
+++ b/tests/test-upkeep.c
@@ -109,8 +109,8 @@
 }
 
 /*
- * Guards against a wave that takes several machines at once because a new owner
- * hasn't computed the load of the pools yet.
+ * Guards against a wave that takes machines of a busy pool during a burst of
+ * load, because a new owner hasn't determined the load of the pools yet.
  */
 Test(upkeep, successor_looks_at_the_pools_first)
 {
@@ -127,7 +127,7 @@
 			world_run(w, 10);
 		world_run(w, 2000);
 		cr_expect_eq(world_maintained_count(w), 0,
-			     "row %u: %u taken at once", row,
+			     "row %u: %u taken during the burst", row,
 			     world_maintained_count(w));
 		check_free(w, "pools are read first");
 	}
--- a/tests/test-waiting.c
+++ b/tests/test-waiting.c
@@ -78,7 +78,7 @@
  */
 static void check_recovered(struct world *w, const char *row)
 {
-	unsigned told, refused, i, done = 0;
+	unsigned reported, refused, i, done = 0;
 
 	world_refuse_starts(w, REFUSAL_NONE);
 	world_set_lost_starts(w, 0);
@@ -93,13 +93,13 @@
 		world_start_vm(w, i);
 	}
 	world_run(w, 6000);
-	told = world_counts_answered(w);
+	reported = world_counts_answered(w);
 	refused = world_counts_refused(w);
 	world_run(w, 1000);
 	cr_expect_eq(world_counts_refused(w), refused,
 		     "%s: refused after the faults", row);
 	cr_expect_geq(world_counts_answered(w),
-		      told + VMS * (1000 / ASK_MS - 1),
+		      reported + VMS * (1000 / ASK_MS - 1),
 		      "%s: not reported after the faults", row);
 	world_set_limit(w, 0);
 	world_call(w, 0, VERB_CANCEL, FILLER);
@@ -199,7 +199,7 @@
 		 true},
 	};
 	struct world *w;
-	unsigned i, vm, lost, suspended, told;
+	unsigned i, vm, lost, suspended, reported;
 
 	for (i = 0; i < NELEMS(rows); i++) {
 		w = calm(720 + i, rows[i].fill);
@@ -220,11 +220,11 @@
 							 vm == suspended));
 		/* The published count is valid for 2 s, with 1 s of margin. */
 		world_run(w, 3000);
-		told = world_counts_answered(w);
+		reported = world_counts_answered(w);
 		world_run(w, 7000);
 		if (rows[i].all != WORLD_STORE_LOSES_ANSWERS &&
 		    !rows[i].suspends)
-			cr_expect_eq(world_counts_answered(w), told,
+			cr_expect_eq(world_counts_answered(w), reported,
 				     "%s: reported for too long", rows[i].name);
 		check_recovered(w, rows[i].name);
 	}
