--- a/tests/prop-sched.cc
+++ b/tests/prop-sched.cc
@@ -79,6 +79,7 @@
 	bool wave_started;
 };
 
+/* Formats a sequence as the text that replay() takes. */
 static std::string operations_format(uint64_t seed, const operations &v)
 {
 	std::ostringstream o;
@@ -119,6 +120,7 @@
 	}
 }
 
+/* Submits a new job, up to 24 in a simulation. */
 static void submit(simulation &p, unsigned vm, const world_job *job)
 {
 	submitted_job h = {{0}, job, {}, 0};
@@ -135,6 +137,7 @@
 static const refusal refusals[] = {REFUSAL_NONE, REFUSAL_UNHEALTHY,
 				   REFUSAL_CAPACITY, REFUSAL_BUSY};
 
+/* Applies an operation, whose numbers choose its target and extent. */
 static void operation_apply(simulation &p, const operation &s)
 {
 	unsigned vm = s.a % 4, worker = s.b % WORLD_WORKERS, i;
@@ -291,6 +294,10 @@
 	return "";
 }
 
+/*
+ * Runs a sequence, ends the faults and checks the result; returns what failed,
+ * or "".
+ */
 static std::string run(uint64_t seed, const operations &v)
 {
 	simulation p = {world_new(seed, 4, WORLD_WORKERS), {}, false};
@@ -355,6 +362,7 @@
 	 true},
 };
 
+/* Generates operations: work, and faults of the mix. */
 static rc::Gen<operation> random_operation(const fault_mix &m)
 {
 	std::vector<op> all = {OP_RUN,	 OP_RUN,   OP_RUN,     OP_RUN,
--- a/tests/test-limit.c
+++ b/tests/test-limit.c
@@ -22,11 +22,12 @@
  * An outage of the platform that starts right after a race for the team's row.
  */
 struct outage {
-	unsigned armed_after; /* writes of the row; 0: never */
+	unsigned armed_after; /* this many writes of the row; 0: never */
 	unsigned writes;
 	int64_t from; /* simulated time; 0: no outage */
 };
 
+/* Returns true if a commit writes a team's row. */
 static bool writes_allowance(const effect *fx)
 {
 	const fx_commit *c = &fx->effect_u.commit;
@@ -40,6 +41,7 @@
 	return false;
 }
 
+/* Starts the outage at a given write, and drops all requests from then on. */
 static enum sim_fault fault_inject(struct sim *s, const effect *fx)
 {
 	struct outage *o = s->arg;
--- a/tests/test-sched.c
+++ b/tests/test-sched.c
@@ -592,7 +592,7 @@
 static const struct {
 	const char *name;
 	bool old_connections;
-	int64_t silent_ms; /* of the worker that got the starts */
+	int64_t silent_ms; /* while the worker with the starts is cut off */
 	int64_t after_ms;
 	const char *state;
 } silent_start_rows[] = {
--- a/tests/test-takeover.c
+++ b/tests/test-takeover.c
@@ -50,8 +50,7 @@
 	const char *name;
 	enum table slow; /* its pages are late at the takeover */
 	int64_t slow_ms;
-	int64_t next_ms; /* the successor dies this long after the takeover; 0:
-			    it doesn't */
+	int64_t next_ms; /* until the successor dies; 0: it doesn't */
 } ceiling_rows[] = {
 	{"progress is read late", TABLE_PROGRESS, 650, 0},
 	{"jobs are read late", TABLE_JOBS, 650, 0},
@@ -581,12 +580,10 @@
  */
 static const struct {
 	const char *name;
-	unsigned replaced; /* workers whose processes ended under the old owner
-			    */
+	unsigned replaced; /* workers that restarted under the old owner */
 	bool late;	   /* one worker is listed only after the takeover */
-	bool silent; /* a recorded worker can't be reached: the successor waits
-		      */
-	bool leaves; /* it was empty and about to be moved: no wait */
+	bool silent;	   /* a recorded worker is silent: a wait */
+	bool leaves;	   /* it was empty and about to be moved: no wait */
 } settle_rows[] = {
 	{"all answer", 0, false, false, false},
 	{"processes that were replaced", 4, false, false, false},
--- a/tests/test-wave.c
+++ b/tests/test-wave.c
@@ -88,6 +88,7 @@
 	xdr_free(XDR_PROC(xdr_vm_row), (char *)&row);
 }
 
+/* Returns true if a request is one that the watch's fault applies to. */
 static bool request_matches(const effect *fx)
 {
 	const fx_commit *c = &fx->effect_u.commit;
@@ -102,6 +103,7 @@
 		       strlen(watch.key));
 }
 
+/* Returns the watch's fault for a range of the matching requests. */
 static enum sim_fault fault_inject(struct sim *s, const effect *fx)
 {
 	(void)s;
@@ -146,6 +148,7 @@
 	return n;
 }
 
+/* Returns true if the stored row of a wave has the state. */
 static bool wave_is(struct sim *s, const char *wave, wave_state state)
 {
 	char key[32];
@@ -165,6 +168,7 @@
 	return wave_is(s, "w", WAVE_FINISHED);
 }
 
+/* Returns the number of reboots of a pool's VMs. */
 static unsigned reboots(const struct sim *s, const char *pool)
 {
 	unsigned n = 0, i;
@@ -175,6 +179,7 @@
 	return n;
 }
 
+/* Returns the number of VMs that are up and active. */
 static unsigned active_count(const struct sim *s)
 {
 	unsigned n = 0, i;
