--- a/log.c
+++ b/log.c
@@ -15,31 +15,34 @@
 const size_t log_entry_count = NELEMS(log_entries);
 
 /*
- * Lines wait in memory for a reader that is slow, up to this; then they are
- * dropped and counted, debugging detail from half of it on.
+ * Size of the buffer that holds lines for a slow reader.  When it is full,
+ * lines are dropped and counted; debug lines are dropped when it is half full.
+ */
+#define LOG_BUFFER_SIZE (128 * 1024)
+/*
+ * PIPE_BUF: a pipe accepts a write of up to this size whole or not at all, and
+ * does not block while poll reports it as writable.
  */
-#define LOG_WAITING_MAX (128 * 1024)
-/* A pipe takes a write of so much whole or not at all, without blocking. */
 #define LOG_WRITE_MAX 4096
-/* A line has fewer bytes; a longer text is cut. */
+/* Buffer size of a line; a longer text is truncated. */
 #define LOG_LINE_MAX 1024
 
 static const char *log_program = "bamboofront";
-static enum log_level log_most = LEVEL_INFO;
+static enum log_level log_max_level = LEVEL_INFO;
 
-/* The structured log, if there is one. */
+/* State of the structured log, after log_open_structured. */
 static struct {
 	pthread_mutex_t lock;
 	int fd;
-	bool on;
+	bool enabled;
 	char vm[64];
-	char *waiting;
+	char *buffer;
 	size_t start;
 	size_t end;
 	uint64_t dropped;
 } log_stream = {.lock = PTHREAD_MUTEX_INITIALIZER, .fd = -1};
 
-/* Find the entry of a number; NULL if the catalogue has none. */
+/* Returns the entry of an event number, or NULL if there is none. */
 static const struct log_entry *log_find(uint32_t number)
 {
 	size_t i;
@@ -50,14 +53,14 @@
 	return NULL;
 }
 
-/* Name the program and say up to which level lines are written. */
-void log_open(const char *program, enum log_level most)
+/* Sets the program's name and the least severe level that is written. */
+void log_open(const char *program, enum log_level max_level)
 {
 	log_program = program;
-	log_most = most;
+	log_max_level = max_level;
 }
 
-/* The word for a level. */
+/* Returns the name of a level. */
 static const char *level_word(enum log_level level)
 {
 	static const char *const words[] = {
@@ -69,8 +72,11 @@
 	return words[level];
 }
 
-/* Bytes from outside must not be able to forge a line or a field's end. */
-static void line_clean(char *p, const char *end)
+/*
+ * Replaces control characters with '?', so that input from outside cannot forge
+ * a line or the end of a field.
+ */
+static void line_sanitize(char *p, const char *end)
 {
 	for (; p < end; p++)
 		if ((unsigned char)*p < 0x20 || *p == 0x7f)
@@ -78,8 +84,8 @@
 }
 
 /*
- * Put the text behind the n bytes of a line's head, cut to what fits, and
- * end the line; how long it is then.
+ * Appends the text to the n bytes of a line's prefix, truncated to what fits,
+ * and a newline.  Returns the length of the line.
  */
 static size_t line_finish(char line[LOG_LINE_MAX], int n, const char *fmt,
 			  va_list ap)
@@ -90,48 +96,51 @@
 		m = 0;
 	if (m > LOG_LINE_MAX - 2 - n)
 		m = LOG_LINE_MAX - 2 - n;
-	line_clean(line, line + n + m);
+	line_sanitize(line, line + n + m);
 	line[n + m] = '\n';
 	return (size_t)(n + m + 1);
 }
 
 /*
- * Write structured lines to a descriptor from now on: key=value in a fixed
- * order, collected in memory and written by log_flush, which never blocks.
+ * Switches to structured lines: key=value pairs in a fixed order, buffered in
+ * memory until log_flush writes them to fd without blocking.
  */
 void log_open_structured(int fd, int vm_len, const char *vm)
 {
 	pthread_mutex_lock(&log_stream.lock);
 	log_stream.fd = fd;
-	log_stream.on = true;
+	log_stream.enabled = true;
 	snprintf(log_stream.vm, sizeof(log_stream.vm), "%.*s", vm_len, vm);
-	if (!log_stream.waiting)
-		log_stream.waiting = xmalloc(LOG_WAITING_MAX);
+	if (!log_stream.buffer)
+		log_stream.buffer = xmalloc(LOG_BUFFER_SIZE);
 	pthread_mutex_unlock(&log_stream.lock);
 }
 
-/* Put a whole line among those that wait; the lock is held. */
-static void stream_put(const char *line, size_t n, enum log_level level)
+/*
+ * Appends a line to the buffer, or drops and counts it.  The caller holds the
+ * lock.
+ */
+static void stream_append(const char *line, size_t n, enum log_level level)
 {
 	size_t used = log_stream.end - log_stream.start;
-	size_t most = level == LEVEL_DEBUG ? LOG_WAITING_MAX / 2
-					   : LOG_WAITING_MAX;
+	size_t limit = level == LEVEL_DEBUG ? LOG_BUFFER_SIZE / 2
+					    : LOG_BUFFER_SIZE;
 
-	if (used + n > most) {
+	if (used + n > limit) {
 		log_stream.dropped++;
 		return;
 	}
-	if (log_stream.end + n > LOG_WAITING_MAX) {
-		memmove(log_stream.waiting,
-			log_stream.waiting + log_stream.start, used);
+	if (log_stream.end + n > LOG_BUFFER_SIZE) {
+		memmove(log_stream.buffer, log_stream.buffer + log_stream.start,
+			used);
 		log_stream.start = 0;
 		log_stream.end = used;
 	}
-	memcpy(log_stream.waiting + log_stream.end, line, n);
+	memcpy(log_stream.buffer + log_stream.end, line, n);
 	log_stream.end += n;
 }
 
-/* Make a structured line and let it wait. */
+/* Formats a structured line and appends it to the buffer. */
 static void stream_write(const struct log_entry *entry, const char *fmt,
 			 va_list ap)
 {
@@ -146,15 +155,15 @@
 		     (long long)wall, (long long)clock_now(), log_stream.vm);
 	len = line_finish(line, n, fmt, ap);
 	pthread_mutex_lock(&log_stream.lock);
-	stream_put(line, len, entry->level);
+	stream_append(line, len, entry->level);
 	pthread_mutex_unlock(&log_stream.lock);
 }
 
-/* How much of what waits to write at once: whole lines. */
+/* Returns the number of buffered bytes to write at once, always whole lines. */
 static size_t stream_chunk(void)
 {
 	size_t n = log_stream.end - log_stream.start;
-	const char *p = log_stream.waiting + log_stream.start;
+	const char *p = log_stream.buffer + log_stream.start;
 
 	if (n <= LOG_WRITE_MAX)
 		return n;
@@ -163,27 +172,27 @@
 	return n;
 }
 
-/* Say how many lines were lost, once there is room again. */
-static void stream_tell_dropped(void)
+/* Logs how many lines were dropped, once the buffer has room again. */
+static void stream_report_dropped(void)
 {
 	char line[128];
 	int n;
 
 	if (!log_stream.dropped ||
-	    log_stream.end - log_stream.start > LOG_WAITING_MAX / 2)
+	    log_stream.end - log_stream.start > LOG_BUFFER_SIZE / 2)
 		return;
 	n = snprintf(line, sizeof(line),
 		     "ev=%d name=OVERRUN level=warning vm=%s dropped=%llu\n",
 		     LOG_OVERRUN, log_stream.vm,
 		     (unsigned long long)log_stream.dropped);
 	log_stream.dropped = 0;
-	stream_put(line, (size_t)n, LEVEL_WARNING);
+	stream_append(line, (size_t)n, LEVEL_WARNING);
 }
 
 /*
- * Write what waits, as far as the reader takes it at once.  A reader that
- * has stopped would block a plain write for good; what a pipe reports as
- * writable takes 4 KB, so no more than that is written for each report.
+ * Writes buffered lines as long as the reader accepts them.  A plain write
+ * would block forever if the reader has stopped.  A pipe that poll reports as
+ * writable accepts 4 KB, so at most that much is written after each poll.
  */
 void log_flush(void)
 {
@@ -192,24 +201,24 @@
 
 	pthread_mutex_lock(&log_stream.lock);
 	p.fd = log_stream.fd;
-	while (log_stream.on && log_stream.end > log_stream.start &&
+	while (log_stream.enabled && log_stream.end > log_stream.start &&
 	       poll(&p, 1, 0) > 0 && (p.revents & POLLOUT)) {
-		n = write(log_stream.fd, log_stream.waiting + log_stream.start,
+		n = write(log_stream.fd, log_stream.buffer + log_stream.start,
 			  stream_chunk());
 		if (n <= 0)
-			break; /* the reader is gone: lines wait and are lost */
+			break; /* the reader has gone; keep the lines for now */
 		log_stream.start += (size_t)n;
 		if (log_stream.start == log_stream.end)
 			log_stream.start = log_stream.end = 0;
 	}
-	stream_tell_dropped();
+	stream_report_dropped();
 	pthread_mutex_unlock(&log_stream.lock);
 }
 
 /*
- * Write one line in one write(2), so that lines of threads and processes
- * that share a standard error don't mix.  Control characters from outside
- * become '?': a caller must not be able to forge a line.
+ * Writes a line with one write(2), so that lines of threads and processes that
+ * share stderr are not interleaved.  Control characters become '?', so that a
+ * caller cannot forge a line.
  */
 static void log_write(const struct log_entry *entry, const char *fmt,
 		      va_list ap)
@@ -220,7 +229,7 @@
 	size_t len;
 	int n;
 
-	if (log_stream.on) {
+	if (log_stream.enabled) {
 		stream_write(entry, fmt, ap);
 		return;
 	}
@@ -233,28 +242,28 @@
 		     entry->number, entry->name);
 	len = line_finish(line, n, fmt, ap);
 	if (write(STDERR_FILENO, line, len) < 0)
-		return; /* nobody reads standard error: nothing to be done */
+		return; /* nobody reads stderr; the error cannot be reported */
 }
 
-/* Write a numbered event. */
+/* Logs an event by its number; an unknown number is ignored. */
 void log_event(uint32_t number, const char *fmt, ...)
 {
 	const struct log_entry *entry = log_find(number);
 	va_list ap;
 
-	if (!entry || entry->level > log_most)
+	if (!entry || entry->level > log_max_level)
 		return;
 	va_start(ap, fmt);
 	log_write(entry, fmt, ap);
 	va_end(ap);
 }
 
-/* Write a debugging line, event 1000. */
+/* Logs a debug line, as event 1000. */
 void log_debug(const char *fmt, ...)
 {
 	va_list ap;
 
-	if (log_most < LEVEL_DEBUG)
+	if (log_max_level < LEVEL_DEBUG)
 		return;
 	va_start(ap, fmt);
 	log_write(&log_entries[0], fmt, ap);
--- a/record.c
+++ b/record.c
@@ -10,22 +10,23 @@
 #include <string.h>
 
 /*
- * A file begins with this line; records follow, each with its length as
- * four bytes before it.  The first is the header, JSON; the others are XDR
- * steps.  A length of zero says that the daemon stopped recording.
+ * A recording starts with this line.  Records follow, each preceded by its
+ * length in four bytes, in network byte order.  The first record is the header,
+ * in JSON; the others are steps, in XDR.  A length of zero means that the
+ * daemon stopped recording.
  */
 #define RECORD_MAGIC "bamboofront recording 1\n"
-#define RECORD_QUEUE 8192
+#define RECORD_QUEUE_LENGTH 8192
 #define RECORD_QUEUE_BYTES (64u << 20)
 #define RECORD_MAX_BYTES (256u << 20)
 
 struct recorder {
 	FILE *file;
 	pthread_t thread;
-	struct mailbox *queue; /* of bstr *, NULL bytes: the end */
-	uint64_t queued;       /* bytes that wait to be written */
-	int failed;	       /* the writer can't write any more */
-	bool cut;	       /* this thread stopped recording */
+	struct mailbox *queue; /* of bstr *; an empty one ends it */
+	uint64_t queued;       /* bytes in the queue */
+	int failed;	       /* a write has failed */
+	bool stopped;	       /* recorder_step has stopped recording */
 };
 
 struct recording {
@@ -35,7 +36,7 @@
 	char *peer_address;
 };
 
-/* Write one record. */
+/* Writes a record; an empty one has only a length of zero. */
 static bool record_write(FILE *f, bstr bytes)
 {
 	uint32_t len = htonl(bytes.bstr_len);
@@ -45,7 +46,7 @@
 		fwrite(bytes.bstr_val, bytes.bstr_len, 1, f) == 1);
 }
 
-/* Write what is queued until the end marker, an empty record, comes. */
+/* Thread of the writer: writes queued records until it takes an empty one. */
 static void *recorder_run(void *arg)
 {
 	struct recorder *r = arg;
@@ -69,8 +70,8 @@
 	return NULL;
 }
 
-/* The header: everything that a fresh reducer is made from. */
-static bstr record_header(const struct settings *s, uint64_t seed,
+/* Returns the header record, with all parameters of state_new. */
+static bstr header_encode(const struct settings *s, uint64_t seed,
 			  const char *peer_address)
 {
 	json_t *j = json_object();
@@ -89,12 +90,15 @@
 	return b;
 }
 
-/* Begin a recording; NULL and a finding if the file can't be written. */
+/*
+ * Starts a recording.  Returns NULL and adds a finding if the file exists or
+ * can't be written.
+ */
 struct recorder *recorder_open(const char *path, const struct settings *s,
 			       uint64_t seed, const char *peer_address,
 			       struct error *e)
 {
-	bstr header = record_header(s, seed, peer_address);
+	bstr header = header_encode(s, seed, peer_address);
 	struct recorder *r = xcalloc(1, sizeof(*r));
 
 	r->file = fopen(path, "wxe");
@@ -109,14 +113,17 @@
 	bstr_free(&header);
 	if (!r)
 		return NULL;
-	r->queue = mailbox_new(RECORD_QUEUE);
+	r->queue = mailbox_new(RECORD_QUEUE_LENGTH);
 	if (pthread_create(&r->thread, NULL, recorder_run, r))
 		abort();
 	return r;
 }
 
-/* Hand bytes to the writer, which frees them; false: it is behind. */
-static bool recorder_put(struct recorder *r, bstr bytes)
+/*
+ * Queues bytes for the writer, which frees them.  Returns false if the queue is
+ * full.
+ */
+static bool recorder_enqueue(struct recorder *r, bstr bytes)
 {
 	bstr *b = xmalloc(sizeof(*b));
 
@@ -130,9 +137,10 @@
 }
 
 /*
- * Record one step.  A writer that falls behind (a slow disk) must not hold
- * up answers, and a recording with a hole can't be replayed; so the
- * recording is cut here, and what is written stays a whole beginning.
+ * Records a step.  If the writer falls behind, because the disk is slow, the
+ * recording stops here: waiting for the writer would delay answers, and a
+ * recording with a gap could not be replayed.  What has been written is a
+ * complete prefix.
  */
 void recorder_step(struct recorder *r, const event *ev,
 		   const struct effects *fx)
@@ -140,40 +148,45 @@
 	step st = {.event = *ev, .effects = {(u_int)fx->count, fx->list}};
 	bstr bytes;
 
-	if (r->cut)
+	if (r->stopped)
 		return;
 	bytes = xdr_encode(XDR_PROC(xdr_step), &st);
 	if (bytes.bstr_len && !ck_pr_load_int(&r->failed) &&
 	    ck_pr_load_64(&r->queued) < RECORD_QUEUE_BYTES &&
-	    recorder_put(r, bytes))
+	    recorder_enqueue(r, bytes))
 		return;
 	bstr_free(&bytes);
-	r->cut = true;
-	log_event(LOG_OVERRUN, "the recording ends here: its writer is behind "
-			       "or can't write");
+	r->stopped = true;
+	log_event(LOG_OVERRUN, "recording stopped: its writer is too slow or "
+			       "cannot write");
 }
 
-/* End a recording; false if it was cut or could not be written. */
+/*
+ * Ends a recording.  Returns false if it stopped early or could not be written.
+ */
 bool recorder_close(struct recorder *r)
 {
-	bool whole;
+	bool complete;
 
 	if (!r)
 		return true;
-	while (!recorder_put(r, BSTR_NONE))
-		sched_yield(); /* full: the writer is emptying it */
+	while (!recorder_enqueue(r, BSTR_NONE))
+		sched_yield(); /* full; the writer is emptying it */
 	pthread_join(r->thread, NULL);
-	if (r->cut && !r->failed && !record_write(r->file, BSTR_NONE))
+	if (r->stopped && !r->failed && !record_write(r->file, BSTR_NONE))
 		r->failed = 1;
 	if (fclose(r->file))
 		r->failed = 1;
-	whole = !r->cut && !r->failed;
+	complete = !r->stopped && !r->failed;
 	mailbox_free(r->queue);
 	free(r);
-	return whole;
+	return complete;
 }
 
-/* Read one record's bytes. */
+/*
+ * Reads the bytes of a record, which may also be the header.  Returns
+ * RECORD_STEP on success.
+ */
 static enum record_result record_read(FILE *f, bstr *bytes)
 {
 	uint32_t len;
@@ -198,7 +211,7 @@
 	return RECORD_TRUNCATED;
 }
 
-/* Read the header record. */
+/* Reads the header record into r. */
 static bool header_read(struct recording *r, struct error *e)
 {
 	json_t *j, *settings;
@@ -224,7 +237,7 @@
 	return ok;
 }
 
-/* Open a recording; NULL and findings if it is none. */
+/* Opens a recording.  Returns NULL and adds findings if the file is not one. */
 struct recording *recording_open(const char *path, struct error *e)
 {
 	char magic[sizeof(RECORD_MAGIC)] = "";
@@ -260,7 +273,7 @@
 	return r->peer_address;
 }
 
-/* Read the next step; only after RECORD_STEP does st hold anything. */
+/* Reads the next step; sets st only if the result is RECORD_STEP. */
 enum record_result recording_next(struct recording *r, step *st)
 {
 	enum record_result result;
@@ -275,7 +288,7 @@
 	return result;
 }
 
-/* Close a recording. */
+/* Closes a recording; NULL is allowed. */
 void recording_close(struct recording *r)
 {
 	if (!r)
@@ -286,7 +299,7 @@
 	free(r);
 }
 
-/* Compare two lists of effects. */
+/* Returns the index of the first effect that differs, or -1 if none does. */
 ssize_t effects_mismatch(const effect *a, size_t a_count, const effect *b,
 			 size_t b_count)
 {
@@ -299,8 +312,9 @@
 }
 
 /*
- * Printing: an XDR stream that writes text.  The schema's own functions walk
- * the value, so nothing is left out and nothing has to be kept in step.
+ * Values are printed with an XDR stream that writes text.  The generated codecs
+ * walk the value, so no field is left out and no printing code has to follow
+ * changes of the schema.
  */
 static bool_t print_long(XDR *x, const long *value)
 {
@@ -308,7 +322,9 @@
 	return TRUE;
 }
 
-/* Print bytes as a quoted string; padding, which is zeroes, is left out. */
+/*
+ * Prints bytes as a quoted string; omits XDR padding, up to three zero bytes.
+ */
 static bool_t print_bytes(XDR *x, const char *bytes, u_int len)
 {
 	static const char zeroes[BYTES_PER_XDR_UNIT];
@@ -330,7 +346,7 @@
 	return TRUE;
 }
 
-/* This stream has no buffer to write into. */
+/* Tells the codecs that the stream has no buffer for direct access. */
 static int32_t *print_inline(XDR *x, u_int len)
 {
 	(void)x;
@@ -338,7 +354,7 @@
 	return NULL;
 }
 
-/* Print a value; numbers of 64 bits come as two halves. */
+/* Prints a value as text; a 64-bit number appears as two 32-bit halves. */
 void xdr_print(FILE *f, xdrproc_t proc, const void *value)
 {
 	static const struct xdr_ops ops = {.x_putlong = print_long,
@@ -349,7 +365,7 @@
 	proc(&x, (void *)value);
 }
 
-/* The name of an event's kind. */
+/* Returns the name of an event kind. */
 const char *event_name(event_kind kind)
 {
 	static const char *const names[] = {
@@ -367,7 +383,7 @@
 	return (size_t)kind < NELEMS(names) ? names[kind] : "EV_?";
 }
 
-/* The name of an effect's kind. */
+/* Returns the name of an effect kind. */
 const char *effect_name(effect_kind kind)
 {
 	static const char *const names[] = {
--- a/settings.c
+++ b/settings.c
@@ -10,79 +10,86 @@
 #define SETTINGS_MAX_BYTES 1048576
 #define SETTINGS_NAME_MAX 63
 
-#define AT(field) offsetof(struct settings, field)
-#define MUST(path, type, field)                                 \
-	{                                                       \
-		path, type, true, false, "", 0, 0, 0, AT(field) \
+#define OFFSET(field) offsetof(struct settings, field)
+#define REQUIRED(path, type, field)                                 \
+	{                                                           \
+		path, type, true, false, "", 0, 0, 0, OFFSET(field) \
 	}
-#define MAY(path, type, field)                                   \
-	{                                                        \
-		path, type, false, false, "", 0, 0, 0, AT(field) \
+#define OPTIONAL(path, type, field)                                  \
+	{                                                            \
+		path, type, false, false, "", 0, 0, 0, OFFSET(field) \
 	}
-#define SECRET(path, type, required, field)                        \
-	{                                                          \
-		path, type, required, true, "", 0, 0, 0, AT(field) \
+#define SECRET(path, type, required, field)                            \
+	{                                                              \
+		path, type, required, true, "", 0, 0, 0, OFFSET(field) \
 	}
-#define COUNT(path, field, unit, initial, min, max)                       \
-	{                                                                 \
-		path, SETTING_U32, false, false, unit, initial, min, max, \
-			AT(field)                                         \
+#define NUMBER(path, field, unit, default_value, min, max)                 \
+	{                                                                  \
+		path, SETTING_U32, false, false, unit, default_value, min, \
+			max, OFFSET(field)                                 \
 	}
-#define SPAN(path, field, initial, min, max) \
-	COUNT(path, field, "ms", initial, min, max)
+#define DURATION_MS(path, field, default_value, min, max) \
+	NUMBER(path, field, "ms", default_value, min, max)
 
 const struct setting settings_table[] = {
-	MUST("vm", SETTING_NAME, vm),
-	MUST("dc", SETTING_NAME, dc),
-	MUST("callers.listen", SETTING_ADDRESS, callers.listen),
-	MAY("callers.tls_cert", SETTING_FILE, callers.tls_cert),
-	MAY("callers.tls_key", SETTING_FILE, callers.tls_key),
-	COUNT("callers.threads", callers.threads, "threads", 4, 1, 64),
-	COUNT("callers.max_connections", callers.max_connections, "connections",
-	      1024, 1, 65536),
-	COUNT("callers.max_body", callers.max_body, "bytes", 262144, 1024,
-	      1048576),
-	SPAN("callers.max_wait_ms", callers.max_wait_ms, 60000, 100, 600000),
-	MUST("operators.listen", SETTING_ADDRESS, operators.listen),
+	REQUIRED("vm", SETTING_NAME, vm),
+	REQUIRED("dc", SETTING_NAME, dc),
+	REQUIRED("callers.listen", SETTING_ADDRESS, callers.listen),
+	OPTIONAL("callers.tls_cert", SETTING_FILE, callers.tls_cert),
+	OPTIONAL("callers.tls_key", SETTING_FILE, callers.tls_key),
+	NUMBER("callers.threads", callers.threads, "threads", 4, 1, 64),
+	NUMBER("callers.max_connections", callers.max_connections,
+	       "connections", 1024, 1, 65536),
+	NUMBER("callers.max_body", callers.max_body, "bytes", 262144, 1024,
+	       1048576),
+	DURATION_MS("callers.max_wait_ms", callers.max_wait_ms, 60000, 100,
+		    600000),
+	REQUIRED("operators.listen", SETTING_ADDRESS, operators.listen),
 	SECRET("operators.keys", SETTING_KEYS, true, operators.keys),
-	COUNT("operators.max_connections", operators.max_connections,
-	      "connections", 64, 1, 4096),
-	MUST("peers.listen", SETTING_ADDRESS, peers.listen),
+	NUMBER("operators.max_connections", operators.max_connections,
+	       "connections", 64, 1, 4096),
+	REQUIRED("peers.listen", SETTING_ADDRESS, peers.listen),
 	SECRET("peers.key", SETTING_KEY, true, peers.key),
-	COUNT("peers.max_connections", peers.max_connections, "connections",
-	      128, 1, 4096),
-	SPAN("peers.timeout_ms", peers.timeout_ms, 1000, 10, 60000),
-	MUST("platform.url", SETTING_URL, platform.url),
+	NUMBER("peers.max_connections", peers.max_connections, "connections",
+	       128, 1, 4096),
+	DURATION_MS("peers.timeout_ms", peers.timeout_ms, 1000, 10, 60000),
+	REQUIRED("platform.url", SETTING_URL, platform.url),
 	SECRET("platform.token", SETTING_TEXT, false, platform.token),
-	MAY("platform.tls_ca", SETTING_FILE, platform.tls_ca),
-	SPAN("platform.timeout_ms", platform.timeout_ms, 1000, 10, 60000),
-	COUNT("platform.max_in_flight", platform.max_in_flight, "requests", 32,
-	      1, 1024),
-	MAY("workers.tls_ca", SETTING_FILE, workers.tls_ca),
-	SPAN("workers.timeout_ms", workers.timeout_ms, 2000, 10, 60000),
-	SPAN("workers.watch_ms", workers.watch_ms, 5000, 100, 60000),
-	COUNT("workers.max_connections", workers.max_connections, "connections",
-	      4, 2, 64),
-	SPAN("timing.tick_ms", timing.tick_ms, 100, 1, 10000),
-	SPAN("timing.member_renew_ms", timing.member_renew_ms, 1500, 10, 60000),
-	SPAN("timing.member_lease_ms", timing.member_lease_ms, 4000, 50,
-	     300000),
-	SPAN("timing.ping_ms", timing.ping_ms, 500, 10, 60000),
-	SPAN("timing.fresh_ms", timing.fresh_ms, 3000, 50, 60000),
-	SPAN("timing.commit_window_ms", timing.commit_window_ms, 50, 0, 10000),
-	SPAN("timing.task_lease_ms", timing.task_lease_ms, 10000, 100, 600000),
-	SPAN("timing.config_poll_ms", timing.config_poll_ms, 1000, 10, 60000),
-	SPAN("timing.list_poll_ms", timing.list_poll_ms, 1000, 10, 60000),
-	SPAN("timing.stop_ms", timing.stop_ms, 10000, 100, 600000),
-	COUNT("limits.queue_per_cell", limits.queue_per_cell, "jobs", 10000, 1,
-	      1000000),
-	COUNT("limits.queue_per_team", limits.queue_per_team, "jobs", 5000, 1,
-	      1000000),
-	SPAN("limits.retention_ms", limits.retention_ms, 600000, 1000,
-	     86400000),
-	COUNT("limits.attempts", limits.attempts, "attempts", 3, 1, 100),
+	OPTIONAL("platform.tls_ca", SETTING_FILE, platform.tls_ca),
+	DURATION_MS("platform.timeout_ms", platform.timeout_ms, 1000, 10,
+		    60000),
+	NUMBER("platform.max_in_flight", platform.max_in_flight, "requests", 32,
+	       1, 1024),
+	OPTIONAL("workers.tls_ca", SETTING_FILE, workers.tls_ca),
+	DURATION_MS("workers.timeout_ms", workers.timeout_ms, 2000, 10, 60000),
+	DURATION_MS("workers.watch_ms", workers.watch_ms, 5000, 100, 60000),
+	NUMBER("workers.max_connections", workers.max_connections,
+	       "connections", 4, 2, 64),
+	DURATION_MS("timing.tick_ms", timing.tick_ms, 100, 1, 10000),
+	DURATION_MS("timing.member_renew_ms", timing.member_renew_ms, 1500, 10,
+		    60000),
+	DURATION_MS("timing.member_lease_ms", timing.member_lease_ms, 4000, 50,
+		    300000),
+	DURATION_MS("timing.ping_ms", timing.ping_ms, 500, 10, 60000),
+	DURATION_MS("timing.fresh_ms", timing.fresh_ms, 3000, 50, 60000),
+	DURATION_MS("timing.commit_window_ms", timing.commit_window_ms, 50, 0,
+		    10000),
+	DURATION_MS("timing.task_lease_ms", timing.task_lease_ms, 10000, 100,
+		    600000),
+	DURATION_MS("timing.config_poll_ms", timing.config_poll_ms, 1000, 10,
+		    60000),
+	DURATION_MS("timing.list_poll_ms", timing.list_poll_ms, 1000, 10,
+		    60000),
+	DURATION_MS("timing.stop_ms", timing.stop_ms, 10000, 100, 600000),
+	NUMBER("limits.queue_per_cell", limits.queue_per_cell, "jobs", 10000, 1,
+	       1000000),
+	NUMBER("limits.queue_per_team", limits.queue_per_team, "jobs", 5000, 1,
+	       1000000),
+	DURATION_MS("limits.retention_ms", limits.retention_ms, 600000, 1000,
+		    86400000),
+	NUMBER("limits.attempts", limits.attempts, "attempts", 3, 1, 100),
 	{"log_level", SETTING_LEVEL, false, false, "", LEVEL_INFO, LEVEL_ERR,
-	 LEVEL_DEBUG, AT(log_level)},
+	 LEVEL_DEBUG, OFFSET(log_level)},
 };
 const size_t settings_count = NELEMS(settings_table);
 
@@ -93,16 +100,16 @@
 };
 
 /*
- * Two settings that have to fit each other: a + extra < b.  Each line says
- * what goes wrong otherwise.
+ * Constraints between settings: smaller * factor + extra < larger.  Each has
+ * the consequence of violating it.
  */
-static const struct relation {
-	const char *a;
+static const struct constraint {
+	const char *smaller;
 	const char *extra; /* or NULL */
-	const char *b;
-	uint64_t factor; /* of a */
-	const char *why;
-} relations[] = {
+	const char *larger;
+	uint64_t factor; /* of smaller */
+	const char *consequence;
+} constraints[] = {
 	{"timing.member_renew_ms", NULL, "timing.member_lease_ms", 2,
 	 "one lost renewal would end the lease"},
 	{"timing.member_renew_ms", "platform.timeout_ms",
@@ -124,13 +131,13 @@
 	return level < NELEMS(level_names) ? level_names[level] : NULL;
 }
 
-/* Where a setting is kept. */
+/* Returns the member of s that holds a setting. */
 static void *setting_field(const struct setting *t, const struct settings *s)
 {
 	return (char *)s + t->offset;
 }
 
-/* Find a setting of the table. */
+/* Returns the setting with a path, or NULL if there is none. */
 static const struct setting *setting_find(const char *path)
 {
 	size_t i;
@@ -141,7 +148,7 @@
 	return NULL;
 }
 
-/* The number kept for a 32 bit setting. */
+/* Returns the value of a 32-bit setting. */
 static uint64_t setting_u32(const struct settings *s, const char *path)
 {
 	const struct setting *t = setting_find(path);
@@ -150,7 +157,7 @@
 	return *p;
 }
 
-/* Add a finding at a JSON path of a file. */
+/* Adds a finding for a JSON path in a file. */
 static void PRINTF_LIKE(4, 5)
 	setting_finding(struct error *e, const char *place, const char *path,
 			const char *fmt, ...)
@@ -168,7 +175,7 @@
 	free(where);
 }
 
-/* Read "ip:port" or "[ip]:port". */
+/* Parses "ip:port" or "[ip]:port".  On success the caller frees the host. */
 static bool address_parse(const char *text, struct address *a)
 {
 	const char *colon = strrchr(text, ':');
@@ -196,7 +203,7 @@
 	return false;
 }
 
-/* Read the operators' names and keys. */
+/* Reads the names and keys of the operators. */
 static void keys_read(const json_t *j, struct settings *s, const char *place,
 		      struct error *e)
 {
@@ -234,7 +241,7 @@
 	}
 }
 
-/* Read a whole number within the range of its setting. */
+/* Reads an integer; returns false unless it is in the range of its setting. */
 static bool number_read(const struct setting *t, const json_t *j,
 			struct settings *s)
 {
@@ -251,7 +258,7 @@
 	return true;
 }
 
-/* Read the name of a log level. */
+/* Parses the name of a log level. */
 static bool level_read(const char *text, enum log_level *level)
 {
 	size_t i;
@@ -264,7 +271,10 @@
 	return false;
 }
 
-/* Is this the URL of an HTTP service, without a trailing slash? */
+/*
+ * Returns true if text is an http or https URL without query, fragment and
+ * trailing slash.
+ */
 static bool url_is_http(const char *text)
 {
 	size_t len = strlen(text);
@@ -275,7 +285,7 @@
 	return text[len - 1] != '/' && !strpbrk(text, " \t\r\n?#");
 }
 
-/* Read one setting that is there. */
+/* Reads a setting that is present in the file. */
 static void setting_read(const struct setting *t, const json_t *j,
 			 const char *place, struct settings *s, struct error *e)
 {
@@ -345,8 +355,8 @@
 	}
 }
 
-/* Give a setting its default. */
-static void setting_initial(const struct setting *t, struct settings *s)
+/* Sets a setting to its default. */
+static void setting_set_default(const struct setting *t, struct settings *s)
 {
 	void *field = setting_field(t, s);
 
@@ -356,23 +366,23 @@
 		*(enum log_level *)field = (enum log_level)t->default_value;
 }
 
-/* Look up "a" or "a.b". */
+/* Returns the member at path "a" or "a.b", or NULL. */
 static json_t *json_at(const json_t *root, const char *path)
 {
 	const char *dot = strchr(path, '.');
 	json_t *j;
-	char *head;
+	char *section_name;
 
 	if (!dot)
 		return json_object_get(root, path);
-	head = xasprintf("%.*s", (int)(dot - path), path);
-	j = json_object_get(json_object_get(root, head), dot + 1);
-	free(head);
+	section_name = xasprintf("%.*s", (int)(dot - path), path);
+	j = json_object_get(json_object_get(root, section_name), dot + 1);
+	free(section_name);
 	return j;
 }
 
-/* Is there a setting below this path? */
-static bool path_is_group(const char *path)
+/* Returns true if path is a section, with settings in it. */
+static bool path_is_section(const char *path)
 {
 	size_t i, len = strlen(path);
 
@@ -383,9 +393,9 @@
 	return false;
 }
 
-/* Report keys that no setting has, and groups that are no objects. */
-static void unknown_find(const json_t *j, const char *prefix, const char *place,
-			 struct error *e)
+/* Reports members that are not settings, and sections that are not objects. */
+static void unknown_keys_report(const json_t *j, const char *prefix,
+				const char *place, struct error *e)
 {
 	const char *key;
 	json_t *value;
@@ -393,9 +403,9 @@
 
 	json_object_foreach((json_t *)j, key, value) {
 		path = xasprintf("%s%s%s", prefix, *prefix ? "." : "", key);
-		if (!*prefix && path_is_group(path)) {
+		if (!*prefix && path_is_section(path)) {
 			if (json_is_object(value))
-				unknown_find(value, path, place, e);
+				unknown_keys_report(value, path, place, e);
 			else
 				setting_finding(e, place, path,
 						"expected an object");
@@ -405,26 +415,26 @@
 	}
 }
 
-/* Check the settings that have to fit one another. */
-static void relations_check(const struct settings *s, const char *place,
-			    struct error *e)
+/* Checks the constraints between settings. */
+static void constraints_check(const struct settings *s, const char *place,
+			      struct error *e)
 {
-	const struct relation *r;
-	uint64_t a, extra;
+	const struct constraint *c;
+	uint64_t smaller, extra;
 	size_t i;
 
-	for (i = 0; i < NELEMS(relations); i++) {
-		r = &relations[i];
-		a = setting_u32(s, r->a) * r->factor;
-		extra = r->extra ? setting_u32(s, r->extra) : 0;
-		if (a + extra < setting_u32(s, r->b))
+	for (i = 0; i < NELEMS(constraints); i++) {
+		c = &constraints[i];
+		smaller = setting_u32(s, c->smaller) * c->factor;
+		extra = c->extra ? setting_u32(s, c->extra) : 0;
+		if (smaller + extra < setting_u32(s, c->larger))
 			continue;
-		setting_finding(e, place, r->b,
+		setting_finding(e, place, c->larger,
 				"expected more than %s%s%s%s (%" PRIu64
 				" ms): %s",
-				r->factor == 2 ? "twice " : "", r->a,
-				r->extra ? " + " : "", r->extra ? r->extra : "",
-				a + extra, r->why);
+				c->factor == 2 ? "twice " : "", c->smaller,
+				c->extra ? " + " : "", c->extra ? c->extra : "",
+				smaller + extra, c->consequence);
 	}
 	if (s->limits.queue_per_team > s->limits.queue_per_cell)
 		setting_finding(e, place, "limits.queue_per_team",
@@ -436,8 +446,8 @@
 				"expected callers.tls_cert and "
 				"callers.tls_key together or neither");
 	/*
-	 * Peers learn this address from the member's row; one that means
-	 * "any" would send them to themselves.
+	 * Peers read this address from the member's row and connect to it.
+	 * With the wildcard address they would connect to themselves.
 	 */
 	if (s->peers.listen.host &&
 	    (strcmp(s->peers.listen.host, "0.0.0.0") == 0 ||
@@ -447,9 +457,13 @@
 				"not the wildcard");
 }
 
-/* Read every setting of the table; recorded: what is left out may be. */
-static bool settings_read(const json_t *root, const char *place, bool recorded,
-			  struct settings *s, struct error *e)
+/*
+ * Reads all settings of the table.  Those of a recording lack the addresses and
+ * secrets, so from_recording allows missing settings and skips the constraints.
+ */
+static bool settings_read(const json_t *root, const char *place,
+			  bool from_recording, struct settings *s,
+			  struct error *e)
 {
 	unsigned before = e->count;
 	const struct setting *t;
@@ -461,18 +475,18 @@
 		error_add(e, place, "$: expected an object");
 		return false;
 	}
-	unknown_find(root, "", place, e);
+	unknown_keys_report(root, "", place, e);
 	for (i = 0; i < settings_count; i++) {
 		t = &settings_table[i];
-		setting_initial(t, s);
+		setting_set_default(t, s);
 		j = json_at(root, t->path);
 		if (j)
 			setting_read(t, j, place, s, e);
-		else if (t->required && !recorded)
+		else if (t->required && !from_recording)
 			setting_finding(e, place, t->path, "missing");
 	}
-	if (!recorded)
-		relations_check(s, place, e);
+	if (!from_recording)
+		constraints_check(s, place, e);
 	if (e->count == before)
 		return true;
 	settings_free(s);
@@ -480,8 +494,8 @@
 }
 
 /*
- * Check a settings file's text whole; every finding goes into e with its
- * place and path.  On failure s holds nothing.
+ * Parses and validates the text of a settings file.  Adds every finding to e,
+ * with its file and JSON path.  On failure s is empty.
  */
 bool settings_parse(const char *place, const char *text, size_t len,
 		    struct settings *s, struct error *e)
@@ -504,7 +518,7 @@
 	return ok;
 }
 
-/* Read and check a settings file. */
+/* Reads and validates a settings file; on failure s is empty. */
 bool settings_load(const char *path, struct settings *s, struct error *e)
 {
 	size_t len;
@@ -531,7 +545,7 @@
 	return ok;
 }
 
-/* Free what settings hold. */
+/* Frees the members of the settings and clears them. */
 void settings_free(struct settings *s)
 {
 	const struct setting *t;
@@ -553,7 +567,7 @@
 	memset(s, 0, sizeof(*s));
 }
 
-/* One setting as JSON, NULL if it is not set or not for a recording. */
+/* Returns a setting as JSON, or NULL if recordings leave out its type. */
 static json_t *setting_json(const struct setting *t, const struct settings *s)
 {
 	void *field = setting_field(t, s);
@@ -568,12 +582,15 @@
 	}
 }
 
-/* What the reducer may look at: names and numbers, no secret, no address. */
+/*
+ * Returns the settings that the reducer uses, names and numbers, as JSON.
+ * Secrets and addresses are left out.
+ */
 json_t *settings_to_json(const struct settings *s)
 {
-	json_t *root = json_object(), *group, *j;
+	json_t *root = json_object(), *section, *j;
 	const char *dot;
-	char *head;
+	char *section_name;
 	size_t i;
 
 	for (i = 0; i < settings_count; i++) {
@@ -585,20 +602,21 @@
 			json_object_set_new(root, settings_table[i].path, j);
 			continue;
 		}
-		head = xasprintf("%.*s", (int)(dot - settings_table[i].path),
-				 settings_table[i].path);
-		group = json_object_get(root, head);
-		if (!group) {
-			group = json_object();
-			json_object_set_new(root, head, group);
+		section_name = xasprintf("%.*s",
+					 (int)(dot - settings_table[i].path),
+					 settings_table[i].path);
+		section = json_object_get(root, section_name);
+		if (!section) {
+			section = json_object();
+			json_object_set_new(root, section_name, section);
 		}
-		json_object_set_new(group, dot + 1, j);
-		free(head);
+		json_object_set_new(section, dot + 1, j);
+		free(section_name);
 	}
 	return root;
 }
 
-/* Read back what settings_to_json wrote. */
+/* Reads settings that settings_to_json has written. */
 bool settings_from_json(const json_t *j, struct settings *s, struct error *e)
 {
 	return settings_read(j, "recording", true, s, e);
