--- a/config-edit.c
+++ b/config-edit.c
@@ -2,16 +2,16 @@
 
 #include <stdlib.h>
 
-/* What an edit is given and what it finds. */
-struct edit_args {
+/* The arguments of an edit, and the reason and detail if it fails. */
+struct edit_ctx {
 	json_t *doc;
 	const op_request *rq;
 	const char *reason;
 	bstr detail;
 };
 
-/* The member object of a document's section, made if absent. */
-static json_t *edit_section(json_t *doc, const char *name)
+/* Returns a member that is an object; creates it if it is missing. */
+static json_t *edit_get_object(json_t *doc, const char *name)
 {
 	json_t *o = json_object_get(doc, name);
 
@@ -22,8 +22,8 @@
 	return o;
 }
 
-/* Look a name up. */
-static json_t *edit_find(json_t *o, bstr name)
+/* Returns a member by its name, or NULL. */
+static json_t *edit_get(json_t *o, bstr name)
 {
 	char *s = bstr_cstr(name);
 	json_t *j = json_object_get(o, s);
@@ -32,7 +32,7 @@
 	return j;
 }
 
-/* Put a value under a name. */
+/* Sets a member; takes over the reference to value. */
 static void edit_set(json_t *o, bstr name, json_t *value)
 {
 	char *s = bstr_cstr(name);
@@ -41,7 +41,7 @@
 	free(s);
 }
 
-/* Take a name out. */
+/* Removes a member. */
 static void edit_remove(json_t *o, bstr name)
 {
 	char *s = bstr_cstr(name);
@@ -50,14 +50,14 @@
 	free(s);
 }
 
-static op_status edit_missing(struct edit_args *a, const char *what, bstr name)
+static op_status edit_not_found(struct edit_ctx *a, const char *what, bstr name)
 {
 	a->reason = "not-found";
 	a->detail = bstr_printf("there is no %s '%.*s'", what, BSTR_ARG(name));
 	return OP_NOT_FOUND;
 }
 
-static op_status edit_exists(struct edit_args *a, const char *what, bstr name)
+static op_status edit_exists(struct edit_ctx *a, const char *what, bstr name)
 {
 	a->reason = "exists";
 	a->detail = bstr_printf("there is a %s '%.*s' already", what,
@@ -65,14 +65,14 @@
 	return OP_CONFLICT;
 }
 
-/* Create a pool, or change a pool's budget or remove it. */
-static op_status edit_pool(struct edit_args *a)
+/* Creates or removes a pool, or sets its budget. */
+static op_status edit_pool(struct edit_ctx *a)
 {
 	const op_pool *p = &a->rq->op_request_u.pool;
-	json_t *pools = edit_section(a->doc, "pools"), *o, *dcs;
+	json_t *pools = edit_get_object(a->doc, "pools"), *o, *dcs;
 	u_int i;
 
-	o = edit_find(pools, p->pool);
+	o = edit_get(pools, p->pool);
 	if (a->rq->kind == OP_POOL_CREATE) {
 		if (o)
 			return edit_exists(a, "pool", p->pool);
@@ -88,7 +88,7 @@
 		return OP_OK;
 	}
 	if (!o)
-		return edit_missing(a, "pool", p->pool);
+		return edit_not_found(a, "pool", p->pool);
 	if (a->rq->kind == OP_POOL_REMOVE)
 		edit_remove(pools, p->pool);
 	else
@@ -96,13 +96,13 @@
 	return OP_OK;
 }
 
-/* Create, remove or change a team. */
-static op_status edit_team(struct edit_args *a)
+/* Creates or removes a team, or sets its share, limit or grace period. */
+static op_status edit_team(struct edit_ctx *a)
 {
 	const op_team *t = &a->rq->op_request_u.team;
-	json_t *teams = edit_section(a->doc, "teams"), *o;
+	json_t *teams = edit_get_object(a->doc, "teams"), *o;
 
-	o = edit_find(teams, t->team);
+	o = edit_get(teams, t->team);
 	if (a->rq->kind == OP_TEAM_CREATE) {
 		if (o)
 			return edit_exists(a, "team", t->team);
@@ -115,7 +115,7 @@
 		return OP_OK;
 	}
 	if (!o)
-		return edit_missing(a, "team", t->team);
+		return edit_not_found(a, "team", t->team);
 	if (a->rq->kind == OP_TEAM_REMOVE)
 		edit_remove(teams, t->team);
 	else if (a->rq->kind == OP_TEAM_SHARE)
@@ -127,36 +127,36 @@
 	return OP_OK;
 }
 
-/* Is a key id taken, by any team? */
-static bool edit_key_taken(json_t *teams, bstr id)
+/* Returns true if any team has a key with this id. */
+static bool edit_key_exists(json_t *teams, bstr id)
 {
 	const char *name;
 	json_t *team;
 
 	json_object_foreach(teams, name, team) {
-		if (edit_find(json_object_get(team, "keys"), id))
+		if (edit_get(json_object_get(team, "keys"), id))
 			return true;
 	}
 	return false;
 }
 
 /*
- * Create or withdraw a key.  A withdrawn key stays in the document: its id
- * must never come to mean another secret.  Withdrawing twice is no error:
- * the operator whose first answer was lost asks again.
+ * Creates or withdraws a key.  A withdrawn key stays in the document, so that
+ * its id is never reused for another secret.  Withdrawing it again succeeds,
+ * because an operator repeats the request if the first answer was lost.
  */
-static op_status edit_key(struct edit_args *a)
+static op_status edit_key(struct edit_ctx *a)
 {
 	const op_key *k = &a->rq->op_request_u.key;
-	json_t *teams = edit_section(a->doc, "teams"), *team, *keys, *o;
+	json_t *teams = edit_get_object(a->doc, "teams"), *team, *keys, *o;
 	bstr salt, hash;
 
-	team = edit_find(teams, k->team);
+	team = edit_get(teams, k->team);
 	if (!team)
-		return edit_missing(a, "team", k->team);
-	keys = edit_section(team, "keys");
+		return edit_not_found(a, "team", k->team);
+	keys = edit_get_object(team, "keys");
 	if (a->rq->kind == OP_KEY_CREATE) {
-		if (edit_key_taken(teams, k->key_id))
+		if (edit_key_exists(teams, k->key_id))
 			return edit_exists(a, "key", k->key_id);
 		o = json_object();
 		salt = base64_encode(k->salt);
@@ -169,15 +169,15 @@
 		edit_set(keys, k->key_id, o);
 		return OP_OK;
 	}
-	o = edit_find(keys, k->key_id);
+	o = edit_get(keys, k->key_id);
 	if (!o)
-		return edit_missing(a, "key", k->key_id);
+		return edit_not_found(a, "key", k->key_id);
 	json_object_set_new(o, "withdrawn", json_true());
 	return OP_OK;
 }
 
-/* Replace the whole document, once its findings have been looked at. */
-static op_status edit_apply(struct edit_args *a)
+/* Replaces the whole document, if the new one is valid. */
+static op_status edit_apply(struct edit_ctx *a)
 {
 	const op_config *oc = &a->rq->op_request_u.config;
 	struct config *c;
@@ -202,7 +202,7 @@
 
 static const struct {
 	op_kind kind;
-	op_status (*exec)(struct edit_args *a);
+	op_status (*exec)(struct edit_ctx *a);
 } edits[] = {
 	{OP_POOL_CREATE, edit_pool},   {OP_POOL_REMOVE, edit_pool},
 	{OP_POOL_BUDGET, edit_pool},   {OP_TEAM_CREATE, edit_team},
@@ -212,7 +212,7 @@
 	{OP_CONFIG_APPLY, edit_apply},
 };
 
-/* Is this request a change of the configuration? */
+/* Returns true if a request changes the configuration. */
 bool config_is_edit(op_kind kind)
 {
 	size_t i;
@@ -223,11 +223,14 @@
 	return false;
 }
 
-/* Apply a change; the changed document is checked as a whole. */
+/*
+ * Applies a change to doc and validates the result as a whole.  On failure sets
+ * reason and detail; doc may have been changed then.
+ */
 op_status config_edit(json_t *doc, const op_request *rq, const char **reason,
 		      bstr *detail)
 {
-	struct edit_args a = {doc, rq, "", BSTR_NONE};
+	struct edit_ctx a = {doc, rq, "", BSTR_NONE};
 	op_status status = OP_INVALID;
 	struct config *c;
 	struct error e;
--- a/config.c
+++ b/config.c
@@ -9,10 +9,13 @@
 #define POOLS_MAX 4096
 #define TEAMS_MAX 16384
 
-/* Read a bounded whole number; absent gives the default. */
-static uint32_t config_number(const json_t *o, const char *name, uint32_t max,
-			      uint32_t fallback, const char *place,
-			      struct error *e)
+/*
+ * Reads an integer from 0 to max.  Returns fallback if the member is missing or
+ * invalid.
+ */
+static uint32_t config_read_number(const json_t *o, const char *name,
+				   uint32_t max, uint32_t fallback,
+				   const char *place, struct error *e)
 {
 	const json_t *j = json_object_get(o, name);
 	char *at;
@@ -28,9 +31,9 @@
 	return fallback;
 }
 
-/* Report members that have no meaning: most often a misspelt name. */
-static void config_unknown(const json_t *o, const char *const *known,
-			   const char *place, struct error *e)
+/* Reports unknown members, which are most often misspelt. */
+static void config_check_members(const json_t *o, const char *const *known,
+				 const char *place, struct error *e)
 {
 	const char *name;
 	json_t *value;
@@ -45,8 +48,11 @@
 	}
 }
 
-/* Check that a member name can be part of a row's key. */
-static bool config_name(const char *name, const char *place, struct error *e)
+/*
+ * Returns true if a name can be part of a row's key; adds a finding otherwise.
+ */
+static bool config_check_name(const char *name, const char *place,
+			      struct error *e)
 {
 	if (bstr_is_name(bstr_lit(name), NAME_MAX_LEN))
 		return true;
@@ -57,9 +63,12 @@
 	return false;
 }
 
-/* Read a member as an object, an empty one if it is absent. */
-static const json_t *config_object(const json_t *o, const char *name,
-				   const char *place, struct error *e)
+/*
+ * Returns a member that is an object, or NULL if it is missing or has another
+ * type.  Jansson's functions treat NULL as an empty object.
+ */
+static const json_t *config_read_object(const json_t *o, const char *name,
+					const char *place, struct error *e)
 {
 	const json_t *j = json_object_get(o, name);
 
@@ -69,9 +78,9 @@
 	return NULL;
 }
 
-/* Read a pool's data centres. */
-static void config_dcs(struct pool *p, const json_t *o, const char *place,
-		       struct error *e)
+/* Reads the data centres of a pool. */
+static void config_read_dcs(struct pool *p, const json_t *o, const char *place,
+			    struct error *e)
 {
 	const json_t *dcs = json_object_get(o, "dcs"), *dc;
 	size_t i;
@@ -84,7 +93,7 @@
 	p->dcs = xcalloc(json_array_size(dcs), sizeof(*p->dcs));
 	json_array_foreach((json_t *)dcs, i, dc) {
 		if (!json_is_string(dc) ||
-		    !config_name(json_string_value(dc), place, e)) {
+		    !config_check_name(json_string_value(dc), place, e)) {
 			error_add(e, place, "dcs[%zu] is no name", i);
 			continue;
 		}
@@ -92,7 +101,7 @@
 	}
 }
 
-/* Read one pool. */
+/* Reads a pool and adds it to the configuration. */
 static void config_read_pool(struct config *c, const char *name,
 			     const json_t *o, struct error *e)
 {
@@ -103,25 +112,26 @@
 
 	if (!json_is_object(o)) {
 		error_add(e, place, "expected an object");
-	} else if (config_name(name, place, e)) {
-		config_unknown(o, known, place, e);
+	} else if (config_check_name(name, place, e)) {
+		config_check_members(o, known, place, e);
 		p = xcalloc(1, sizeof(*p));
 		p->name = bstr_new(name);
-		p->budget = config_number(o, "budget", LIMIT_MAX, 1, place, e);
+		p->budget = config_read_number(o, "budget", LIMIT_MAX, 1, place,
+					       e);
 		spare = json_object_get(o, "spare");
 		if (spare && !json_is_boolean(spare))
 			error_add(e, place, "expected 'spare' true or false");
 		p->spare = json_is_true(spare);
-		config_dcs(p, o, place, e);
+		config_read_dcs(p, o, place, e);
 		HASH_ADD_KEYPTR(hh, c->pools, p->name.bstr_val,
 				p->name.bstr_len, p);
 	}
 	free(place);
 }
 
-/* Read a member in base64. */
-static bstr config_bytes(const json_t *o, const char *name, const char *place,
-			 struct error *e)
+/* Decodes a member in base64, which must not be empty. */
+static bstr config_read_bytes(const json_t *o, const char *name,
+			      const char *place, struct error *e)
 {
 	bstr text = bstr_from_json(json_object_get(o, name)), bytes;
 
@@ -133,7 +143,7 @@
 	return bytes;
 }
 
-/* Read one key of a team. */
+/* Reads a key of a team; key ids are unique across teams. */
 static void config_read_key(struct config *c, struct team *t, const char *id,
 			    const json_t *o, struct error *e)
 {
@@ -141,24 +151,24 @@
 	char *place = xasprintf("$.teams.%.*s.keys.%s", BSTR_ARG(t->name), id);
 	struct team_key *k;
 
-	config_unknown(o, known, place, e);
+	config_check_members(o, known, place, e);
 	k = config_find_key(c, bstr_lit(id));
 	if (k) {
 		error_add(e, place, "key '%s' is team %.*s's already", id,
 			  BSTR_ARG(k->team->name));
-	} else if (config_name(id, place, e)) {
+	} else if (config_check_name(id, place, e)) {
 		k = xcalloc(1, sizeof(*k));
 		k->id = bstr_new(id);
 		k->team = t;
-		k->salt = config_bytes(o, "salt", place, e);
-		k->hash = config_bytes(o, "hash", place, e);
+		k->salt = config_read_bytes(o, "salt", place, e);
+		k->hash = config_read_bytes(o, "hash", place, e);
 		k->withdrawn = json_is_true(json_object_get(o, "withdrawn"));
 		HASH_ADD_KEYPTR(hh, c->keys, k->id.bstr_val, k->id.bstr_len, k);
 	}
 	free(place);
 }
 
-/* Read one team with its keys. */
+/* Reads a team with its keys and adds it to the configuration. */
 static void config_read_team(struct config *c, const char *name,
 			     const json_t *o, struct error *e)
 {
@@ -171,30 +181,36 @@
 
 	if (!json_is_object(o)) {
 		error_add(e, place, "expected an object");
-	} else if (config_name(name, place, e)) {
-		config_unknown(o, known, place, e);
+	} else if (config_check_name(name, place, e)) {
+		config_check_members(o, known, place, e);
 		t = xcalloc(1, sizeof(*t));
 		t->name = bstr_new(name);
-		t->share = config_number(o, "share", SHARE_MAX, 1, place, e);
-		t->limit = config_number(o, "limit", LIMIT_MAX, 0, place, e);
-		t->grace_ms = config_number(o, "grace_ms", GRACE_MAX_MS, 0,
-					    place, e);
+		t->share = config_read_number(o, "share", SHARE_MAX, 1, place,
+					      e);
+		t->limit = config_read_number(o, "limit", LIMIT_MAX, 0, place,
+					      e);
+		t->grace_ms = config_read_number(o, "grace_ms", GRACE_MAX_MS, 0,
+						 place, e);
 		HASH_ADD_KEYPTR(hh, c->teams, t->name.bstr_val,
 				t->name.bstr_len, t);
 		json_object_foreach(
-			(json_t *)config_object(o, "keys", place, e), id, key)
+			(json_t *)config_read_object(o, "keys", place, e), id,
+			key)
 			config_read_key(c, t, id, key, e);
 	}
 	free(place);
 }
 
-/* Check a document and make a configuration of it. */
+/*
+ * Validates a document and returns its configuration, which holds a reference
+ * to it.  Returns NULL and adds findings if it is invalid.
+ */
 struct config *config_new(json_t *doc, uint64_t revision, struct error *e)
 {
 	static const char *const known[] = {"pools", "teams", NULL};
 	struct config *c = xcalloc(1, sizeof(*c));
 	const json_t *pools, *teams;
-	unsigned before = e->count;
+	unsigned findings_before = e->count;
 	const char *name;
 	json_t *o;
 
@@ -203,9 +219,9 @@
 	if (!json_is_object(doc)) {
 		error_add(e, "$", "expected an object");
 	} else {
-		config_unknown(doc, known, "$", e);
-		pools = config_object(doc, "pools", "$", e);
-		teams = config_object(doc, "teams", "$", e);
+		config_check_members(doc, known, "$", e);
+		pools = config_read_object(doc, "pools", "$", e);
+		teams = config_read_object(doc, "teams", "$", e);
 		if (json_object_size(pools) > POOLS_MAX)
 			error_add(e, "$.pools", "more than %d", POOLS_MAX);
 		if (json_object_size(teams) > TEAMS_MAX)
@@ -215,13 +231,13 @@
 		json_object_foreach((json_t *)teams, name, o)
 			config_read_team(c, name, o, e);
 	}
-	if (e->count == before)
+	if (e->count == findings_before)
 		return c;
 	config_free(c);
 	return NULL;
 }
 
-/* Parse and check. */
+/* Parses and validates the text of a document, like config_new. */
 struct config *config_parse(bstr text, uint64_t revision, struct error *e)
 {
 	struct config *c;
@@ -239,7 +255,7 @@
 	return c;
 }
 
-/* Free a configuration. */
+/* Frees a configuration; NULL is allowed. */
 void config_free(struct config *c)
 {
 	struct team_key *k, *kn;
@@ -273,7 +289,10 @@
 	free(c);
 }
 
-/* The one text of a document, whatever order it was written in. */
+/*
+ * Returns the text of a document in canonical form: compact, with members
+ * sorted by name.
+ */
 bstr config_canonical_text(const json_t *doc)
 {
 	char *s = json_dumps(doc, JSON_COMPACT | JSON_SORT_KEYS);
@@ -283,7 +302,7 @@
 	return b;
 }
 
-/* Find a pool. */
+/* Returns a pool by its name, or NULL. */
 struct pool *config_find_pool(const struct config *c, bstr name)
 {
 	struct pool *p = NULL;
@@ -293,7 +312,7 @@
 	return p;
 }
 
-/* Find a team. */
+/* Returns a team by its name, or NULL. */
 struct team *config_find_team(const struct config *c, bstr name)
 {
 	struct team *t = NULL;
@@ -303,7 +322,7 @@
 	return t;
 }
 
-/* Find a key. */
+/* Returns a team's key by its id, or NULL. */
 struct team_key *config_find_key(const struct config *c, bstr id)
 {
 	struct team_key *k = NULL;
@@ -313,7 +332,7 @@
 	return k;
 }
 
-/* Add one difference. */
+/* Appends a difference to the list; a missing value becomes null. */
 static void diff_add(json_t *out, const char *path, const json_t *from,
 		     const json_t *to)
 {
@@ -326,9 +345,11 @@
 	json_array_append_new(out, d);
 }
 
-/* Compare two values; objects are compared member by member. */
-static void diff_walk(json_t *out, const char *path, const json_t *from,
-		      const json_t *to)
+/*
+ * Appends the differences between two values; objects are compared by member.
+ */
+static void diff_values(json_t *out, const char *path, const json_t *from,
+			const json_t *to)
 {
 	const char *name;
 	json_t *value;
@@ -342,7 +363,7 @@
 	}
 	json_object_foreach((json_t *)from, name, value) {
 		sub = xasprintf("%s.%s", path, name);
-		diff_walk(out, sub, value, json_object_get(to, name));
+		diff_values(out, sub, value, json_object_get(to, name));
 		free(sub);
 	}
 	json_object_foreach((json_t *)to, name, value) {
@@ -354,11 +375,14 @@
 	}
 }
 
-/* List what differs between two documents. */
+/*
+ * Returns the differences between two documents, as a list of objects with
+ * path, from and to.
+ */
 json_t *config_diff(const json_t *from, const json_t *to)
 {
 	json_t *out = json_array();
 
-	diff_walk(out, "$", from, to);
+	diff_values(out, "$", from, to);
 	return out;
 }
--- a/mailbox.c
+++ b/mailbox.c
@@ -9,8 +9,8 @@
 #include <unistd.h>
 
 /*
- * The ring's fences are inline assembly, which the thread sanitizer does not
- * see; these tell it that what was written before a put is seen after the
+ * The ring's fences are inline assembly, which ThreadSanitizer does not see.
+ * These annotations tell it that writes before a put are visible after the
  * take.
  */
 #ifdef __SANITIZE_THREAD__
@@ -26,41 +26,42 @@
 struct mailbox {
 	ck_ring_t ring;
 	ck_ring_buffer_t *buffer;
-	atomic_bool asked; /* the reader wants to be woken by the next put */
+	atomic_bool wakeup_wanted; /* the next put writes to the eventfd */
 	int fd;
 };
 
-/* Make a mailbox for up to size - 1 pointers; size is a power of two. */
+/* Creates a mailbox for up to size - 1 pointers; size is a power of two. */
 struct mailbox *mailbox_new(unsigned size)
 {
 	struct mailbox *m = xcalloc(1, sizeof(*m));
 
 	m->buffer = xcalloc(size, sizeof(*m->buffer));
 	ck_ring_init(&m->ring, size);
-	atomic_init(&m->asked, true);
+	atomic_init(&m->wakeup_wanted, true);
 	m->fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
 	if (m->fd < 0)
 		abort();
 	return m;
 }
 
-/* Make the descriptor readable. */
+/* Makes the eventfd readable. */
 void mailbox_wake(struct mailbox *m)
 {
 	uint64_t one = 1;
 	ssize_t n = write(m->fd, &one, sizeof(one));
 
 	/*
-	 * A failed write means that the eventfd's count is at its top: it
-	 * is readable then, so the reader wakes all the same.
+	 * A write fails only if the eventfd's counter is at its maximum.  It is
+	 * readable then, so the consumer wakes up anyway.
 	 */
 	(void)n;
 }
 
 /*
- * Put a pointer, from any thread.  The first put since the reader has cleared
- * the descriptor wakes it; what follows is drained with that one, and a write
- * for each would be a system call for each.
+ * Adds a pointer; any thread may call this.  Returns false if the mailbox is
+ * full.  Only the first put after mailbox_clear_wakeup writes to the eventfd.
+ * The consumer drains later entries with the first, and a write for each would
+ * cost a system call.
  */
 bool mailbox_put(struct mailbox *m, void *p)
 {
@@ -68,12 +69,16 @@
 	if (!ck_ring_enqueue_mpsc(&m->ring, m->buffer, p))
 		return false;
 	atomic_thread_fence(memory_order_seq_cst);
-	if (atomic_load(&m->asked) && atomic_exchange(&m->asked, false))
+	if (atomic_load(&m->wakeup_wanted) &&
+	    atomic_exchange(&m->wakeup_wanted, false))
 		mailbox_wake(m);
 	return true;
 }
 
-/* Take the oldest pointer; only the one reader may call this. */
+/*
+ * Removes and returns the oldest pointer, or NULL.  Only the consumer may call
+ * this.
+ */
 void *mailbox_take(struct mailbox *m)
 {
 	void *p;
@@ -84,28 +89,31 @@
 	return p;
 }
 
-/* The descriptor to poll for reading. */
+/* Returns the eventfd, to be polled for reading. */
 int mailbox_fd(struct mailbox *m)
 {
 	return m->fd;
 }
 
 /*
- * Reset the descriptor and ask to be woken.  The reader does this before it
- * drains the ring: a pointer put in between is either drained or makes the
- * descriptor readable, so no wake-up is lost.
+ * Resets the eventfd and makes the next put write to it.  The consumer calls
+ * this before it drains the ring: a pointer added in between is either drained
+ * or makes the eventfd readable, so no wake-up is lost.
  */
 void mailbox_clear_wakeup(struct mailbox *m)
 {
 	uint64_t count;
-	ssize_t n = read(m->fd, &count, sizeof(count)); /* sets it to 0 */
+	ssize_t n = read(m->fd, &count, sizeof(count)); /* resets it */
 
 	(void)n;
-	atomic_store(&m->asked, true);
+	atomic_store(&m->wakeup_wanted, true);
 	atomic_thread_fence(memory_order_seq_cst);
 }
 
-/* Sleep until something may be there, at most timeout_ms. */
+/*
+ * Waits for a wake-up and resets the eventfd.  Returns false after timeout_ms;
+ * -1 waits without limit.
+ */
 bool mailbox_wait(struct mailbox *m, int timeout_ms)
 {
 	struct pollfd p = {.fd = m->fd, .events = POLLIN};
@@ -116,7 +124,7 @@
 	return true;
 }
 
-/* Free the mailbox; what is still in it is the caller's to drain before. */
+/* Frees the mailbox; the caller has drained it before. */
 void mailbox_free(struct mailbox *m)
 {
 	close(m->fd);
--- a/sealed.c
+++ b/sealed.c
@@ -10,20 +10,20 @@
 #define NONCE_BYTES sizeof(((sealed *)0)->nonce)
 #define MAC_BYTES sizeof(((sealed *)0)->mac)
 
-struct seen {
+struct seen_nonce {
 	char nonce[NONCE_BYTES];
 	int64_t deadline;
-	STAILQ_ENTRY(seen) entry;
+	STAILQ_ENTRY(seen_nonce) entry;
 	UT_hash_handle hh;
 };
 
 struct replay_guard {
-	struct seen *table;
-	STAILQ_HEAD(seen_list, seen) order; /* of their coming */
+	struct seen_nonce *table;
+	STAILQ_HEAD(nonce_list, seen_nonce) order; /* by time of arrival */
 	size_t max;
 };
 
-/* Make a guard that remembers up to max nonces. */
+/* Creates a guard that remembers up to max nonces. */
 struct replay_guard *replay_guard_new(size_t max)
 {
 	struct replay_guard *g = xcalloc(1, sizeof(*g));
@@ -33,40 +33,40 @@
 	return g;
 }
 
-/* Forget the oldest nonce. */
-static void replay_guard_drop(struct replay_guard *g)
+/* Drops the oldest nonce. */
+static void replay_guard_drop_oldest(struct replay_guard *g)
 {
-	struct seen *s = STAILQ_FIRST(&g->order);
+	struct seen_nonce *s = STAILQ_FIRST(&g->order);
 
 	STAILQ_REMOVE_HEAD(&g->order, entry);
 	HASH_DEL(g->table, s);
 	free(s);
 }
 
-/* Free the guard with all it remembers. */
+/* Frees a guard; NULL is allowed. */
 void replay_guard_free(struct replay_guard *g)
 {
 	if (!g)
 		return;
 	while (g->table)
-		replay_guard_drop(g);
+		replay_guard_drop_oldest(g);
 	free(g);
 }
 
 /*
- * Remember a nonce; false if it was seen before or there is no room.  The
- * oldest are dropped first and only when their deadline has passed: an
- * envelope whose nonce is forgotten is refused for being late, so forgetting
- * opens no door.  A deadline lies at most SEAL_HORIZON_MS ahead, so one that
- * expires late holds those behind it back no longer than that.
+ * Remembers a nonce.  Returns false if it was seen before or the guard is
+ * full.  Nonces are dropped in order of arrival and only after their deadline:
+ * an envelope with a dropped nonce is rejected as expired, so it cannot be
+ * replayed.  Since a deadline is at most SEAL_HORIZON_MS ahead, a nonce with a
+ * late deadline delays the removal of those behind it no longer than that.
  */
 static bool replay_guard_add(struct replay_guard *g, const sealed *s,
 			     int64_t wall)
 {
-	struct seen *seen;
+	struct seen_nonce *seen;
 
 	while (g->table && STAILQ_FIRST(&g->order)->deadline < wall)
-		replay_guard_drop(g);
+		replay_guard_drop_oldest(g);
 	HASH_FIND(hh, g->table, s->nonce, NONCE_BYTES, seen);
 	if (seen || HASH_COUNT(g->table) >= g->max)
 		return false;
@@ -78,7 +78,10 @@
 	return true;
 }
 
-/* Add bytes to a MAC, led by their length: no two fields can be shifted. */
+/*
+ * Adds a field to a MAC, preceded by its length, so that bytes cannot move from
+ * one field to the next without changing the MAC.
+ */
 static void mac_add(crypto_generichash_state *st, const void *p, uint64_t len)
 {
 	uint8_t head[8];
@@ -90,7 +93,7 @@
 	crypto_generichash_update(st, p, len);
 }
 
-/* The MAC of an envelope for a purpose. */
+/* Computes the MAC of an envelope for a purpose. */
 static void seal_mac(uint8_t mac[MAC_BYTES], const sealed *s,
 		     const char *purpose, const uint8_t key[SEAL_KEY_BYTES])
 {
@@ -109,7 +112,7 @@
 	crypto_generichash_final(&st, mac, MAC_BYTES);
 }
 
-/* Seal a body; out holds copies and is freed by xdr_free. */
+/* Seals a body.  The envelope holds copies; free it with xdr_free. */
 void seal(sealed *out, const char *purpose, bstr from, bstr body,
 	  int64_t deadline, const uint8_t key[SEAL_KEY_BYTES])
 {
@@ -122,8 +125,8 @@
 }
 
 /*
- * Check an envelope; the guard, if there is one, remembers it.  The MAC
- * comes first, so that nobody without the key can fill the guard.
+ * Verifies an envelope and records its nonce in the guard, unless g is NULL.
+ * The MAC is checked first, so that nobody without the key can fill the guard.
  */
 enum seal_result seal_open(const sealed *s, const char *purpose, int64_t wall,
 			   const uint8_t key[SEAL_KEY_BYTES],
@@ -142,8 +145,8 @@
 }
 
 /*
- * The purpose of an answer names the request's nonce, so that an answer to
- * one request never passes for the answer to another.
+ * Returns the purpose of an answer.  It contains the request's nonce, so that
+ * the answer to one request is not accepted for another.
  */
 char *operator_reply_purpose(const char nonce[24])
 {
@@ -155,9 +158,13 @@
 	return purpose;
 }
 
-/* Derive the key of one answer's secret; the MAC's key itself never ciphers. */
-static void secret_key(uint8_t out[crypto_secretbox_KEYBYTES],
-		       const uint8_t key[SEAL_KEY_BYTES], const char nonce[24])
+/*
+ * Derives the encryption key of the secret in one answer, so that the MAC key
+ * is never used for encryption.
+ */
+static void secret_derive_key(uint8_t derived[crypto_secretbox_KEYBYTES],
+			      const uint8_t key[SEAL_KEY_BYTES],
+			      const char nonce[24])
 {
 	static const char label[] = "bamboofront operator v1 secret";
 	crypto_generichash_state st;
@@ -166,10 +173,10 @@
 				crypto_secretbox_KEYBYTES);
 	mac_add(&st, label, sizeof(label) - 1);
 	mac_add(&st, nonce, NONCE_BYTES);
-	crypto_generichash_final(&st, out, crypto_secretbox_KEYBYTES);
+	crypto_generichash_final(&st, derived, crypto_secretbox_KEYBYTES);
 }
 
-/* Encrypt a secret for the operator whose request had this nonce. */
+/* Encrypts a secret for the operator whose request had this nonce. */
 bstr secret_seal(bstr secret, const uint8_t key[SEAL_KEY_BYTES],
 		 const char nonce[24])
 {
@@ -181,7 +188,7 @@
 	box.bstr_val = xmalloc(box.bstr_len);
 	p = (uint8_t *)box.bstr_val;
 	randombytes_buf(p, crypto_secretbox_NONCEBYTES);
-	secret_key(derived, key, nonce);
+	secret_derive_key(derived, key, nonce);
 	crypto_secretbox_easy(p + crypto_secretbox_NONCEBYTES,
 			      (const uint8_t *)secret.bstr_val, secret.bstr_len,
 			      p, derived);
@@ -189,7 +196,9 @@
 	return box;
 }
 
-/* Decrypt a secret; false, and nothing in secret, if it doesn't hold. */
+/*
+ * Decrypts a secret.  Returns false and an empty secret if it is not authentic.
+ */
 bool secret_unseal(bstr box, const uint8_t key[SEAL_KEY_BYTES],
 		   const char nonce[24], bstr *secret)
 {
@@ -204,7 +213,7 @@
 	secret->bstr_len = (u_int)(box.bstr_len - head -
 				   crypto_secretbox_MACBYTES);
 	secret->bstr_val = xmalloc(secret->bstr_len + 1);
-	secret_key(derived, key, nonce);
+	secret_derive_key(derived, key, nonce);
 	ok = !crypto_secretbox_open_easy((uint8_t *)secret->bstr_val, p + head,
 					 box.bstr_len - head, p, derived);
 	sodium_memzero(derived, sizeof(derived));
--- a/secret.c
+++ b/secret.c
@@ -6,13 +6,13 @@
 
 #define SECRET_PREFIX "bf_"
 #define SECRET_BYTES 32
-#define SECRET_CHARS 43 /* base64 for URLs, without padding */
+#define SECRET_CHARS 43 /* URL-safe base64 without padding */
 #define SECRET_VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
 #define SECRET_SALT_BYTES 16
 #define SECRET_HASH_BYTES 32
 #define KEY_ID_MAX 64
 
-/* Hash bytes, with a key if there is one. */
+/* Returns the hash of bytes, keyed with the salt unless that is empty. */
 static bstr secret_hash(bstr bytes, bstr salt)
 {
 	unsigned char hash[SECRET_HASH_BYTES];
@@ -25,29 +25,29 @@
 }
 
 /*
- * Make a secret for a key id, and what is kept of it.  The secret is random
- * over its whole length, so one pass of a fast hash is enough: there is
- * nothing to guess that a slow one would protect.
+ * Creates a secret for a key id, with the salt and hash that are stored.  A
+ * single pass of a fast hash is enough, because the secret is 32 random bytes
+ * and cannot be guessed; a slow hash protects only guessable secrets.
  */
 void secret_new(bstr key_id, bstr *secret, bstr *salt, bstr *hash)
 {
-	unsigned char bytes[SECRET_BYTES], grain[SECRET_SALT_BYTES];
+	unsigned char bytes[SECRET_BYTES], salt_bytes[SECRET_SALT_BYTES];
 	char text[SECRET_CHARS + 1];
 	bstr id, digest;
 
 	if (sodium_init() < 0)
 		abort();
 	randombytes_buf(bytes, sizeof(bytes));
-	randombytes_buf(grain, sizeof(grain));
+	randombytes_buf(salt_bytes, sizeof(salt_bytes));
 	sodium_bin2base64(text, sizeof(text), bytes, sizeof(bytes),
 			  SECRET_VARIANT);
 	*secret = bstr_printf(SECRET_PREFIX "%.*s_%s", BSTR_ARG(key_id), text);
-	*salt = bstr_from_bytes(grain, sizeof(grain));
+	*salt = bstr_from_bytes(salt_bytes, sizeof(salt_bytes));
 	*hash = BSTR_NONE;
 	if (secret_split(*secret, &id, &digest))
 		*hash = secret_hash(digest, *salt);
 	else
-		bstr_free(secret); /* the key id was no name */
+		bstr_free(secret); /* the key id is not a valid name */
 	bstr_free(&id);
 	bstr_free(&digest);
 	sodium_memzero(bytes, sizeof(bytes));
@@ -55,9 +55,9 @@
 }
 
 /*
- * Take a secret apart into its key id and a digest of the whole text.  A key
- * id and the random part may both hold '_', so the random part is found by
- * its length.  On failure both are empty.
+ * Splits a secret into its key id and a digest of the whole text.  The random
+ * part is found by its length, since it and the key id may both contain '_'.
+ * Returns false and leaves both empty if the secret is malformed.
  */
 bool secret_split(bstr secret, bstr *key_id, bstr *digest)
 {
@@ -88,20 +88,22 @@
 }
 
 /*
- * Is this the digest of the secret that salt and hash are of?  Takes equally
- * long for every wrong digest, so that time tells nothing about the hash.
+ * Returns true if salt and hash belong to the secret with this digest.  The
+ * hashes are compared in constant time, so that timing reveals nothing about
+ * the stored hash.
  */
 bool secret_matches(bstr digest, bstr salt, bstr hash)
 {
-	bstr own;
+	bstr expected;
 	bool same;
 
 	if (digest.bstr_len != SECRET_HASH_BYTES ||
 	    salt.bstr_len != SECRET_SALT_BYTES ||
 	    hash.bstr_len != SECRET_HASH_BYTES)
 		return false;
-	own = secret_hash(digest, salt);
-	same = !sodium_memcmp(own.bstr_val, hash.bstr_val, SECRET_HASH_BYTES);
-	bstr_free(&own);
+	expected = secret_hash(digest, salt);
+	same = !sodium_memcmp(expected.bstr_val, hash.bstr_val,
+			      SECRET_HASH_BYTES);
+	bstr_free(&expected);
 	return same;
 }
