--- a/bstr.c
+++ b/bstr.c
@@ -4,25 +4,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Refer to a C string without owning it. */
+/* Returns a string that points to a C string, without owning it. */
 bstr bstr_lit(const char *s)
 {
 	return bstr_ref(s, strlen(s));
 }
 
-/* Refer to len bytes without owning them. */
+/* Returns a string that points to len bytes, without owning them. */
 bstr bstr_ref(const void *p, size_t len)
 {
 	return (bstr){(u_int)len, (char *)p};
 }
 
-/* Copy a C string. */
+/* Copies a C string. */
 bstr bstr_new(const char *s)
 {
 	return bstr_from_bytes(s, strlen(s));
 }
 
-/* Copy len bytes; an empty string holds no memory. */
+/* Copies len bytes; an empty string owns no memory. */
 bstr bstr_from_bytes(const void *p, size_t len)
 {
 	bstr b = BSTR_NONE;
@@ -35,13 +35,13 @@
 	return b;
 }
 
-/* Copy another string. */
+/* Copies a string. */
 bstr bstr_copy(bstr b)
 {
 	return bstr_from_bytes(b.bstr_val, b.bstr_len);
 }
 
-/* Format into a fresh string. */
+/* Formats into a new string. */
 bstr bstr_vprintf(const char *fmt, va_list ap)
 {
 	bstr b;
@@ -56,7 +56,7 @@
 	return b;
 }
 
-/* Format into a fresh string. */
+/* Formats into a new string. */
 bstr bstr_printf(const char *fmt, ...)
 {
 	va_list ap;
@@ -68,7 +68,7 @@
 	return b;
 }
 
-/* Replace what dst owns by a copy of src; src may be part of dst. */
+/* Replaces dst with a copy of src, which may be part of dst. */
 void bstr_set(bstr *dst, bstr src)
 {
 	bstr copy = bstr_copy(src);
@@ -77,14 +77,14 @@
 	*dst = copy;
 }
 
-/* Free an owned string and make it empty. */
+/* Frees an owned string and makes it empty. */
 void bstr_free(bstr *b)
 {
 	free(b->bstr_val);
 	*b = BSTR_NONE;
 }
 
-/* Order by bytes, a prefix before what it begins. */
+/* Compares bytewise; a prefix sorts before the longer string. */
 int bstr_cmp(bstr a, bstr b)
 {
 	u_int n = a.bstr_len < b.bstr_len ? a.bstr_len : b.bstr_len;
@@ -95,21 +95,22 @@
 	return (a.bstr_len > b.bstr_len) - (a.bstr_len < b.bstr_len);
 }
 
-/* Same bytes? */
+/* Returns true if two strings have the same bytes. */
 bool bstr_eq(bstr a, bstr b)
 {
 	return a.bstr_len == b.bstr_len && !bstr_cmp(a, b);
 }
 
-/* Same bytes as a C string? */
+/* Returns true if a string has the same bytes as a C string. */
 bool bstr_eq_str(bstr a, const char *s)
 {
 	return bstr_eq(a, bstr_lit(s));
 }
 
 /*
- * A name is safe in keys of table rows, URLs and log lines: lower case
- * letters, digits, '.', '_' and '-', the first a letter or digit.
+ * Returns true if b is a name of at most max bytes.  A name needs no escaping
+ * in row keys, URLs and log lines: it has lower-case letters, digits, '.', '_'
+ * and '-', and starts with a letter or digit.
  */
 bool bstr_is_name(bstr b, size_t max)
 {
@@ -129,7 +130,7 @@
 	return true;
 }
 
-/* Copy into a C string; bytes after an embedded NUL are out of its reach. */
+/* Copies into a C string, which ends at the first embedded NUL. */
 char *bstr_cstr(bstr b)
 {
 	char *s = xmalloc((size_t)b.bstr_len + 1);
@@ -140,7 +141,10 @@
 	return s;
 }
 
-/* Make a JSON string; bytes that are not UTF-8 become '?'. */
+/*
+ * Returns a JSON string.  If b is not UTF-8, all its non-ASCII bytes become
+ * '?'.
+ */
 json_t *bstr_to_json(bstr b)
 {
 	json_t *j = json_stringn(b.bstr_val ? b.bstr_val : "", b.bstr_len);
@@ -158,7 +162,7 @@
 	return j;
 }
 
-/* Copy a JSON string; anything else is empty. */
+/* Copies the value of a JSON string; empty if j is of another type. */
 bstr bstr_from_json(const json_t *j)
 {
 	if (!json_is_string(j))
--- a/clock.c
+++ b/clock.c
@@ -2,7 +2,7 @@
 
 #include <time.h>
 
-/* Read a clock in milliseconds. */
+/* Reads a clock in milliseconds. */
 static int64_t clock_read(clockid_t id)
 {
 	struct timespec ts;
@@ -12,16 +12,20 @@
 }
 
 /*
- * Monotonic time.  CLOCK_BOOTTIME goes on while a VM is suspended, so a
- * holder that was frozen with its VM sees on waking that its deadlines have
- * passed; CLOCK_MONOTONIC would tell it that no time went by.
+ * Returns monotonic time.  CLOCK_BOOTTIME includes the time during which the VM
+ * was suspended, so a lease holder sees after a resume that its lease has
+ * expired.  CLOCK_MONOTONIC stops during suspension and would make the lease
+ * look valid.
  */
 int64_t clock_now(void)
 {
 	return clock_read(CLOCK_BOOTTIME);
 }
 
-/* Processor time that a thread of this process has used. */
+/*
+ * Returns the processor time that a thread of this process has used, 0 if it
+ * cannot be read.
+ */
 int64_t clock_thread_cpu(pthread_t thread)
 {
 	clockid_t id;
@@ -29,7 +33,10 @@
 	return pthread_getcpuclockid(thread, &id) ? 0 : clock_read(id);
 }
 
-/* Wall clock; only for what people read and for envelopes' deadlines. */
+/*
+ * Returns wall-clock time.  It is used only for output to people and for
+ * deadlines of sealed envelopes, because it can be stepped.
+ */
 int64_t clock_wall(void)
 {
 	return clock_read(CLOCK_REALTIME);
--- a/codec.c
+++ b/codec.c
@@ -4,7 +4,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Encode a value; the encoding of equal values is equal byte for byte. */
+/*
+ * Encodes a value; equal values have equal encodings.  Returns an empty string
+ * on failure.
+ */
 bstr xdr_encode(xdrproc_t proc, const void *value)
 {
 	unsigned long size = xdr_sizeof(proc, (void *)value);
@@ -24,9 +27,9 @@
 }
 
 /*
- * Decode into value, which need not be initialized.  Trailing bytes are an
- * error: an answer that is longer than expected is not the answer.  On
- * failure value holds nothing.
+ * Decodes into value, which need not be initialized.  Trailing bytes are an
+ * error, because a longer message is not of the expected type.  On failure
+ * value is zeroed and owns no memory.
  */
 bool xdr_decode(xdrproc_t proc, bstr bytes, void *value, size_t size)
 {
@@ -44,17 +47,17 @@
 	return ok;
 }
 
-/* Copy a value deeply; dst need not be initialized. */
+/* Makes a deep copy of a value; dst need not be initialized. */
 void xdr_copy(xdrproc_t proc, void *dst, const void *src, size_t size)
 {
 	bstr bytes = xdr_encode(proc, src);
 
 	if (!xdr_decode(proc, bytes, dst, size))
-		abort(); /* src is not a value of its type: a bug of ours */
+		abort(); /* src is not a valid value, which is a bug */
 	bstr_free(&bytes);
 }
 
-/* Same value? */
+/* Returns true if two values are equal. */
 bool xdr_equal(xdrproc_t proc, const void *a, const void *b)
 {
 	bstr x = xdr_encode(proc, a), y = xdr_encode(proc, b);
@@ -65,22 +68,22 @@
 	return same;
 }
 
-/* Encode for a JSON string. */
+/* Encodes bytes as base64 with padding. */
 bstr base64_encode(bstr bytes)
 {
 	const int variant = sodium_base64_VARIANT_ORIGINAL;
-	size_t room = sodium_base64_encoded_len(bytes.bstr_len, variant);
+	size_t size = sodium_base64_encoded_len(bytes.bstr_len, variant);
 	bstr b = BSTR_NONE;
 
-	b.bstr_val = xmalloc(room);
-	sodium_bin2base64(b.bstr_val, room,
+	b.bstr_val = xmalloc(size);
+	sodium_bin2base64(b.bstr_val, size,
 			  (const unsigned char *)bytes.bstr_val, bytes.bstr_len,
 			  variant);
-	b.bstr_len = (u_int)(room - 1);
+	b.bstr_len = (u_int)(size - 1);
 	return b;
 }
 
-/* Decode; false and empty bytes if the text is not wholly base64. */
+/* Decodes base64.  Returns false and empty bytes if the text is malformed. */
 bool base64_decode(bstr text, bstr *bytes)
 {
 	const char *end;
@@ -101,7 +104,7 @@
 	return true;
 }
 
-/* Encode as lower case hexadecimal. */
+/* Encodes bytes as lower-case hexadecimal digits. */
 bstr hex_encode(const void *p, size_t len)
 {
 	bstr b = BSTR_NONE;
@@ -112,7 +115,9 @@
 	return b;
 }
 
-/* Decode exactly len bytes. */
+/*
+ * Decodes hexadecimal digits.  Returns false unless they are exactly len bytes.
+ */
 bool hex_decode(bstr text, void *p, size_t len)
 {
 	size_t got;
@@ -124,7 +129,7 @@
 	       got == len;
 }
 
-/* Allocate an event of a kind, everything in it empty. */
+/* Allocates an event of a kind; all its fields are zero. */
 event *event_new(event_kind kind)
 {
 	event *ev = xcalloc(1, sizeof(*ev));
@@ -133,7 +138,7 @@
 	return ev;
 }
 
-/* Free an event with all it holds. */
+/* Frees an event and its contents; NULL is allowed. */
 void event_free(event *ev)
 {
 	if (!ev)
@@ -142,7 +147,7 @@
 	free(ev);
 }
 
-/* Allocate an effect of a kind, everything in it empty. */
+/* Allocates an effect of a kind; all its fields are zero. */
 effect *effect_new(effect_kind kind)
 {
 	effect *fx = xcalloc(1, sizeof(*fx));
@@ -151,7 +156,7 @@
 	return fx;
 }
 
-/* Free an effect with all it holds. */
+/* Frees an effect and its contents; NULL is allowed. */
 void effect_free(effect *fx)
 {
 	if (!fx)
@@ -160,7 +165,7 @@
 	free(fx);
 }
 
-/* The id by which the reducer knows a request to the platform. */
+/* Returns the request id of an effect that is sent to the platform. */
 uint64_t effect_request_id(const effect *fx)
 {
 	switch (fx->kind) {
--- a/counter.c
+++ b/counter.c
@@ -13,32 +13,32 @@
 
 static uint64_t counters[COUNTER_MAX];
 
-/* Add to a counter, from any thread. */
+/* Adds to a counter; any thread may call this. */
 void counter_add(enum counter_id id, uint64_t n)
 {
 	ck_pr_add_64(&counters[id], n);
 }
 
-/* Set a gauge, from any thread. */
+/* Sets a gauge; any thread may call this. */
 void counter_set(enum counter_id id, uint64_t n)
 {
 	ck_pr_store_64(&counters[id], n);
 }
 
-/* Read a counter. */
+/* Returns the value of a counter or gauge. */
 uint64_t counter_get(enum counter_id id)
 {
 	return ck_pr_load_64(&counters[id]);
 }
 
 /*
- * All counters in the text exposition format.  A family whose name ends in
- * _total only grows; any other is a gauge.
+ * Returns all counters, gauges and histograms in the Prometheus text exposition
+ * format.  A family is a counter if its name ends in _total, else a gauge.
  */
 bstr counter_text(void)
 {
 	const struct counter_entry *c;
-	const char *last = "", *kind;
+	const char *prev_family = "", *type;
 	char *text = NULL;
 	size_t size = 0;
 	bstr b;
@@ -50,12 +50,12 @@
 		abort();
 	for (i = 0; i < COUNTER_MAX; i++) {
 		c = &counter_entries[i];
-		if (strcmp(last, c->family) != 0) {
-			kind = strstr(c->family, "_total") ? "counter"
+		if (strcmp(prev_family, c->family) != 0) {
+			type = strstr(c->family, "_total") ? "counter"
 							   : "gauge";
 			fprintf(f, "# HELP %s %s\n# TYPE %s %s\n", c->family,
-				c->help, c->family, kind);
-			last = c->family;
+				c->help, c->family, type);
+			prev_family = c->family;
 		}
 		if (c->label)
 			fprintf(f, "%s{%s=\"%s\"} %" PRIu64 "\n", c->family,
@@ -71,7 +71,10 @@
 	return b;
 }
 
-/* All counters as one JSON object, "family" or "family.value" to number. */
+/*
+ * Returns all counters as a JSON object from "family" or "family.value" to
+ * number.
+ */
 json_t *counter_json(void)
 {
 	const struct counter_entry *c;
--- a/error.c
+++ b/error.c
@@ -3,14 +3,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Start with no findings. */
+/* Initializes an empty list of findings. */
 void error_init(struct error *e)
 {
 	TAILQ_INIT(&e->findings);
 	e->count = 0;
 }
 
-/* Add a finding at a place. */
+/* Adds a finding at a location. */
 void error_add(struct error *e, const char *place, const char *fmt, ...)
 {
 	struct finding *f = xcalloc(1, sizeof(*f));
@@ -25,7 +25,7 @@
 	e->count++;
 }
 
-/* Print the findings, one a line, in the order they were found. */
+/* Prints the findings, one per line, in the order in which they were added. */
 void error_print(const struct error *e, FILE *out)
 {
 	const struct finding *f;
@@ -34,7 +34,7 @@
 		fprintf(out, "%s: %s\n", f->location, f->text);
 }
 
-/* Join the findings into one line. */
+/* Returns all findings on one line; the caller frees it. */
 char *error_text(const struct error *e)
 {
 	const struct finding *f;
@@ -49,7 +49,7 @@
 	return text;
 }
 
-/* Free the findings; the error may be used again. */
+/* Frees the findings; the list can be used again. */
 void error_free(struct error *e)
 {
 	struct finding *f;
--- a/heap.c
+++ b/heap.c
@@ -3,47 +3,50 @@
 
 #include <stdlib.h>
 
-/* Put a node at a place. */
-static void node_put(struct heap *h, size_t place, struct heap_node *n)
+/* Stores a node at a position, counted from 1. */
+static void node_put(struct heap *h, size_t pos, struct heap_node *n)
 {
-	h->nodes[place - 1] = n;
-	n->index = place;
+	h->nodes[pos - 1] = n;
+	n->index = pos;
 }
 
-/* Move a node up to where it belongs. */
-static void node_rise(struct heap *h, struct heap_node *n)
+/* Moves a node up until its parent is not due later. */
+static void node_sift_up(struct heap *h, struct heap_node *n)
 {
-	size_t place = n->index;
+	size_t pos = n->index;
 	struct heap_node *parent;
 
-	while (place > 1) {
-		parent = h->nodes[place / 2 - 1];
+	while (pos > 1) {
+		parent = h->nodes[pos / 2 - 1];
 		if (parent->due <= n->due)
 			break;
-		node_put(h, place, parent);
-		place /= 2;
+		node_put(h, pos, parent);
+		pos /= 2;
 	}
-	node_put(h, place, n);
+	node_put(h, pos, n);
 }
 
-/* Move a node down to where it belongs. */
-static void node_sink(struct heap *h, struct heap_node *n)
+/* Moves a node down until no child is due earlier. */
+static void node_sift_down(struct heap *h, struct heap_node *n)
 {
-	size_t place = n->index, child;
+	size_t pos = n->index, child;
 
-	while ((child = 2 * place) <= h->count) {
+	while ((child = 2 * pos) <= h->count) {
 		if (child < h->count &&
 		    h->nodes[child]->due < h->nodes[child - 1]->due)
 			child++;
 		if (n->due <= h->nodes[child - 1]->due)
 			break;
-		node_put(h, place, h->nodes[child - 1]);
-		place = child;
+		node_put(h, pos, h->nodes[child - 1]);
+		pos = child;
 	}
-	node_put(h, place, n);
+	node_put(h, pos, n);
 }
 
-/* Put a node in, or move it, to be due at a time. */
+/*
+ * Inserts a node that is due at a time, or changes its time if it is in the
+ * heap.
+ */
 void heap_set(struct heap *h, struct heap_node *n, int64_t at)
 {
 	n->due = at;
@@ -55,34 +58,34 @@
 		}
 		node_put(h, ++h->count, n);
 	}
-	node_rise(h, n);
-	node_sink(h, n);
+	node_sift_up(h, n);
+	node_sift_down(h, n);
 }
 
-/* Take a node out, if it is in. */
+/* Removes a node, if it is in the heap. */
 void heap_remove(struct heap *h, struct heap_node *n)
 {
 	struct heap_node *last;
-	size_t place = n->index;
+	size_t pos = n->index;
 
-	if (!place)
+	if (!pos)
 		return;
 	n->index = 0;
 	last = h->nodes[--h->count];
 	if (last == n)
 		return;
-	node_put(h, place, last);
-	node_rise(h, last);
-	node_sink(h, last);
+	node_put(h, pos, last);
+	node_sift_up(h, last);
+	node_sift_down(h, last);
 }
 
-/* The node that is due first. */
+/* Returns the node that is due first, or NULL if the heap is empty. */
 struct heap_node *heap_first(const struct heap *h)
 {
 	return h->count ? h->nodes[0] : NULL;
 }
 
-/* Free the heap. */
+/* Frees the heap but not its nodes. */
 void heap_free(struct heap *h)
 {
 	free(h->nodes);
--- a/json-read.c
+++ b/json-read.c
@@ -2,14 +2,17 @@
 
 #include <string.h>
 
-/* Parse a whole text; of an object with a key twice neither value is right. */
+/*
+ * Parses a JSON text.  Rejects duplicate keys, because it is undefined which
+ * value applies.
+ */
 json_t *json_read(bstr text)
 {
 	return json_loadb(text.bstr_val ? text.bstr_val : "", text.bstr_len,
 			  JSON_REJECT_DUPLICATES, NULL);
 }
 
-/* Read a number that counts something; the library's own end at 2^63 - 1. */
+/* Reads a non-negative integer; jansson's integers end at 2^63 - 1. */
 bool json_read_u64(const json_t *j, const char *key, uint64_t *n)
 {
 	const json_t *v = json_object_get(j, key);
@@ -20,7 +23,7 @@
 	return true;
 }
 
-/* The same in 32 bits. */
+/* Reads a non-negative integer of up to 32 bits. */
 bool json_read_u32(const json_t *j, const char *key, uint32_t *n)
 {
 	uint64_t wide;
@@ -31,7 +34,7 @@
 	return true;
 }
 
-/* Read true or false. */
+/* Reads a boolean. */
 bool json_read_bool(const json_t *j, const char *key, bool_t *b)
 {
 	const json_t *v = json_object_get(j, key);
@@ -40,7 +43,7 @@
 	return json_is_boolean(v);
 }
 
-/* Read a text of at most max bytes. */
+/* Reads a string of at most max bytes; the caller frees the copy. */
 bool json_read_text(const json_t *j, const char *key, size_t max, bstr *text)
 {
 	const json_t *v = json_object_get(j, key);
@@ -51,7 +54,10 @@
 	return true;
 }
 
-/* Read a base64 value, within the bound of the schema. */
+/*
+ * Decodes a base64 string of at most BSTR_MAX bytes, the bound of the XDR
+ * schema.
+ */
 bool json_read_bytes(const json_t *j, const char *key, bstr *bytes)
 {
 	const json_t *v = json_object_get(j, key);
@@ -67,7 +73,7 @@
 	return false;
 }
 
-/* Bytes as a base64 string. */
+/* Returns bytes as a base64 string. */
 json_t *json_write_bytes(bstr b)
 {
 	bstr text = base64_encode(b);
@@ -77,7 +83,10 @@
 	return j;
 }
 
-/* Write compactly. */
+/*
+ * Serializes j without white space and drops the reference.  Returns an empty
+ * string if j contains a string that is not UTF-8.
+ */
 bstr json_write(json_t *j)
 {
 	char *text = json_dumps(j, JSON_COMPACT);
@@ -86,14 +95,14 @@
 	return text ? (bstr){(u_int)strlen(text), text} : BSTR_NONE;
 }
 
-/* Set a whole number that is left out when it is 0. */
+/* Sets a number, or omits it if it is 0. */
 void json_set_nonzero(json_t *j, const char *key, int64_t n)
 {
 	if (n)
 		json_object_set_new(j, key, json_integer(n));
 }
 
-/* Set a text that is left out when it is empty. */
+/* Sets a string, or omits it if it is empty. */
 void json_set_nonempty(json_t *j, const char *key, bstr text)
 {
 	if (text.bstr_len)
--- a/random.c
+++ b/random.c
@@ -1,8 +1,8 @@
 #include "bamboofront.h"
 
 /*
- * The next number of a seeded generator (splitmix64); the state is the
- * caller's, so that whoever replays a run draws the same.
+ * Returns the next number of a seeded generator (splitmix64).  The caller keeps
+ * the state, so that a replay draws the same numbers.
  */
 uint64_t random_next(uint64_t *state)
 {
--- a/xmalloc.c
+++ b/xmalloc.c
@@ -4,49 +4,50 @@
 #include <string.h>
 
 /*
- * A daemon that keeps nothing loses nothing by ending: another entry VM
- * takes over.  So a failed allocation is not passed up, it ends the process.
+ * Ends the process after a failed allocation.  The error is not passed to
+ * callers, because the daemon keeps no state of its own that would be lost:
+ * another entry VM takes over.
  */
-static void xmalloc_die(size_t size)
+static void xmalloc_fail(size_t size)
 {
 	fprintf(stderr, "bamboofront: out of memory (%zu bytes)\n", size);
 	abort();
 }
 
-/* Allocate size bytes; size 0 gives a pointer that may be freed. */
+/* Allocates size bytes.  For size 0 it also returns a pointer to free. */
 void *xmalloc(size_t size)
 {
 	void *p = malloc(size ? size : 1);
 
 	if (!p)
-		xmalloc_die(size);
+		xmalloc_fail(size);
 	return p;
 }
 
-/* Allocate count zeroed elements. */
+/* Allocates count zeroed elements. */
 void *xcalloc(size_t count, size_t size)
 {
 	void *p = calloc(count ? count : 1, size ? size : 1);
 
 	if (!p)
-		xmalloc_die(size);
+		xmalloc_fail(size);
 	return p;
 }
 
-/* Resize to count elements; an overflowing product ends the process. */
+/* Resizes to count elements; ends the process if count * size overflows. */
 void *xrealloc(void *p, size_t count, size_t size)
 {
 	void *q;
 
 	if (size && count > SIZE_MAX / size)
-		xmalloc_die(SIZE_MAX);
+		xmalloc_fail(SIZE_MAX);
 	q = realloc(p, count && size ? count * size : 1);
 	if (!q)
-		xmalloc_die(count * size);
+		xmalloc_fail(count * size);
 	return q;
 }
 
-/* Duplicate a C string. */
+/* Duplicates a C string. */
 char *xstrdup(const char *s)
 {
 	size_t len = strlen(s) + 1;
@@ -54,7 +55,7 @@
 	return memcpy(xmalloc(len), s, len);
 }
 
-/* Format into a fresh C string. */
+/* Formats into a new C string. */
 char *xasprintf(const char *fmt, ...)
 {
 	va_list ap;
@@ -62,7 +63,7 @@
 
 	va_start(ap, fmt);
 	if (vasprintf(&s, fmt, ap) < 0)
-		xmalloc_die(0);
+		xmalloc_fail(0);
 	va_end(ap);
 	return s;
 }
