--- a/cmd-config.c
+++ b/cmd-config.c
@@ -1,6 +1,9 @@
 #include "cmd.h"
 
-/* The configuration, and what the fleet does and why. */
+/*
+ * Commands for the configuration, and for questions about jobs, teams and the
+ * fleet.
+ */
 
 #define CONFIG(field) offsetof(op_request, op_request_u.config.field)
 #define NAME offsetof(op_request, op_request_u.name)
@@ -10,12 +13,12 @@
 static const struct cmd_field config_diff[] = {
 	{"FILE", FIELD_FILE, true, CONFIG(body), NULL},
 	{"--revision", FIELD_U64, false, CONFIG(revision),
-	 "compare with this revision; the newest by default"},
+	 "revision to compare with; the newest by default"},
 	{0}};
 static const struct cmd_field config_apply[] = {
 	{"FILE", FIELD_FILE, true, CONFIG(body), NULL},
 	{"--expect", FIELD_U64, true, CONFIG(revision),
-	 "the revision that this change was made from"},
+	 "revision that the file is based on"},
 	{0}};
 static const struct cmd_field none[] = {{0}};
 static const struct cmd_field job_name[] = {
@@ -29,13 +32,13 @@
 	{"config diff", config_diff, operator_exec, OP_CONFIG_DIFF, false,
 	 "show what a file would change"},
 	{"config apply", config_apply, operator_exec, OP_CONFIG_APPLY, true,
-	 "make a file the configuration, if nobody was first"},
+	 "apply a file, unless the newest revision is not --expect"},
 	{"config history", none, operator_exec, OP_CONFIG_HISTORY, false,
 	 "show who changed what"},
 	{"why job", job_name, operator_exec, OP_WHY_JOB, false,
-	 "tell what holds a job, and what would free it"},
+	 "explain why a job waits and what would unblock it"},
 	{"why team", team_name, operator_exec, OP_WHY_TEAM, false,
-	 "tell what holds a team's work"},
+	 "explain why the jobs of a team wait"},
 	{"fleet", none, operator_exec, OP_FLEET, false,
 	 "show the entry VMs, cells and VMs"},
 	{"counters", none, operator_exec, OP_COUNTERS, false,
--- a/cmd-operator.c
+++ b/cmd-operator.c
@@ -20,7 +20,7 @@
 	[OP_DENIED] = "denied",
 };
 
-/* Say what was found, and end with a code. */
+/* Prints and frees the findings in e and returns code. */
 int findings_exit(const struct cmd_client *c, struct error *e, int code)
 {
 	error_print(e, c->err);
@@ -28,7 +28,10 @@
 	return code;
 }
 
-/* Read a whole file; "-" is standard input. */
+/*
+ * Reads a file, or standard input for "-".  Returns false and adds a finding if
+ * that fails or the file is too large.
+ */
 bool file_read(const char *path, bstr *text, struct error *e)
 {
 	FILE *f = strcmp(path, "-") == 0 ? stdin : fopen(path, "re");
@@ -54,7 +57,7 @@
 	return n <= FILE_MAX_BYTES;
 }
 
-/* Leave out white space at the end of what a file holds. */
+/* Removes trailing white space. */
 void bstr_trim(bstr *text)
 {
 	while (text->bstr_len &&
@@ -62,9 +65,12 @@
 		text->bstr_len--;
 }
 
-/* Check and read what says who the operator is. */
-static bool operator_read(const struct cmd_client *c,
-			  uint8_t key[SEAL_KEY_BYTES], struct error *e)
+/*
+ * Checks the options that identify the operator and reads the key.  Returns
+ * false and adds findings if one is missing or invalid.
+ */
+static bool credentials_read(const struct cmd_client *c,
+			     uint8_t key[SEAL_KEY_BYTES], struct error *e)
 {
 	bstr text;
 
@@ -87,11 +93,11 @@
 }
 
 /*
- * Call one server after another until one has answered.  A change goes on
- * only from a server that can't have carried it out: one that was not
- * reached, or to which the call was not sent whole.  After any other failure
- * it may have taken effect, and a second try could do it twice.  false: no
- * server was reached, and reply holds nothing.
+ * Calls the servers in turn until one has answered.  A command that changes
+ * state goes to the next server only if it was certainly not carried out: there
+ * was no connection, or the call was not sent completely.  After any other
+ * failure it may have taken effect, and a retry could carry it out twice.
+ * Returns false if no server was reached; reply is not set then.
  */
 static bool servers_call(const struct cmd_client *c, const struct command *cmd,
 			 const uint8_t key[SEAL_KEY_BYTES],
@@ -99,7 +105,7 @@
 			 struct error *e)
 {
 	struct operator_client *oc;
-	bool called = false, answered, again;
+	bool called = false, answered, retry;
 	int64_t deadline;
 	size_t i;
 
@@ -115,17 +121,20 @@
 		called = true;
 		operator_client_close(oc);
 		if (cmd->changes)
-			again = !answered && reply->status == OP_UNAVAILABLE;
+			retry = !answered && reply->status == OP_UNAVAILABLE;
 		else
-			again = reply->status == OP_UNAVAILABLE ||
+			retry = reply->status == OP_UNAVAILABLE ||
 				reply->status == OP_UNKNOWN;
-		if (!again)
+		if (!retry)
 			break;
 	}
 	return called;
 }
 
-/* The document to print: the body, with a fresh key's secret in it. */
+/*
+ * Returns the document to print: the body, with the secret of a new key as a
+ * member.
+ */
 static json_t *reply_document(const op_reply *reply)
 {
 	json_t *j = NULL;
@@ -143,7 +152,7 @@
 	return j;
 }
 
-/* Print a failure as a document. */
+/* Prints a failure as a JSON document. */
 static void failure_json(const struct cmd_client *c, const op_reply *reply,
 			 const char *status)
 {
@@ -161,7 +170,7 @@
 	json_decref(j);
 }
 
-/* Say why a request was not done. */
+/* Prints why a request failed. */
 static void failure_print(const struct cmd_client *c, const op_reply *reply)
 {
 	const char *status = (unsigned)reply->status < NELEMS(status_names)
@@ -175,11 +184,11 @@
 	if (reply->detail.bstr_len)
 		fprintf(c->err, ": %.*s", BSTR_ARG(reply->detail));
 	if (reply->retry_after_ms)
-		fprintf(c->err, " (come back in %u ms)", reply->retry_after_ms);
+		fprintf(c->err, " (retry after %u ms)", reply->retry_after_ms);
 	fputc('\n', c->err);
 }
 
-/* Print a reply; the exit code. */
+/* Prints a reply and returns the exit code. */
 static int reply_print(const struct cmd_client *c, const op_reply *reply)
 {
 	json_t *j = reply_document(reply);
@@ -200,8 +209,8 @@
 						    : CMD_UNKNOWN;
 }
 
-/* A key without an id gets one that no other has. */
-static void key_name(op_key *key)
+/* Generates an id for a key that has none: the team and a random suffix. */
+static void key_set_default_id(op_key *key)
 {
 	unsigned char bytes[4];
 	bstr hex;
@@ -215,7 +224,7 @@
 	bstr_free(&hex);
 }
 
-/* Carry out an operator's command. */
+/* Executes an operator's command and returns the exit code. */
 int operator_exec(const struct cmd_client *c, const struct command *cmd,
 		  union cmd_values *v)
 {
@@ -225,10 +234,10 @@
 	int code;
 
 	error_init(&e);
-	if (!operator_read(c, key, &e))
+	if (!credentials_read(c, key, &e))
 		return findings_exit(c, &e, CMD_INVALID);
 	if (cmd->kind == OP_KEY_CREATE)
-		key_name(&v->request.op_request_u.key);
+		key_set_default_id(&v->request.op_request_u.key);
 	if (!servers_call(c, cmd, key, &v->request, &reply, &e)) {
 		sodium_memzero(key, sizeof(key));
 		return findings_exit(c, &e, CMD_NO_CONNECTION);
--- a/cmd-parse.c
+++ b/cmd-parse.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* popt's numbers for a command's fields begin here. */
-#define FIELD_VALUE 1000
+/* The popt value of a field's option is this plus the index of the field. */
+#define FIELD_VAL_BASE 1000
 #define CMD_NAME_MAX 128
 
 static const struct command *const tables[] = {
@@ -14,13 +14,16 @@
 	trace_commands, submit_commands,
 };
 
-/* Is a field an option? */
+/* Returns true if a field is an option, false if it is an argument. */
 static bool field_is_option(const struct cmd_field *f)
 {
 	return f->name[0] == '-';
 }
 
-/* Find a command by its first words; used says how many they are. */
+/*
+ * Looks up a command by its first one or two words and stores how many in
+ * used.  Returns NULL if there is none.
+ */
 const struct command *command_find(const char *const *words, size_t *used)
 {
 	const struct command *cmd;
@@ -45,7 +48,7 @@
 	return NULL;
 }
 
-/* Read a whole decimal number. */
+/* Parses a decimal integer of at most max. */
 static bool number_parse(const char *text, uint64_t max, uint64_t *n)
 {
 	char *end;
@@ -57,7 +60,7 @@
 	return !errno && !*end && *n <= max;
 }
 
-/* Add a name to a list. */
+/* Appends a name to a list. */
 static void names_add(struct cmd_names *names, bstr name)
 {
 	names->list = xrealloc(names->list, names->count + 1,
@@ -65,7 +68,7 @@
 	names->list[names->count++] = bstr_copy(name);
 }
 
-/* Read a JSON document from a file. */
+/* Reads a file and checks that it is JSON. */
 static void json_file_read(const char *path, bstr *to, struct error *e)
 {
 	json_error_t je;
@@ -84,9 +87,9 @@
 	json_decref(j);
 }
 
-/* Put one word of the command line where its field says. */
-static void field_set(const struct cmd_field *f, const char *text,
-		      union cmd_values *v, struct error *e)
+/* Parses a word of the command line and stores it as the value of a field. */
+static void field_parse(const struct cmd_field *f, const char *text,
+			union cmd_values *v, struct error *e)
 {
 	void *to = (char *)v + f->offset;
 	bstr b = bstr_lit(text);
@@ -129,9 +132,12 @@
 	}
 }
 
-/* Make popt's table for a command: its fields, the common ones, help. */
-static struct poptOption *options_make(const struct command *cmd,
-				       const struct poptOption *common)
+/*
+ * Returns the popt table of a command: its options, the common options and
+ * --help.
+ */
+static struct poptOption *options_new(const struct command *cmd,
+				      const struct poptOption *common)
 {
 	const struct poptOption tail[] = {{NULL, '\0', POPT_ARG_INCLUDE_TABLE,
 					   (void *)common, 0,
@@ -151,7 +157,7 @@
 		table[n].longName = f->name + 2;
 		table[n].argInfo = f->type == FIELD_FLAG ? POPT_ARG_NONE
 							 : POPT_ARG_STRING;
-		table[n].val = FIELD_VALUE + (int)i;
+		table[n].val = FIELD_VAL_BASE + (int)i;
 		table[n].descrip = f->help;
 		table[n].argDescrip = f->type == FIELD_FLAG   ? NULL
 				      : f->type == FIELD_U32  ? "N"
@@ -164,19 +170,19 @@
 	return table;
 }
 
-/* Take the options; seen has a bit for each field. */
-static void options_take(const struct command *cmd, poptContext c,
-			 union cmd_values *v, uint64_t *seen, struct error *e)
+/* Parses the options and sets the bit of each of them in seen. */
+static void options_parse(const struct command *cmd, poptContext c,
+			  union cmd_values *v, uint64_t *seen, struct error *e)
 {
 	char *arg;
 	int rc;
 
 	while ((rc = poptGetNextOpt(c)) > 0) {
-		if (rc < FIELD_VALUE)
+		if (rc < FIELD_VAL_BASE)
 			continue;
-		rc -= FIELD_VALUE;
+		rc -= FIELD_VAL_BASE;
 		arg = poptGetOptArg(c);
-		field_set(&cmd->fields[rc], arg ? arg : "", v, e);
+		field_parse(&cmd->fields[rc], arg ? arg : "", v, e);
 		*seen |= (uint64_t)1 << rc;
 		free(arg);
 	}
@@ -184,9 +190,10 @@
 		error_add(e, poptBadOption(c, 0), "%s", poptStrerror(rc));
 }
 
-/* Take the arguments in the order of their fields. */
-static void arguments_take(const struct command *cmd, poptContext c,
-			   union cmd_values *v, uint64_t *seen, struct error *e)
+/* Parses the arguments, in the order of their fields. */
+static void arguments_parse(const struct command *cmd, poptContext c,
+			    union cmd_values *v, uint64_t *seen,
+			    struct error *e)
 {
 	const char *arg;
 	size_t i;
@@ -197,7 +204,7 @@
 		arg = poptGetArg(c);
 		if (!arg)
 			break;
-		field_set(&cmd->fields[i], arg, v, e);
+		field_parse(&cmd->fields[i], arg, v, e);
 		*seen |= (uint64_t)1 << i;
 	}
 	while ((arg = poptGetArg(c)))
@@ -205,14 +212,14 @@
 }
 
 /*
- * Read a command's words; argv[0] is the command's last word.  Everything
- * that is wrong goes into e; command_free is due in any case.
+ * Parses the command line of a command; argv[0] is the last word of its name.
+ * Adds every error to e.  The caller calls command_free in any case.
  */
 bool command_parse(const struct command *cmd, const struct poptOption *common,
 		   int argc, const char **argv, union cmd_values *v,
 		   struct error *e)
 {
-	struct poptOption *table = options_make(cmd, common);
+	struct poptOption *table = options_new(cmd, common);
 	const char **words = xcalloc((size_t)argc + 1, sizeof(*words));
 	char *usage = command_usage(cmd);
 	uint64_t seen = 0;
@@ -220,13 +227,13 @@
 	size_t i;
 
 	memset(v, 0, sizeof(*v));
-	/* popt takes the program's name from the first word */
+	/* popt uses the first word as the program's name */
 	memcpy(words, argv, (size_t)argc * sizeof(*words));
 	words[0] = "bamboofront";
 	c = poptGetContext("bamboofront", argc, words, table, 0);
 	poptSetOtherOptionHelp(c, usage);
-	options_take(cmd, c, v, &seen, e);
-	arguments_take(cmd, c, v, &seen, e);
+	options_parse(cmd, c, v, &seen, e);
+	arguments_parse(cmd, c, v, &seen, e);
 	for (i = 0; cmd->fields[i].name; i++)
 		if (cmd->fields[i].required && !(seen & (uint64_t)1 << i))
 			error_add(e, cmd->fields[i].name, "is missing");
@@ -239,7 +246,7 @@
 	return !e->count;
 }
 
-/* Free what a command's fields hold. */
+/* Frees the values of a command's fields. */
 void command_free(const struct command *cmd, union cmd_values *v)
 {
 	const struct cmd_field *f;
@@ -259,7 +266,7 @@
 	}
 }
 
-/* A command's usage: "pool create POOL --dc TEXT... [--budget N]". */
+/* Returns the usage of a command, such as "vm drain VM [--deadline N]". */
 char *command_usage(const struct command *cmd)
 {
 	const struct cmd_field *f;
@@ -280,7 +287,7 @@
 	return text;
 }
 
-/* List every command with its usage and what it does. */
+/* Prints the usage and description of every command. */
 void commands_print(FILE *out)
 {
 	const struct command *cmd;
--- a/cmd-team.c
+++ b/cmd-team.c
@@ -1,6 +1,6 @@
 #include "cmd.h"
 
-/* Teams and their keys. */
+/* Commands for teams and their keys. */
 
 #define TEAM(field) offsetof(op_request, op_request_u.team.field)
 #define KEY(field) offsetof(op_request, op_request_u.key.field)
@@ -8,11 +8,12 @@
 static const struct cmd_field team_create[] = {
 	{"TEAM", FIELD_NAME, true, TEAM(team), NULL},
 	{"--share", FIELD_U32, true, TEAM(share),
-	 "its weight when everything is full"},
+	 "its weight when the fleet is full"},
 	{"--limit", FIELD_U32, true, TEAM(limit),
-	 "slots it may have across the fleet"},
+	 "its upper limit of slots across the fleet"},
 	{"--grace", FIELD_U32, false, TEAM(grace_ms),
-	 "ms that its keys are taken unproved; 0, the default: none"},
+	 "ms that its keys are accepted without proof of freshness; "
+	 "0 by default"},
 	{0}};
 static const struct cmd_field team_name[] = {
 	{"TEAM", FIELD_NAME, true, TEAM(team), NULL}, {0}};
@@ -46,19 +47,19 @@
 
 const struct command team_commands[] = {
 	{"team create", team_create, operator_exec, OP_TEAM_CREATE, true,
-	 "make a team"},
+	 "create a team"},
 	{"team remove", team_name, operator_exec, OP_TEAM_REMOVE, true,
 	 "remove a team and its keys"},
 	{"team show", team_show, operator_exec, OP_TEAM_SHOW, false,
 	 "show one team or all"},
 	{"team share", team_share, operator_exec, OP_TEAM_SHARE, true,
-	 "set a team's weight when everything is full"},
+	 "set a team's weight when the fleet is full"},
 	{"team limit", team_limit, operator_exec, OP_TEAM_LIMIT, true,
 	 "set a team's upper limit across the fleet"},
 	{"team grace", team_grace, operator_exec, OP_TEAM_GRACE, true,
-	 "set how long a team's keys are taken unproved"},
+	 "set how long keys are accepted without proof of freshness"},
 	{"key create", key_create, operator_exec, OP_KEY_CREATE, true,
-	 "make a key; its secret is shown this once"},
+	 "create a key; its secret is shown only once"},
 	{"key withdraw", key_withdraw, operator_exec, OP_KEY_WITHDRAW, true,
 	 "withdraw a key"},
 	{"key show", key_show, operator_exec, OP_KEY_SHOW, false,
--- a/cmd-trace.c
+++ b/cmd-trace.c
@@ -1,7 +1,7 @@
 /*
- * Following one id through the logs of all entry VMs: its own lines in the
- * order of time, with what happened meanwhile to the owner, the store and the
- * workers that they name.
+ * The trace command.  It prints the lines about one id from the logs of all
+ * entry VMs, ordered by time, together with the lines of the same period about
+ * the owner, the store and the workers that they name.
  */
 #include "cmd.h"
 
@@ -9,22 +9,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Lines about the owner and the store count from so long before the id. */
+/* Context lines are printed from this long before the first line of the id. */
 #define CONTEXT_MS 5000
 
 struct trace_line {
 	int64_t wall_ms;
-	char *text; /* from "ev=" on */
-	bool own;   /* names the id */
+	char *text;  /* starting with "ev=" */
+	bool has_id; /* contains the id */
 };
 
 struct trace {
 	struct trace_line *lines;
 	size_t count;
-	size_t room;
+	size_t capacity;
 };
 
-/* The value of a field; its length in len, NULL if it is not there. */
+/*
+ * Returns the value of a field and its length in len, or NULL if the line does
+ * not have it.
+ */
 static const char *field_find(const char *line, const char *name, size_t *len)
 {
 	size_t n = strlen(name);
@@ -40,7 +43,10 @@
 	return NULL;
 }
 
-/* Is it a line about the owner or the store, which concerns every job? */
+/*
+ * Returns true if a line is about the owner, the store or a lost worker, which
+ * may concern every job.
+ */
 static bool line_is_context(const char *line)
 {
 	static const char *const names[] = {"OWNER_", "STORE_", "SUSPENDED",
@@ -54,7 +60,7 @@
 	return false;
 }
 
-/* Keep a line of a log. */
+/* Adds a log line, if it contains the id or is a context line. */
 static void trace_add(struct trace *t, const char *line, const char *id)
 {
 	const char *text = strstr(line, "ev="), *wall;
@@ -64,17 +70,20 @@
 		return;
 	if (!strstr(text, id) && !line_is_context(text))
 		return;
-	if (t->count == t->room) {
-		t->room = t->room ? 2 * t->room : 64;
-		t->lines = xrealloc(t->lines, t->room, sizeof(*t->lines));
+	if (t->count == t->capacity) {
+		t->capacity = t->capacity ? 2 * t->capacity : 64;
+		t->lines = xrealloc(t->lines, t->capacity, sizeof(*t->lines));
 	}
 	t->lines[t->count++] = (struct trace_line){
 		.wall_ms = strtoll(wall, NULL, 10),
 		.text = xstrdup(text),
-		.own = strstr(text, id) != NULL};
+		.has_id = strstr(text, id) != NULL};
 }
 
-/* The order of time; lines of one moment stay in the order they came. */
+/*
+ * Orders lines by wall-clock time.  Lines of the same time are equal, so that a
+ * stable qsort keeps the order of the log.
+ */
 static int trace_cmp(const void *a, const void *b)
 {
 	const struct trace_line *x = a, *y = b;
@@ -82,52 +91,58 @@
 	return (x->wall_ms > y->wall_ms) - (x->wall_ms < y->wall_ms);
 }
 
-/* Does a line speak of a worker that a line of the id names? */
-static bool trace_names_worker(const struct trace *t, const char *line)
+/*
+ * Returns true if a line has no worker field, or names the same worker as a
+ * line of the id.
+ */
+static bool trace_concerns_worker(const struct trace *t, const char *line)
 {
 	size_t len, n, i;
-	const char *worker = field_find(line, "worker", &len), *own;
+	const char *worker = field_find(line, "worker", &len), *other;
 
 	if (!worker)
 		return true;
 	for (i = 0; i < t->count; i++) {
-		own = t->lines[i].own
-			      ? field_find(t->lines[i].text, "worker", &n)
-			      : NULL;
-		if (own && n == len && strncmp(own, worker, len) == 0)
+		other = t->lines[i].has_id
+				? field_find(t->lines[i].text, "worker", &n)
+				: NULL;
+		if (other && n == len && strncmp(other, worker, len) == 0)
 			return true;
 	}
 	return false;
 }
 
-/* Print the id's lines and what lies between them; their number. */
+/*
+ * Prints the lines of the id and the context lines of their period.  Returns
+ * the number of lines of the id.
+ */
 static size_t trace_print(const struct trace *t, FILE *out)
 {
 	int64_t first = INT64_MAX, last = INT64_MIN;
 	const struct trace_line *l;
-	size_t i, own = 0;
+	size_t i, matches = 0;
 
 	for (i = 0; i < t->count; i++) {
 		l = &t->lines[i];
-		if (!l->own)
+		if (!l->has_id)
 			continue;
-		own++;
+		matches++;
 		first = l->wall_ms < first ? l->wall_ms : first;
 		last = l->wall_ms > last ? l->wall_ms : last;
 	}
 	for (i = 0; i < t->count; i++) {
 		l = &t->lines[i];
-		if (!l->own &&
+		if (!l->has_id &&
 		    (l->wall_ms < first - CONTEXT_MS || l->wall_ms > last ||
-		     !trace_names_worker(t, l->text)))
+		     !trace_concerns_worker(t, l->text)))
 			continue;
 		fprintf(out, "%+8lld ms %c %s", (long long)(l->wall_ms - first),
-			l->own ? '*' : ' ', l->text);
+			l->has_id ? '*' : ' ', l->text);
 	}
-	return own;
+	return matches;
 }
 
-/* Read a log and print what it tells of an id. */
+/* Reads a log and prints the trace of an id. */
 static int trace_exec(const struct cmd_client *c, const struct command *cmd,
 		      union cmd_values *v)
 {
@@ -136,19 +151,19 @@
 	struct trace t = {0};
 	struct error e;
 	char *line = NULL;
-	size_t room = 0, own = 0, i;
+	size_t capacity = 0, matches = 0, i;
 
 	(void)cmd;
 	error_init(&e);
 	if (!f)
 		error_add(&e, path, "can't be opened: %s", strerror(errno));
-	while (f && getline(&line, &room, f) > 0)
+	while (f && getline(&line, &capacity, f) > 0)
 		trace_add(&t, line, id);
 	if (t.count)
 		qsort(t.lines, t.count, sizeof(*t.lines), trace_cmp);
-	own = trace_print(&t, c->out);
-	if (f && !own)
-		error_add(&e, id, "no line names it");
+	matches = trace_print(&t, c->out);
+	if (f && !matches)
+		error_add(&e, id, "no log line contains it");
 	for (i = 0; i < t.count; i++)
 		free(t.lines[i].text);
 	free(t.lines);
@@ -157,7 +172,7 @@
 	free(path);
 	if (f && f != stdin)
 		fclose(f);
-	return findings_exit(c, &e, own ? CMD_OK : CMD_NOT_FOUND);
+	return findings_exit(c, &e, matches ? CMD_OK : CMD_NOT_FOUND);
 }
 
 #define TRACE(field) offsetof(struct cmd_job, field)
