--- a/bamboofront.c
+++ b/bamboofront.c
@@ -1,6 +1,4 @@
-/*
- * bamboofront: the command line of operators and submitters.
- */
+/* The command-line client of operators and submitters. */
 #include "cmd.h"
 
 #include <curl/curl.h>
@@ -8,31 +6,31 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TIMEOUT_MS 10000
+#define DEFAULT_TIMEOUT_MS 10000
 
-static struct cmd_client client = {.timeout_ms = TIMEOUT_MS};
+static struct cmd_client client = {.timeout_ms = DEFAULT_TIMEOUT_MS};
 static int want_help, want_version;
 
 static const struct poptOption common[] = {
 	{"server", 's', POPT_ARG_ARGV, &client.servers, 0,
-	 "an entry VM's operators' address; may be given again", "IP:PORT"},
+	 "an entry VM's address for operators; may be repeated", "IP:PORT"},
 	{"operator", 'o', POPT_ARG_STRING, &client.operator, 0,
 	 "the operator's name", "NAME"},
 	{"key-file", 'k', POPT_ARG_STRING, &client.key_file, 0,
-	 "the operator's key, 64 hexadecimal digits", "FILE"},
+	 "file with the operator's key, 64 hexadecimal digits", "FILE"},
 	{"callers", 'c', POPT_ARG_STRING, &client.callers, 0,
-	 "the callers' interface", "URL"},
+	 "URL of the callers' API", "URL"},
 	{"key", 'K', POPT_ARG_STRING, &client.secret_file, 0,
-	 "a file with the secret of a team's key", "FILE"},
+	 "file with the secret of a team's key", "FILE"},
 	{"ca", '\0', POPT_ARG_STRING, &client.ca_file, 0,
-	 "certificates that --callers is checked against", "FILE"},
+	 "CA certificates for verifying the callers' API", "FILE"},
 	{"json", 'j', POPT_ARG_NONE, &client.json, 0,
 	 "print the answer as JSON", NULL},
 	{"timeout", 't', POPT_ARG_INT, &client.timeout_ms, 0,
-	 "give up after this long; 10000 by default", "MS"},
+	 "timeout of a call; 10000 by default", "MS"},
 	POPT_TABLEEND};
 
-/* Print what there is. */
+/* Prints the options and all commands. */
 static void help_print(FILE *f)
 {
 	fprintf(f, "Usage: bamboofront [OPTION...] COMMAND...\n\nOptions:\n"
@@ -45,7 +43,7 @@
 	commands_print(f);
 }
 
-/* Run a command; argv begins with its first word. */
+/* Runs a command; argv starts with its first word.  Returns the exit code. */
 static int command_run(int argc, const char **argv)
 {
 	const struct command *cmd;
@@ -77,7 +75,9 @@
 	return code;
 }
 
-/* Take the options before the command, then run it. */
+/*
+ * Parses the options before the command, then runs it.  Returns the exit code.
+ */
 static int client_main(poptContext c)
 {
 	const char **argv;
--- a/operator-client.c
+++ b/operator-client.c
@@ -11,10 +11,10 @@
 	char *address;
 	char *name;
 	uint8_t key[SEAL_KEY_BYTES];
-	struct rpc_client *rpc; /* NULL: to be connected afresh */
+	struct rpc_client *rpc; /* NULL if not connected */
 };
 
-/* Connect unless a connection is open that can be used. */
+/* Connects, unless there is a usable connection.  Returns false on failure. */
 static bool client_connect(struct operator_client *c, int64_t deadline)
 {
 	if (c->rpc && rpc_client_alive(c->rpc))
@@ -25,7 +25,7 @@
 	return c->rpc;
 }
 
-/* Connect to an entry VM; NULL with a finding if that fails. */
+/* Connects to an entry VM.  Returns NULL and adds a finding on failure. */
 struct operator_client *operator_client_open(const char *address,
 					     const char *name,
 					     const uint8_t key[SEAL_KEY_BYTES],
@@ -45,9 +45,12 @@
 	return NULL;
 }
 
-/* Fill a reply of our own, for want of one from an entry VM. */
-static bool reply_own(op_reply *reply, op_status status, const char *reason,
-		      const char *detail)
+/*
+ * Fills a reply that the client creates itself because there is none from an
+ * entry VM.  Returns false, for the result of operator_client_call.
+ */
+static bool reply_fill_local(op_reply *reply, op_status status,
+			     const char *reason, const char *detail)
 {
 	memset(reply, 0, sizeof(*reply));
 	reply->status = status;
@@ -57,32 +60,33 @@
 }
 
 /*
- * What a failed call means for the request.  A record that was not sent
- * whole is never carried out; once it was, only an answer can tell.
+ * Fills the reply for a failed call.  A request that was not sent completely is
+ * never carried out.  One that was sent may have been carried out, so without
+ * an answer its outcome is unknown.
  */
-static bool reply_failed(op_reply *reply, enum clnt_stat stat)
+static bool reply_fill_failure(op_reply *reply, enum clnt_stat stat)
 {
 	switch (stat) {
 	case RPC_AUTHERROR:
-		return reply_own(reply, OP_DENIED, "denied",
-				 "name, key or clock did not hold");
+		return reply_fill_local(reply, OP_DENIED, "denied",
+					"name, key or clock did not hold");
 	case RPC_CANTENCODEARGS:
-		return reply_own(reply, OP_INVALID, "too-large",
-				 "the request is too large to be sent");
+		return reply_fill_local(reply, OP_INVALID, "too-large",
+					"the request is too large to be sent");
 	case RPC_CANTSEND:
 	case RPC_PROGUNAVAIL:
 	case RPC_PROGVERSMISMATCH:
 	case RPC_PROCUNAVAIL:
 	case RPC_CANTDECODEARGS:
-		return reply_own(reply, OP_UNAVAILABLE, "not-sent",
-				 clnt_sperrno(stat));
+		return reply_fill_local(reply, OP_UNAVAILABLE, "not-sent",
+					clnt_sperrno(stat));
 	default:
-		return reply_own(reply, OP_UNKNOWN, "no-answer",
-				 clnt_sperrno(stat));
+		return reply_fill_local(reply, OP_UNKNOWN, "no-answer",
+					clnt_sperrno(stat));
 	}
 }
 
-/* Open an answer and the secret in it. */
+/* Verifies and decodes an answer, and decrypts the secret in it. */
 static bool reply_open(const struct operator_client *c, const sealed *request,
 		       const sealed *answer, op_reply *reply)
 {
@@ -94,31 +98,35 @@
 	free(purpose);
 	if (!ok || !xdr_decode(XDR_PROC(xdr_op_reply), answer->body, reply,
 			       sizeof(*reply)))
-		return reply_own(reply, OP_UNKNOWN, "bad-answer",
-				 "the answer's seal did not hold");
+		return reply_fill_local(reply, OP_UNKNOWN, "bad-answer",
+					"the answer's seal did not hold");
 	if (!reply->secret.bstr_len)
 		return true;
 	if (!secret_unseal(reply->secret, c->key, request->nonce, &secret)) {
 		xdr_free(XDR_PROC(xdr_op_reply), (char *)reply);
-		return reply_own(reply, OP_UNKNOWN, "bad-answer",
-				 "the secret in the answer did not hold");
+		return reply_fill_local(
+			reply, OP_UNKNOWN, "bad-answer",
+			"the secret in the answer did not hold");
 	}
 	bstr_free(&reply->secret);
 	reply->secret = secret;
 	return true;
 }
 
-/* Send a sealed request and open the answer. */
-static bool client_exchange(struct operator_client *c, const sealed *request,
-			    int64_t deadline, op_reply *reply)
+/*
+ * Sends a sealed request and opens the answer.  Closes the connection on
+ * failure.
+ */
+static bool client_call(struct operator_client *c, const sealed *request,
+			int64_t deadline, op_reply *reply)
 {
 	enum clnt_stat stat;
 	sealed answer;
 	bool ok;
 
 	if (!client_connect(c, deadline))
-		return reply_own(reply, OP_UNAVAILABLE, "no-connection",
-				 "no connection to this entry VM");
+		return reply_fill_local(reply, OP_UNAVAILABLE, "no-connection",
+					"no connection to this entry VM");
 	memset(&answer, 0, sizeof(answer));
 	stat = rpc_client_call(c->rpc, OPERATE, request, XDR_PROC(xdr_sealed),
 			       &answer, deadline);
@@ -130,10 +138,10 @@
 	xdr_free(XDR_PROC(xdr_sealed), (char *)&answer);
 	rpc_client_close(c->rpc);
 	c->rpc = NULL;
-	return reply_failed(reply, stat);
+	return reply_fill_failure(reply, stat);
 }
 
-/* Call an entry VM. */
+/* Seals a request, sends it to the entry VM and fills reply. */
 bool operator_client_call(struct operator_client *c, const op_request *req,
 			  int64_t deadline, op_reply *reply)
 {
@@ -143,13 +151,13 @@
 
 	seal(&request, OPERATOR_CALL_PURPOSE, bstr_lit(c->name), body,
 	     clock_wall() + SEAL_LIFE_MS, c->key);
-	ok = client_exchange(c, &request, deadline, reply);
+	ok = client_call(c, &request, deadline, reply);
 	xdr_free(XDR_PROC(xdr_sealed), (char *)&request);
 	bstr_free(&body);
 	return ok;
 }
 
-/* Close the connection. */
+/* Closes the connection and clears the key; NULL is allowed. */
 void operator_client_close(struct operator_client *c)
 {
 	if (!c)
--- a/table-print.c
+++ b/table-print.c
@@ -5,14 +5,17 @@
 #include <string.h>
 
 /*
- * JSON as tables for people: a list of objects has a column for each key, an
- * object has a line for each member, and lists of objects in an object
- * follow it as tables of their own.
+ * Prints JSON as text tables.  A list of objects has a column per key, an
+ * object has a line per member, and lists of objects within an object follow it
+ * as separate tables.
  */
 
 #define COLUMN_GAP 2
 
-/* Text for one cell; control characters must not reach a terminal. */
+/*
+ * Returns the text of a cell.  Control characters become blanks, so that they
+ * do not reach a terminal.
+ */
 static char *cell_text(const json_t *j)
 {
 	char *text, *p;
@@ -32,7 +35,10 @@
 	return text;
 }
 
-/* Characters of a UTF-8 text: the bytes that don't continue one. */
+/*
+ * Returns the number of characters of a UTF-8 text, by counting all bytes but
+ * continuation bytes.
+ */
 static size_t text_width(const char *text)
 {
 	size_t n = 0;
@@ -42,8 +48,11 @@
 	return n;
 }
 
-/* Write a cell; all but the last of a line are filled up to their width. */
-static void cell_write(FILE *f, const char *text, size_t width, bool last)
+/*
+ * Prints a cell, padded to the column's width, or the last cell of a line with
+ * a newline.
+ */
+static void cell_print(FILE *f, const char *text, size_t width, bool last)
 {
 	size_t n = text_width(text);
 
@@ -54,14 +63,14 @@
 		fprintf(f, "%*s", (int)(width - n + COLUMN_GAP), "");
 }
 
-/* Is this a list of objects, and not empty? */
+/* Returns true if j is a non-empty list of objects. */
 static bool is_rows(const json_t *j)
 {
 	return json_is_array(j) && json_is_object(json_array_get(j, 0));
 }
 
-/* Does a row of a list have this key? */
-static bool rows_have(const json_t *rows, const char *key)
+/* Returns true if any row has this key. */
+static bool rows_have_key(const json_t *rows, const char *key)
 {
 	json_t *row;
 	size_t i;
@@ -74,12 +83,13 @@
 }
 
 /*
- * The keys of all rows: first what a row is about, so that the eye finds
- * it, then the others in the order in which they come.
+ * Returns the keys of all rows, as the members of an object.  Keys that
+ * identify a row come first, for readability; the others follow in order of
+ * appearance.
  */
 static json_t *rows_keys(const json_t *rows)
 {
-	static const char *const subjects[] = {
+	static const char *const identifiers[] = {
 		"job", "revision", "vm", "key", "wave", "team", "pool", "unit",
 	};
 	json_t *keys = json_object(), *row;
@@ -87,9 +97,9 @@
 	json_t *value;
 	size_t i;
 
-	for (i = 0; i < NELEMS(subjects); i++)
-		if (rows_have(rows, subjects[i]))
-			json_object_set_new(keys, subjects[i], json_true());
+	for (i = 0; i < NELEMS(identifiers); i++)
+		if (rows_have_key(rows, identifiers[i]))
+			json_object_set_new(keys, identifiers[i], json_true());
 	json_array_foreach(rows, i, row) {
 		json_object_foreach(row, key, value) {
 			if (!json_object_get(keys, key))
@@ -99,7 +109,7 @@
 	return keys;
 }
 
-/* The widest cell of a column, its head included. */
+/* Returns the width of a column, including its heading. */
 static size_t column_width(const json_t *rows, const char *key)
 {
 	size_t i, n, width = text_width(key);
@@ -116,7 +126,7 @@
 	return width;
 }
 
-/* Print the cells of one row, or with no row the head. */
+/* Prints a row, or the headings if row is NULL. */
 static void row_print(FILE *f, json_t *keys, const json_t *row,
 		      const size_t *widths)
 {
@@ -133,13 +143,13 @@
 			for (p = text; *p; p++)
 				*p = (char)toupper((unsigned char)*p);
 		}
-		cell_write(f, text, widths[column], column == last);
+		cell_print(f, text, widths[column], column == last);
 		free(text);
 		column++;
 	}
 }
 
-/* Print a list of objects. */
+/* Prints a list of objects as a table. */
 static void rows_print(FILE *f, const json_t *rows)
 {
 	json_t *keys = rows_keys(rows), *row, *value;
@@ -161,7 +171,7 @@
 	json_decref(keys);
 }
 
-/* Print an object: first what fits a line, then its lists. */
+/* Prints an object: first the members that take one line, then its lists. */
 static void object_print(FILE *f, json_t *j)
 {
 	const char *key;
@@ -177,9 +187,9 @@
 	json_object_foreach(j, key, value) {
 		if (is_rows(value))
 			continue;
-		cell_write(f, key, width, false);
+		cell_print(f, key, width, false);
 		text = cell_text(value);
-		cell_write(f, text, 0, true);
+		cell_print(f, text, 0, true);
 		free(text);
 	}
 	json_object_foreach(j, key, value) {
@@ -191,7 +201,7 @@
 	}
 }
 
-/* Print any JSON value as a table. */
+/* Prints a JSON value as a table. */
 void table_print(FILE *f, const json_t *j)
 {
 	json_t *value;
@@ -205,12 +215,12 @@
 	} else if (json_is_array(j)) {
 		json_array_foreach(j, i, value) {
 			text = cell_text(value);
-			cell_write(f, text, 0, true);
+			cell_print(f, text, 0, true);
 			free(text);
 		}
 	} else {
 		text = cell_text(j);
-		cell_write(f, text, 0, true);
+		cell_print(f, text, 0, true);
 		free(text);
 	}
 }
