--- a/cmd-operator.c
+++ b/cmd-operator.c
@@ -153,8 +153,8 @@
 }
 
 /* Prints a failure as a JSON document. */
-static void failure_json(const struct cmd_client *c, const op_reply *reply,
-			 const char *status)
+static void failure_print_json(const struct cmd_client *c,
+			       const op_reply *reply, const char *status)
 {
 	json_t *j = json_object();
 	char *text;
@@ -178,7 +178,7 @@
 				     : "?";
 
 	if (c->json)
-		failure_json(c, reply, status);
+		failure_print_json(c, reply, status);
 	fprintf(c->err, "bamboofront: %s: %.*s", status,
 		BSTR_ARG(reply->reason));
 	if (reply->detail.bstr_len)
--- a/config-edit.c
+++ b/config-edit.c
@@ -50,6 +50,7 @@
 	free(s);
 }
 
+/* Fails an edit because what it names does not exist. */
 static op_status edit_not_found(struct edit_ctx *a, const char *what, bstr name)
 {
 	a->reason = "not-found";
@@ -57,6 +58,7 @@
 	return OP_NOT_FOUND;
 }
 
+/* Fails an edit because what it creates exists already. */
 static op_status edit_exists(struct edit_ctx *a, const char *what, bstr name)
 {
 	a->reason = "exists";
--- a/settings.c
+++ b/settings.c
@@ -126,6 +126,7 @@
 	 "pings would be late at every tick"},
 };
 
+/* Returns the name of a log level, or NULL if there is no such level. */
 const char *settings_level_name(uint64_t level)
 {
 	return level < NELEMS(level_names) ? level_names[level] : NULL;
