--- a/tests/support-caller.c
+++ b/tests/support-caller.c
@@ -8,6 +8,7 @@
 #include <time.h>
 #include <unistd.h>
 
+/* Fills in settings for an edge on 127.0.0.1 with small limits. */
 void caller_settings(struct settings *s)
 {
 	memset(s, 0, sizeof(*s));
@@ -18,7 +19,7 @@
 	s->callers.max_wait_ms = 30000;
 }
 
-/* Make the answer that tells apart whose it is. */
+/* Returns an answer with a job ID, by which a test tells answers apart. */
 static effect *answer_new(uint64_t call, uint32_t http, const char *job,
 			  job_state state)
 {
@@ -34,7 +35,7 @@
 	return fx;
 }
 
-/* Send an answer, and count it. */
+/* Sends an answer and counts it. */
 static void reducer_send(struct reducer *r, effect *fx)
 {
 	pthread_mutex_lock(&r->lock);
@@ -43,11 +44,13 @@
 	edge_caller_send(r->edge, fx);
 }
 
+/* Answers a call with status 200 and a job that is done. */
 void reducer_answer(struct reducer *r, uint64_t call, const char *job)
 {
 	reducer_send(r, answer_new(call, 200, job, JOB_DONE));
 }
 
+/* Answers a call with status 503 and a problem document. */
 static void reducer_refuse(struct reducer *r, uint64_t call, const char *job,
 			   job_state state)
 {
@@ -60,6 +63,7 @@
 	reducer_send(r, fx);
 }
 
+/* Adds a call to the held ones, which get no answer yet. */
 static void reducer_hold(struct reducer *r, uint64_t call)
 {
 	pthread_mutex_lock(&r->lock);
@@ -71,6 +75,7 @@
 	pthread_mutex_unlock(&r->lock);
 }
 
+/* Handles EV_CALL_GONE: removes a call from the held ones. */
 static void reducer_gone(struct reducer *r, uint64_t call)
 {
 	unsigned i;
@@ -89,6 +94,7 @@
 	pthread_mutex_unlock(&r->lock);
 }
 
+/* Handles EV_CALL as described at struct reducer. */
 static void reducer_call(struct reducer *r, const ev_call *c)
 {
 	const caller_body *body = &c->request.body;
@@ -133,6 +139,7 @@
 	}
 }
 
+/* The reducer's thread. */
 static void *reducer_run(void *arg)
 {
 	struct reducer *r = arg;
@@ -163,6 +170,10 @@
 	return NULL;
 }
 
+/*
+ * Starts an edge, with its default timing if t is NULL, and a reducer whose
+ * mailbox has the given capacity.
+ */
 struct reducer *reducer_start(const struct settings *s,
 			      const struct caller_timing *t, unsigned inbox)
 {
@@ -183,7 +194,10 @@
 	return r;
 }
 
-/* The edge is stopped while the reducer still runs, as in the daemon. */
+/*
+ * Stops the edge, then the reducer.  As in the daemon, the reducer still runs
+ * while the edge stops.
+ */
 void reducer_stop(struct reducer *r)
 {
 	event *ev;
@@ -202,46 +216,56 @@
 	free(r);
 }
 
-void reducer_pause(struct reducer *r, bool frozen)
+/*
+ * Pauses or resumes the handling of events; a pause returns once no event is
+ * being handled.
+ */
+void reducer_pause(struct reducer *r, bool paused)
 {
 	pthread_mutex_lock(&r->lock);
-	r->paused = frozen;
+	r->paused = paused;
 	pthread_cond_broadcast(&r->changed);
-	while (frozen && !r->idle)
+	while (paused && !r->idle)
 		pthread_cond_wait(&r->changed, &r->lock);
 	pthread_mutex_unlock(&r->lock);
 }
 
-bool reducer_await(struct reducer *r, const unsigned *what, unsigned n)
+/* Waits until a counter of the reducer reaches n; returns false after 10 s. */
+bool reducer_await(struct reducer *r, const unsigned *counter, unsigned n)
 {
-	struct timespec until;
+	struct timespec deadline;
 	int rc = 0;
 
-	clock_gettime(CLOCK_REALTIME, &until);
-	until.tv_sec += 10;
+	clock_gettime(CLOCK_REALTIME, &deadline);
+	deadline.tv_sec += 10;
 	pthread_mutex_lock(&r->lock);
-	while (*what < n && !rc)
-		rc = pthread_cond_timedwait(&r->changed, &r->lock, &until);
+	while (*counter < n && !rc)
+		rc = pthread_cond_timedwait(&r->changed, &r->lock, &deadline);
 	pthread_mutex_unlock(&r->lock);
 	return !rc;
 }
 
+/*
+ * Connects to a port on 127.0.0.1, with a receive timeout of 20 s; returns -1
+ * on failure.
+ */
 int client_connect(uint16_t port)
 {
 	struct sockaddr_in in = {.sin_family = AF_INET,
 				 .sin_port = htons(port),
 				 .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
-	struct timeval patience = {20, 0};
+	struct timeval timeout = {20, 0};
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 
 	if (connect(fd, (struct sockaddr *)&in, sizeof(in))) {
 		close(fd);
 		return -1;
 	}
-	setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof(patience));
+	setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
 	return fd;
 }
 
+/* Sends a request, or as much of it as the server reads. */
 void client_send(int fd, const char *text, size_t len)
 {
 	ssize_t n;
@@ -249,31 +273,31 @@
 	for (; len; text += n, len -= (size_t)n) {
 		n = send(fd, text, len, MSG_NOSIGNAL);
 		if (n <= 0)
-			return; /* the response says why */
+			return; /* the response tells the reason */
 	}
 }
 
 /*
- * The head is looked at before it is taken, so that nothing of the next
- * response goes with it.
+ * Reads one response.  The head is peeked at before it is received, so that no
+ * byte of the next response is consumed.
  */
 char *client_read(int fd)
 {
-	size_t len = 0, room = 4096, whole = 0;
+	size_t len = 0, room = 4096, total = 0;
 	char *text = xmalloc(room), *end, *p;
 	ssize_t n;
 
-	while (!whole || len < whole) {
+	while (!total || len < total) {
 		if (len + 1 == room)
 			text = xrealloc(text, room *= 2, 1);
-		if (whole && whole >= room)
-			text = xrealloc(text, room = whole + 1, 1);
-		n = recv(fd, text + len, (whole ? whole : room - 1) - len,
-			 whole ? 0 : MSG_PEEK);
+		if (total && total >= room)
+			text = xrealloc(text, room = total + 1, 1);
+		n = recv(fd, text + len, (total ? total : room - 1) - len,
+			 total ? 0 : MSG_PEEK);
 		if (n <= 0)
 			break;
 		text[len + (size_t)n] = '\0';
-		if (whole) {
+		if (total) {
 			len += (size_t)n;
 			continue;
 		}
@@ -285,15 +309,16 @@
 		if (!end)
 			continue;
 		p = strcasestr(text, "\r\nContent-Length:");
-		whole = len + (p && p < end ? strtoul(p + 17, NULL, 10) : 0);
-		/* 100 Continue goes before the response */
+		total = len + (p && p < end ? strtoul(p + 17, NULL, 10) : 0);
+		/* 100 Continue precedes the response */
 		if (response_status(text) == 100)
-			len = whole = 0;
+			len = total = 0;
 	}
 	text[len] = '\0';
 	return text;
 }
 
+/* Sends a request on a new connection and returns its response. */
 char *client_round_trip(uint16_t port, const char *text, size_t len)
 {
 	int fd = client_connect(port);
@@ -305,6 +330,7 @@
 	return response;
 }
 
+/* Returns the status of a response, or 0 if it has none. */
 unsigned response_status(const char *response)
 {
 	return strncmp(response, "HTTP/1.", 7) != 0
@@ -312,6 +338,7 @@
 		       : (unsigned)strtoul(response + 8, NULL, 10);
 }
 
+/* Returns the body of a response. */
 const char *response_body(const char *response)
 {
 	const char *p = strstr(response, "\r\n\r\n");
--- a/tests/support-cloud.c
+++ b/tests/support-cloud.c
@@ -16,22 +16,22 @@
 #define API "/bamboofront/"
 #define SERVICE "rounds"
 #define PAGE_ROWS 500
-#define CORES 64000 /* thousandths, of a worker */
-#define NEED 1000   /* of a task */
+#define CORES 64000 /* of a worker, in thousandths */
+#define NEED 1000   /* of a task, in thousandths */
 #define TASK_MS 1000
-#define SUBMITS_MAX 64 /* open connections that submit */
+#define SUBMITS_MAX 64 /* open connections for submissions */
 #define TABLES_MAX 8
 
-/* A connection of a daemon; its request is read whole before it is answered. */
+/* A connection of a daemon; a request is answered once it is complete. */
 struct conn {
 	int fd;
-	struct worker *worker; /* NULL: the store's */
+	struct worker *worker; /* NULL: to the store */
 	char *in;
 	size_t len, room;
-	struct heap_node due; /* a long poll's end */
-	char *table;	      /* whose feed it waits for, or NULL */
+	struct heap_node due; /* when a long poll ends */
+	char *table;	      /* whose feed is polled, or NULL */
 	uint64_t after;
-	TAILQ_ENTRY(conn) entry; /* of the readers of feeds */
+	TAILQ_ENTRY(conn) entry; /* in the list of feed readers */
 };
 
 TAILQ_HEAD(conn_list, conn);
@@ -43,7 +43,7 @@
 	struct heap_node due;
 	char task[64];
 	uint64_t number;
-	uint64_t end; /* 0: it runs */
+	uint64_t end_seq; /* 0: it runs */
 };
 
 TAILQ_HEAD(run_list, run);
@@ -53,15 +53,15 @@
 	int listener;
 	uint16_t port;
 	int64_t born;
-	uint64_t last_end;
-	unsigned ended; /* in the list, not acknowledged */
+	uint64_t last_end_seq;
+	unsigned ended; /* ended runs in the list, not acknowledged */
 	struct conn *holder;
 	struct run_list runs;
 };
 
 /* A row of the store. */
 struct row {
-	TAILQ_ENTRY(row) entry; /* of its table, by version */
+	TAILQ_ENTRY(row) entry; /* in its table, by version */
 	char *name;		/* TABLE/PART/KEY */
 	char *part, *key, *value;
 	uint64_t version;
@@ -74,7 +74,7 @@
 	struct row_list rows;
 };
 
-/* What a descriptor of the loop is. */
+/* A file descriptor of the event loop. */
 struct source {
 	enum { SOURCE_STORE, SOURCE_WORKER, SOURCE_CONN, SOURCE_SUBMIT } kind;
 	struct worker *worker;
@@ -97,8 +97,8 @@
 static struct source submits[SUBMITS_MAX];
 static size_t submit_next;
 
-/* Watch a descriptor. */
-static void watch(int fd, struct source *s)
+/* Adds a file descriptor to the event loop. */
+static void loop_add(int fd, struct source *s)
 {
 	struct epoll_event e = {.events = EPOLLIN, .data.ptr = s};
 
@@ -107,7 +107,7 @@
 		abort();
 }
 
-/* Listen on a loopback port of the kernel's choice. */
+/* Listens on a loopback port that the kernel chooses. */
 static int listen_any(uint16_t *port)
 {
 	struct sockaddr_in a = {.sin_family = AF_INET};
@@ -122,7 +122,7 @@
 	return fd;
 }
 
-/* Answer a request with a JSON text. */
+/* Answers a request with a JSON text; a full socket is retried at once. */
 static void answer(struct conn *c, int status, const char *json, size_t len)
 {
 	char *text = xasprintf("HTTP/1.1 %d X\r\nContent-Length: %zu\r\n\r\n",
@@ -141,7 +141,7 @@
 	free(text);
 }
 
-/* Answer with a JSON value, which is freed. */
+/* Answers with a JSON value, whose reference it takes over. */
 static void answer_json(struct conn *c, int status, json_t *j)
 {
 	char *text = json_dumps(j, JSON_COMPACT);
@@ -151,17 +151,20 @@
 	json_decref(j);
 }
 
-/* The number of a member in a JSON text; 0 if it is missing. */
-static uint64_t number_in(const char *json, const char *member)
+/*
+ * Returns the number that follows a name in a JSON text or an HTTP head, or 0
+ * if the name is missing.
+ */
+static uint64_t number_after(const char *json, const char *member)
 {
 	const char *p = strstr(json, member);
 
 	return p ? strtoull(p + strlen(member), NULL, 10) : 0;
 }
 
-/* The text of a member, cut to what fits. */
-static void text_in(const char *json, const char *member, char *out,
-		    size_t room)
+/* Copies the JSON string that follows a name, truncated to fit. */
+static void text_after(const char *json, const char *member, char *out,
+		       size_t room)
 {
 	const char *p = strstr(json, member);
 	size_t n = 0;
@@ -172,7 +175,7 @@
 	out[n] = '\0';
 }
 
-/* A table, made if there is none. */
+/* Returns a table; creates it if needed. */
 static struct table *table_get(const char *name)
 {
 	size_t i;
@@ -187,7 +190,7 @@
 	return &tables[table_count++];
 }
 
-/* A row by its names in a JSON object, made if there is none. */
+/* Returns the row that a JSON object names; creates it if needed. */
 static struct row *row_get(const json_t *j)
 {
 	const char *table = json_string_value(json_object_get(j, "table"));
@@ -211,7 +214,7 @@
 	return r;
 }
 
-/* Write a row; value NULL removes it. */
+/* Writes a row at the current version; NULL removes it. */
 static void row_put(const json_t *name, const char *value)
 {
 	struct row *r = row_get(name);
@@ -226,8 +229,11 @@
 	TAILQ_INSERT_TAIL(list, r, entry);
 }
 
-/* Write a row of the operator or of a worker. */
-static void row_tell(const char *table, const char *key, json_t *value)
+/*
+ * Writes a row on behalf of the operator or of a worker; takes ownership of
+ * value.
+ */
+static void row_publish(const char *table, const char *key, json_t *value)
 {
 	json_t *name = json_pack("{s:s, s:s, s:s}", "table", table, "part", "",
 				 "key", key);
@@ -244,7 +250,7 @@
 	json_decref(value);
 }
 
-/* A row in an answer. */
+/* Returns the JSON of a row. */
 static json_t *row_json(const char *table, const struct row *r)
 {
 	json_t *j = json_pack("{s:s, s:s, s:s, s:I}", "table", table, "part",
@@ -258,7 +264,7 @@
 	return j;
 }
 
-/* Answer with rows. */
+/* Answers with rows; takes ownership of the list. */
 static void rows_answer(struct conn *c, int status, json_t *list, bool more)
 {
 	answer_json(c, status,
@@ -267,7 +273,7 @@
 			      "now_ms", (json_int_t)clock_now()));
 }
 
-/* The rows of a table that are newer than a version. */
+/* Returns the rows of a table that are newer than a version. */
 static json_t *rows_newer(const char *table, uint64_t after)
 {
 	struct row_list *all = &table_get(table)->rows;
@@ -280,8 +286,8 @@
 	return list;
 }
 
-/* A reader of a feed waits no more. */
-static void reader_leave(struct conn *c)
+/* Ends the long poll of a feed on a connection, if there is one. */
+static void reader_remove(struct conn *c)
 {
 	if (!c->table)
 		return;
@@ -291,7 +297,7 @@
 	c->table = NULL;
 }
 
-/* Answer the readers of feeds that have something new. */
+/* Answers the long polls of feeds that have new rows. */
 static void readers_wake(void)
 {
 	struct conn *c, *next;
@@ -303,12 +309,13 @@
 		if (!last || last->version <= c->after)
 			continue;
 		rows_answer(c, 200, rows_newer(c->table, c->after), false);
-		reader_leave(c);
+		reader_remove(c);
 	}
 }
 
-/* The value of an argument in a path, cut to what fits. */
-static void argument(const char *path, const char *name, char *out, size_t room)
+/* Copies the decoded value of a query argument, truncated to fit. */
+static void query_arg(const char *path, const char *name, char *out,
+		      size_t room)
 {
 	const char *p = strstr(path, name);
 	size_t n = 0;
@@ -327,14 +334,14 @@
 	out[n] = '\0';
 }
 
-/* The order of rows by key. */
+/* Compares rows by key, for qsort(). */
 static int row_cmp(const void *a, const void *b)
 {
 	return strcmp((*(struct row *const *)a)->key,
 		      (*(struct row *const *)b)->key);
 }
 
-/* A page of a part of a table. */
+/* GET rows-get: answers with a page of a part of a table, by key. */
 static void get_answer(struct conn *c, const char *path)
 {
 	char table[32], part[32], from[256];
@@ -342,9 +349,9 @@
 	struct row **found, *r;
 	size_t i, n = 0;
 
-	argument(path, "table=", table, sizeof(table));
-	argument(path, "part=", part, sizeof(part));
-	argument(path, "from=", from, sizeof(from));
+	query_arg(path, "table=", table, sizeof(table));
+	query_arg(path, "part=", part, sizeof(part));
+	query_arg(path, "from=", from, sizeof(from));
 	found = xcalloc(HASH_COUNT(rows) + 1, sizeof(struct row *));
 	TAILQ_FOREACH(r, &table_get(table)->rows, entry)
 		if (!r->removed && !strcmp(r->part, part) &&
@@ -357,16 +364,16 @@
 	free(found);
 }
 
-/* A reading of a feed. */
+/* GET rows-feed: answers with newer rows, at once or in a long poll. */
 static void feed_answer(struct conn *c, const char *path)
 {
 	char table[32], number[32];
 	json_t *list;
 
-	argument(path, "table=", table, sizeof(table));
-	argument(path, "after=", number, sizeof(number));
+	query_arg(path, "table=", table, sizeof(table));
+	query_arg(path, "after=", number, sizeof(number));
 	c->after = strtoull(number, NULL, 10);
-	argument(path, "wait_ms=", number, sizeof(number));
+	query_arg(path, "wait_ms=", number, sizeof(number));
 	list = rows_newer(table, c->after);
 	if (json_array_size(list) || !atoi(number)) {
 		rows_answer(c, 200, list, false);
@@ -378,8 +385,11 @@
 	heap_set(&feed_ends, &c->due, clock_now() + atoi(number));
 }
 
-/* Is each row of a transaction's conditions as it demands? */
-static bool tx_holds(const json_t *expect, json_t *list)
+/*
+ * Returns true if the conditions of a transaction hold; adds the rows that they
+ * name to list.
+ */
+static bool tx_conditions_hold(const json_t *expect, json_t *list)
 {
 	json_t *name;
 	struct row *r;
@@ -400,13 +410,17 @@
 	return ok;
 }
 
-/* A transaction: all of it or nothing. */
+/*
+ * POST rows-tx: applies all writes of a transaction, or none if a condition
+ * fails.
+ */
 static void tx_answer(struct conn *c, const char *body)
 {
 	json_t *j = json_loads(body, 0, NULL), *list = json_array(), *name;
 	size_t i;
 
-	if (!tx_holds(json_object_get(j, "expected_revision"), list)) {
+	if (!tx_conditions_hold(json_object_get(j, "expected_revision"),
+				list)) {
 		rows_answer(c, 412, list, false);
 		json_decref(j);
 		return;
@@ -423,7 +437,7 @@
 	readers_wake();
 }
 
-/* A call to the store. */
+/* Handles a request to the store. */
 static void store_answer(struct conn *c, const char *path, const char *body)
 {
 	cloud_counts.calls++;
@@ -437,13 +451,15 @@
 		answer_json(c, 200, json_pack("{s:[]}", "machines"));
 }
 
-/* A worker's clock. */
+/* Returns a worker's clock, which starts at 1. */
 static int64_t worker_clock(const struct worker *w)
 {
 	return clock_now() - w->born + 1;
 }
 
-/* Answer with a worker's lists. */
+/*
+ * Answers with a worker's lists of running and ended runs, and ends its hold.
+ */
 static void lists_answer(struct conn *c, struct worker *w)
 {
 	char *text = xasprintf("{\"clock_ms\":%" PRId64 ",\"born\":%" PRId64
@@ -456,18 +472,18 @@
 
 	for (pass = 0; pass < 2; pass++) {
 		TAILQ_FOREACH(r, &w->runs, entry) {
-			if (!r->end != !pass)
+			if (!r->end_seq != !pass)
 				continue;
 			if (room - len < 256) {
 				room = 2 * room + 256;
 			}
 			text = xrealloc(text, room, 1);
-			if (r->end)
+			if (r->end_seq)
 				len += (size_t)sprintf(
 					text + len,
 					"%s[%" PRIu64 ",\"%s\",%" PRIu64
 					",\"done\",\"\"]",
-					comma, r->end, r->task, r->number);
+					comma, r->end_seq, r->task, r->number);
 			else
 				len += (size_t)sprintf(
 					text + len,
@@ -492,14 +508,14 @@
 		w->holder = NULL;
 }
 
-/* Forget the ends that were acknowledged. */
-static void ends_forget(struct worker *w, uint64_t seen)
+/* Frees the ended runs that were acknowledged. */
+static void ends_acknowledge(struct worker *w, uint64_t seen)
 {
 	struct run *r, *next;
 
 	for (r = TAILQ_FIRST(&w->runs); r; r = next) {
 		next = TAILQ_NEXT(r, entry);
-		if (!r->end || r->end > seen)
+		if (!r->end_seq || r->end_seq > seen)
 			continue;
 		TAILQ_REMOVE(&w->runs, r, entry);
 		w->ended--;
@@ -507,7 +523,10 @@
 	}
 }
 
-/* A call to a worker. */
+/*
+ * Handles a request to a worker; one without an own answer, such as a start,
+ * gets the worker's clock.
+ */
 static void worker_answer(struct conn *c, const char *path, const char *body)
 {
 	struct worker *w = c->worker;
@@ -516,24 +535,25 @@
 
 	if (strstr(path, API "hold")) {
 		cloud_counts.holds++;
-		ends_forget(w, number_in(body, "\"last_seen\":"));
-		if (w->ended || !number_in(body, "\"wait_ms\":")) {
+		ends_acknowledge(w, number_after(body, "\"last_seen\":"));
+		if (w->ended || !number_after(body, "\"wait_ms\":")) {
 			lists_answer(c, w);
 			return;
 		}
 		w->holder = c;
 		heap_set(&hold_ends, &c->due,
 			 clock_now() +
-				 (int64_t)number_in(body, "\"wait_ms\":"));
+				 (int64_t)number_after(body, "\"wait_ms\":"));
 		return;
 	}
 	if (strstr(path, API "run-start")) {
 		cloud_counts.starts++;
 		r = xcalloc(1, sizeof(*r));
 		r->worker = w;
-		text_in(body, "\"task\":\"", r->task, sizeof(r->task));
-		r->number = number_in(body, "\"run\":");
-		text_in(body, "\"specification\":\"", number, sizeof(number));
+		text_after(body, "\"task\":\"", r->task, sizeof(r->task));
+		r->number = number_after(body, "\"run\":");
+		text_after(body, "\"specification\":\"", number,
+			   sizeof(number));
 		TAILQ_INSERT_TAIL(&w->runs, r, entry);
 		heap_set(&run_ends, &r->due,
 			 clock_now() + strtol(number, NULL, 10));
@@ -543,12 +563,12 @@
 		json_pack("{s:I}", "clock_ms", (json_int_t)worker_clock(w)));
 }
 
-/* Close a connection. */
+/* Closes a connection. */
 static void conn_close(struct source *s)
 {
 	struct conn *c = s->conn;
 
-	reader_leave(c);
+	reader_remove(c);
 	heap_remove(&hold_ends, &c->due);
 	if (c->worker && c->worker->holder == c)
 		c->worker->holder = NULL;
@@ -558,7 +578,7 @@
 	free(s);
 }
 
-/* Answer the whole requests that a connection has sent. */
+/* Answers the complete requests that a connection has sent. */
 static void conn_serve(struct conn *c)
 {
 	char *head_end, *body, save;
@@ -567,7 +587,7 @@
 	while ((head_end = memmem(c->in, c->len, "\r\n\r\n", 4))) {
 		body = head_end + 4;
 		*head_end = '\0';
-		length = number_in(c->in, "Content-Length: ");
+		length = number_after(c->in, "Content-Length: ");
 		*head_end = '\r';
 		used = (size_t)(body - c->in) + length;
 		if (c->len < used)
@@ -585,7 +605,7 @@
 	}
 }
 
-/* Read from a connection. */
+/* Reads from a connection; closes it at its end. */
 static void conn_read(struct source *s)
 {
 	struct conn *c = s->conn;
@@ -606,23 +626,23 @@
 	conn_serve(c);
 }
 
-/* Accept a connection. */
+/* Accepts a connection to the store or to a worker. */
 static void conn_accept(const struct source *s)
 {
 	int fd = accept4(s->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-	struct source *mine;
+	struct source *cs;
 
 	if (fd < 0)
 		return;
-	mine = xcalloc(1, sizeof(*mine));
-	mine->kind = SOURCE_CONN;
-	mine->conn = xcalloc(1, sizeof(*mine->conn));
-	mine->conn->fd = fd;
-	mine->conn->worker = s->worker;
-	watch(fd, mine);
+	cs = xcalloc(1, sizeof(*cs));
+	cs->kind = SOURCE_CONN;
+	cs->conn = xcalloc(1, sizeof(*cs->conn));
+	cs->conn->fd = fd;
+	cs->conn->worker = s->worker;
+	loop_add(fd, cs);
 }
 
-/* An answer to a submitted job has come. */
+/* Counts the answers to submitted jobs by their status. */
 static void submit_read(const struct source *s)
 {
 	char text[4096];
@@ -643,7 +663,7 @@
 	}
 }
 
-/* Submit a job by one of the open connections. */
+/* Submits a job on the next of the open connections. */
 static void job_submit(void)
 {
 	struct source *s = &submits[submit_next++ % SUBMITS_MAX];
@@ -664,8 +684,8 @@
 	free(body);
 }
 
-/* Let what is over end. */
-static void time_run(void)
+/* Ends the runs, holds and long polls of feeds that are due. */
+static void timers_run(void)
 {
 	struct heap_node *n;
 	struct conn *c;
@@ -674,7 +694,7 @@
 	while ((n = heap_first(&run_ends)) && n->due <= clock_now()) {
 		heap_remove(&run_ends, n);
 		r = HEAP_ENTRY(n, struct run, due);
-		r->end = ++r->worker->last_end;
+		r->end_seq = ++r->worker->last_end_seq;
 		r->worker->ended++;
 		cloud_counts.ends++;
 		if (r->worker->holder)
@@ -687,11 +707,14 @@
 	while ((n = heap_first(&feed_ends)) && n->due <= clock_now()) {
 		c = HEAP_ENTRY(n, struct conn, due);
 		rows_answer(c, 200, json_array(), false);
-		reader_leave(c);
+		reader_remove(c);
 	}
 }
 
-/* Serve for so long; jobs of so many tasks a second are submitted meanwhile. */
+/*
+ * Runs the event loop for ms milliseconds and submits jobs at a rate of tasks
+ * per second.
+ */
 void cloud_serve(int64_t ms, unsigned rate)
 {
 	struct epoll_event events[256];
@@ -704,7 +727,7 @@
 		due = (clock_now() - from) * rate / CLOUD_TASKS_PER_JOB / 1000;
 		for (; sent < due; sent++)
 			job_submit();
-		time_run();
+		timers_run();
 		n = epoll_wait(loop, events, NELEMS(events), 2);
 		for (i = 0; i < n; i++) {
 			s = events[i].data.ptr;
@@ -724,7 +747,7 @@
 	}
 }
 
-/* Connect to the daemon that takes the jobs. */
+/* Opens the connections for submissions to an entry VM. */
 void cloud_submitters_connect(uint16_t port)
 {
 	struct sockaddr_in a = {.sin_family = AF_INET, .sin_port = htons(port)};
@@ -737,12 +760,12 @@
 			abort();
 		fcntl(fd, F_SETFL, O_NONBLOCK);
 		submits[i].kind = SOURCE_SUBMIT;
-		watch(fd, &submits[i]);
+		loop_add(fd, &submits[i]);
 	}
 }
 
-/* Begin the workers' lives and tell of them. */
-static void workers_begin(void)
+/* Starts the workers and writes their rows. */
+static void workers_start(void)
 {
 	struct source *s;
 	struct worker *w;
@@ -759,34 +782,38 @@
 		s = xcalloc(1, sizeof(*s));
 		s->kind = SOURCE_WORKER;
 		s->worker = w;
-		watch(w->listener, s);
+		loop_add(w->listener, s);
 		address = xasprintf("127.0.0.1:%u", w->port);
-		row_tell("servers", w->id,
-			 json_pack("{s:s, s:s, s:s, s:s, s:{s:i, s:i, s:i}, "
-				   "s:[s], s:I}",
-				   "service", SERVICE, "address", address,
-				   "zone", "east", "state", "ready", "capacity",
-				   "cpu", CORES, "requested_memory_mb", 65536,
-				   "gpus", 0, "labels", "r1", "born",
-				   (json_int_t)w->born));
+		row_publish("servers", w->id,
+			    json_pack("{s:s, s:s, s:s, s:s, s:{s:i, s:i, s:i}, "
+				      "s:[s], s:I}",
+				      "service", SERVICE, "address", address,
+				      "zone", "east", "state", "ready",
+				      "capacity", "cpu", CORES,
+				      "requested_memory_mb", 65536, "gpus", 0,
+				      "labels", "r1", "born",
+				      (json_int_t)w->born));
 		free(address);
 	}
 }
 
-/* Write the configuration: one open queue to one service. */
-static void config_tell(void)
+/* Writes the configuration: one public queue of one service. */
+static void config_publish(void)
 {
-	row_tell("op", "config",
-		 json_pack("{s:i, s:[{s:s, s:s, s:s, s:s, s:b, s:i, s:i, s:f, "
-			   "s:i}], s:[{s:s, s:b}], s:[]}",
-			   "version", 1, "routes", "name", "r", "host", "h",
-			   "path_prefix", "/r/", "service", SERVICE, "public",
-			   1, "priority", 0, "max_attempts", 3, "stretch", 1.0,
-			   "target_latency_ms", 600, "services", "name",
-			   SERVICE, "admission_check", 1, "tenants"));
+	row_publish(
+		"op", "config",
+		json_pack("{s:i, s:[{s:s, s:s, s:s, s:s, s:b, s:i, s:i, s:f, "
+			  "s:i}], s:[{s:s, s:b}], s:[]}",
+			  "version", 1, "routes", "name", "r", "host", "h",
+			  "path_prefix", "/r/", "service", SERVICE, "public", 1,
+			  "priority", 0, "max_attempts", 3, "stretch", 1.0,
+			  "target_latency_ms", 600, "services", "name", SERVICE,
+			  "admission_check", 1, "tenants"));
 }
 
-/* Play the platform with so many workers; the port of its store. */
+/*
+ * Starts the platform with a number of workers; returns the port of its store.
+ */
 uint16_t cloud_start(unsigned count)
 {
 	uint16_t port;
@@ -796,8 +823,8 @@
 	if (loop < 0)
 		abort();
 	store.kind = SOURCE_STORE;
-	watch(listen_any(&port), &store);
-	config_tell();
-	workers_begin();
+	loop_add(listen_any(&port), &store);
+	config_publish();
+	workers_start();
 	return port;
 }
--- a/tests/support-entry.c
+++ b/tests/support-entry.c
@@ -9,7 +9,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* A loopback port that nobody has. */
+/* Returns a free loopback port. */
 static uint16_t port_choose(void)
 {
 	struct sockaddr_in a = {.sin_family = AF_INET};
@@ -24,7 +24,7 @@
 	return ntohs(a.sin_port);
 }
 
-/* Write a process's settings. */
+/* Writes the settings of a process. */
 static void settings_write(const struct entry_process *p, const char *path)
 {
 	const char *ip = p->ip ? p->ip : "127.0.0.1";
@@ -43,7 +43,10 @@
 	fclose(f);
 }
 
-/* Start a process. */
+/*
+ * Writes the settings and starts the process; the kernel kills it when its
+ * parent ends.
+ */
 void entry_process_start(struct entry_process *p, const char *dir)
 {
 	char self[PATH_MAX] = "", *path, *file, *log;
--- a/tests/support-fake.c
+++ b/tests/support-fake.c
@@ -19,7 +19,7 @@
 struct connection {
 	int fd;
 	unsigned number;
-	bool deaf;
+	bool no_read;
 	char *in;
 	size_t len;
 };
@@ -42,11 +42,11 @@
 	const struct fake_step *held[REQUESTS_MAX];
 	bool released[REQUESTS_MAX];
 	size_t request_count;
-	size_t deaf_bytes;
-	bool deaf_ended;
+	size_t no_read_bytes;
+	bool no_read_closed;
 };
 
-/* Bind a socket to a port that the kernel chooses. */
+/* Binds a socket to a loopback port that the kernel chooses. */
 static int loopback_bind(uint16_t *port)
 {
 	struct sockaddr_in a = {.sin_family = AF_INET,
@@ -61,7 +61,7 @@
 	return fd;
 }
 
-/* Bound and not listening: the kernel refuses. */
+/* The socket is bound and doesn't listen, so the kernel refuses connections. */
 uint16_t fake_refusing_port(int *fd)
 {
 	uint16_t port;
@@ -70,7 +70,10 @@
 	return port;
 }
 
-/* One connection fills the backlog: the kernel drops what comes after it. */
+/*
+ * One connection fills the backlog, so the kernel drops the SYNs of further
+ * ones and connecting hangs.
+ */
 uint16_t fake_hanging_port(int fd[2])
 {
 	struct sockaddr_in a = {.sin_family = AF_INET,
@@ -86,8 +89,8 @@
 	return port;
 }
 
-/* Write all; a peer that has gone is its own affair. */
-static void say(int fd, const char *p, size_t len)
+/* Sends all bytes; ignores a peer that has closed the connection. */
+static void send_all(int fd, const char *p, size_t len)
 {
 	ssize_t n;
 
@@ -95,8 +98,8 @@
 		p += n, len -= (size_t)n;
 }
 
-/* Close so that the peer sees a reset. */
-static void reset(int fd)
+/* Closes a connection with a reset. */
+static void reset_close(int fd)
 {
 	struct linger now = {.l_onoff = 1};
 
@@ -104,15 +107,18 @@
 	close(fd);
 }
 
-/* Forget a connection. */
+/* Removes a connection from the list; the last one takes its place. */
 static void connection_remove(struct fake *f, struct connection *c)
 {
 	free(c->in);
 	*c = f->connections[--f->connection_count];
 }
 
-/* Give an answer; false: the connection is closed with it. */
-static bool step_answer(const struct fake_step *s, int fd)
+/*
+ * Sends the answer of a step; returns false if the connection is to be closed
+ * after it.
+ */
+static bool step_send_answer(const struct fake_step *s, int fd)
 {
 	const char *body = s->body ? s->body : "";
 	size_t len = strlen(body) + s->pad, i;
@@ -120,7 +126,7 @@
 	int one = 1;
 
 	if (s->action == FAKE_RAW) {
-		say(fd, body, len);
+		send_all(fd, body, len);
 		return false;
 	}
 	if (s->action == FAKE_ANSWER_CLOSE)
@@ -139,14 +145,18 @@
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
 	if (s->action == FAKE_ANSWER_BYTEWISE)
 		for (i = 0; i < len; i++)
-			say(fd, text + i, 1);
+			send_all(fd, text + i, 1);
 	else
-		say(fd, text, s->action == FAKE_ANSWER_TWICE ? 2 * len : len);
+		send_all(fd, text,
+			 s->action == FAKE_ANSWER_TWICE ? 2 * len : len);
 	free(text);
 	return s->action != FAKE_TRUNCATE && s->action != FAKE_ANSWER_CLOSE;
 }
 
-/* Take the first step for a request line; at accept there is no line yet. */
+/*
+ * Uses up the first unused step for a request.  With line NULL, at accept,
+ * returns a step only if the next unused one acts before a request is read.
+ */
 static const struct fake_step *step_take(struct fake *f, const char *line)
 {
 	static const struct fake_step none = {FAKE_ANSWER, 500,	 "no step",
@@ -172,14 +182,17 @@
 	return line ? &none : NULL;
 }
 
-/* Act on a whole request; false: the connection is over. */
-static bool request_act(struct fake *f, struct connection *c, size_t n)
+/*
+ * Carries out the step of a request; returns false if the connection was
+ * closed.
+ */
+static bool request_run_step(struct fake *f, struct connection *c, size_t n)
 {
 	const struct fake_step *s = step_take(f, f->requests[n].head);
 
 	switch (s->action) {
 	case FAKE_ANSWER_AGAIN:
-		step_answer(s, c->fd);
+		step_send_answer(s, c->fd);
 		/* fall through */
 	case FAKE_HOLD:
 		f->held[n] = s;
@@ -187,26 +200,29 @@
 	case FAKE_NO_ANSWER:
 		return true;
 	case FAKE_RESET:
-		reset(c->fd);
+		reset_close(c->fd);
 		return false;
 	default:
-		if (step_answer(s, c->fd))
+		if (step_send_answer(s, c->fd))
 			return true;
 		close(c->fd);
 		return false;
 	}
 }
 
-/* Find the header that ends in a number; 0 if there is none. */
-static size_t length_find(const char *head)
+/* Returns the Content-Length of a head, or 0 if it is missing. */
+static size_t content_length(const char *head)
 {
 	const char *p = strcasestr(head, "\r\nContent-Length:");
 
 	return p ? strtoul(p + 17, NULL, 10) : 0;
 }
 
-/* Take a whole request out of what has come; false: none, or it is over. */
-static bool request_take(struct fake *f, struct connection *c, bool *over)
+/*
+ * Handles a complete request in the buffer.  Returns false if there is none, or
+ * if the connection was closed, which sets *closed.
+ */
+static bool request_handle(struct fake *f, struct connection *c, bool *closed)
 {
 	struct fake_request *r = &f->requests[f->request_count];
 	char *end = memmem(c->in, c->len, "\r\n\r\n", 4);
@@ -216,7 +232,7 @@
 		return false;
 	head = (size_t)(end - c->in) + 4;
 	end[3] = '\0';
-	body = length_find(c->in);
+	body = content_length(c->in);
 	if (c->len < head + body) {
 		end[3] = '\n';
 		return false;
@@ -228,40 +244,42 @@
 	r->connection = c->number;
 	c->len -= head + body;
 	memmove(c->in, c->in + head + body, c->len);
-	*over = !request_act(f, c, f->request_count++);
+	*closed = !request_run_step(f, c, f->request_count++);
 	pthread_cond_broadcast(&f->changed);
-	return !*over;
+	return !*closed;
 }
 
-/* Read from a connection. */
+/*
+ * Reads from a connection and handles complete requests; closes it at its end.
+ */
 static void connection_read(struct fake *f, struct connection *c)
 {
 	char buffer[16384];
 	ssize_t n = recv(c->fd, buffer, sizeof(buffer), MSG_DONTWAIT);
-	bool over = false;
+	bool closed = false;
 
 	if (n <= 0) {
-		if (c->deaf)
-			f->deaf_ended = true;
+		if (c->no_read)
+			f->no_read_closed = true;
 		pthread_cond_broadcast(&f->changed);
 		close(c->fd);
 		connection_remove(f, c);
 		return;
 	}
-	if (c->deaf) {
-		f->deaf_bytes += (size_t)n;
+	if (c->no_read) {
+		f->no_read_bytes += (size_t)n;
 		return;
 	}
 	c->in = xrealloc(c->in, c->len + (size_t)n, 1);
 	memcpy(c->in + c->len, buffer, (size_t)n);
 	c->len += (size_t)n;
-	while (request_take(f, c, &over))
+	while (request_handle(f, c, &closed))
 		;
-	if (over)
+	if (closed)
 		connection_remove(f, c);
 }
 
-/* Accept a connection. */
+/* Accepts a connection, or resets it if its step says so. */
 static void connection_accept(struct fake *f)
 {
 	struct connection *c = &f->connections[f->connection_count];
@@ -275,16 +293,16 @@
 	f->accepted++;
 	s = step_take(f, NULL);
 	if (s && s->action == FAKE_RESET_ACCEPT) {
-		reset(fd);
+		reset_close(fd);
 		return;
 	}
 	*c = (struct connection){
-		.fd = fd, .number = f->accepted, .deaf = s != NULL};
+		.fd = fd, .number = f->accepted, .no_read = s != NULL};
 	f->connection_count++;
 }
 
-/* Give the answers that have been released since. */
-static void held_answer(struct fake *f)
+/* Sends the held answers that have been released. */
+static void held_answers_send(struct fake *f)
 {
 	size_t i, n;
 
@@ -294,13 +312,14 @@
 		for (i = 0; i < f->connection_count; i++)
 			if (f->connections[i].number ==
 			    f->requests[n].connection)
-				step_answer(f->held[n], f->connections[i].fd);
+				step_send_answer(f->held[n],
+						 f->connections[i].fd);
 		f->held[n] = NULL;
 		pthread_cond_broadcast(&f->changed);
 	}
 }
 
-/* The server's thread. */
+/* The server's thread; it holds the lock except in poll(). */
 static void *fake_run(void *arg)
 {
 	struct pollfd p[CONNECTIONS_MAX + 2];
@@ -311,14 +330,14 @@
 
 	pthread_mutex_lock(&f->lock);
 	while (!f->stop) {
-		held_answer(f);
+		held_answers_send(f);
 		p[0] = (struct pollfd){f->listener, POLLIN, 0};
 		p[1] = (struct pollfd){f->wake, POLLIN, 0};
 		n = f->connection_count;
 		for (i = 0; i < n; i++) {
 			c = &f->connections[i];
 			p[i + 2] = (struct pollfd){c->fd, POLLIN, 0};
-			if (c->deaf && !f->released[c->number - 1])
+			if (c->no_read && !f->released[c->number - 1])
 				p[i + 2].fd = -1;
 		}
 		pthread_mutex_unlock(&f->lock);
@@ -326,7 +345,10 @@
 		pthread_mutex_lock(&f->lock);
 		if (p[1].revents && read(f->wake, &count, sizeof(count)) < 0)
 			abort();
-		/* Downwards: one that ends is replaced by the last. */
+		/*
+		 * From last to first, as the last connection takes the place of
+		 * one that is removed.
+		 */
 		for (i = n; i-- > 0;)
 			if (p[i + 2].revents)
 				connection_read(f, &f->connections[i]);
@@ -337,7 +359,7 @@
 	return NULL;
 }
 
-/* Wake the server's thread. */
+/* Wakes the server's thread from poll(). */
 static void fake_wake(struct fake *f)
 {
 	uint64_t one = 1;
@@ -346,6 +368,7 @@
 		abort();
 }
 
+/* Starts a server that follows a table of steps. */
 struct fake *fake_start(const struct fake_step *steps, size_t count)
 {
 	struct fake *f = xcalloc(1, sizeof(*f));
@@ -363,39 +386,43 @@
 	return f;
 }
 
+/* Returns the server's port. */
 uint16_t fake_port(const struct fake *f)
 {
 	return f->port;
 }
 
-static struct timespec fake_until(void)
+/* Returns the deadline of a wait that begins now. */
+static struct timespec wait_deadline(void)
 {
-	struct timespec until;
+	struct timespec deadline;
 
-	clock_gettime(CLOCK_REALTIME, &until);
-	until.tv_sec += WAIT_S;
-	return until;
+	clock_gettime(CLOCK_REALTIME, &deadline);
+	deadline.tv_sec += WAIT_S;
+	return deadline;
 }
 
-/* Wait under the lock for a change; false: it took too long. */
-static bool fake_sleep(struct fake *f, const struct timespec *until)
+/* Waits, with the lock held, for a change; returns false at the deadline. */
+static bool wait_change(struct fake *f, const struct timespec *deadline)
 {
-	return !pthread_cond_timedwait(&f->changed, &f->lock, until);
+	return !pthread_cond_timedwait(&f->changed, &f->lock, deadline);
 }
 
+/* Waits for request n, counted from 0; returns NULL after WAIT_S. */
 const struct fake_request *fake_wait(struct fake *f, size_t n)
 {
-	struct timespec until = fake_until();
+	struct timespec deadline = wait_deadline();
 	bool there;
 
 	pthread_mutex_lock(&f->lock);
-	while (f->request_count <= n && fake_sleep(f, &until))
+	while (f->request_count <= n && wait_change(f, &deadline))
 		;
 	there = f->request_count > n;
 	pthread_mutex_unlock(&f->lock);
 	return there ? &f->requests[n] : NULL;
 }
 
+/* Returns the number of requests received. */
 size_t fake_request_count(struct fake *f)
 {
 	size_t n;
@@ -406,32 +433,40 @@
 	return n;
 }
 
-/* Returns when the bytes are in the client's socket, or it has gone. */
+/*
+ * Releases a held answer, and returns once it is in the client's socket or the
+ * connection has closed.
+ */
 void fake_release(struct fake *f, size_t n)
 {
-	struct timespec until = fake_until();
+	struct timespec deadline = wait_deadline();
 
 	pthread_mutex_lock(&f->lock);
 	f->released[n] = true;
 	fake_wake(f);
-	while (f->held[n] && fake_sleep(f, &until))
+	while (f->held[n] && wait_change(f, &deadline))
 		;
 	pthread_mutex_unlock(&f->lock);
 }
 
+/*
+ * Waits until a released connection of FAKE_NO_READ closes; returns the bytes
+ * that were read from it, or SIZE_MAX after WAIT_S.
+ */
 size_t fake_bytes_read(struct fake *f)
 {
-	struct timespec until = fake_until();
+	struct timespec deadline = wait_deadline();
 	size_t n;
 
 	pthread_mutex_lock(&f->lock);
-	while (!f->deaf_ended && fake_sleep(f, &until))
+	while (!f->no_read_closed && wait_change(f, &deadline))
 		;
-	n = f->deaf_ended ? f->deaf_bytes : SIZE_MAX;
+	n = f->no_read_closed ? f->no_read_bytes : SIZE_MAX;
 	pthread_mutex_unlock(&f->lock);
 	return n;
 }
 
+/* Stops the server and frees it. */
 void fake_stop(struct fake *f)
 {
 	size_t i;
@@ -455,6 +490,7 @@
 	free(f);
 }
 
+/* Returns the next event of an inbox, or NULL after WAIT_S. */
 event *fake_next_event(struct mailbox *inbox)
 {
 	event *ev = mailbox_take(inbox);
--- a/tests/support-process.c
+++ b/tests/support-process.c
@@ -15,14 +15,17 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* reduce-job.c; reduce.h and standin.h both have a struct request. */
+/*
+ * From reduce-job.c; reduce.h and standin.h can't be included together, as both
+ * define struct request.
+ */
 uint32_t job_shard(bstr id);
 
 #define KEY32 "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
 #define POOL "rounds"
 #define TEAM "planning"
 
-/* Quick leases, so that a case takes seconds. */
+/* Short leases keep each test case within seconds. */
 static const char settings_text[] =
 	"{\"vm\": \"%s\", \"dc\": \"%s\", "
 	"\"callers\": {\"listen\": \"127.0.0.1:0\"}, "
@@ -35,23 +38,28 @@
 	"\"ping_ms\": 250, \"fresh_ms\": %d, \"config_poll_ms\": 500, "
 	"\"list_poll_ms\": 500, \"task_lease_ms\": %d, \"tick_ms\": 50}}";
 
-/* Sleep; only ever between two looks at something. */
+/* Sleeps; only used between two checks of a condition. */
 void nap_ms(unsigned ms)
 {
 	usleep(ms * 1000);
 }
 
-/* Die with a word: without the installation no case has a meaning. */
-static void demand(bool ok, const char *what)
+/*
+ * Aborts with a message if a step of the set-up failed, as no test case is
+ * meaningful then.
+ */
+static void require(bool ok, const char *what)
 {
 	if (ok)
 		return;
-	fprintf(stderr, "the installation failed: %s\n", what);
+	fprintf(stderr, "set-up of the installation failed: %s\n", what);
 	abort();
 }
 
-/* Read the ports a VM announces once it listens. */
-static bool vm_announced(struct entry_vm *v, const char *path)
+/*
+ * Reads the ports that an entry VM announces; returns false until it listens.
+ */
+static bool vm_read_ports(struct entry_vm *v, const char *path)
 {
 	json_t *j = json_load_file(path, 0, NULL);
 
@@ -62,14 +70,16 @@
 	return v->callers_port;
 }
 
-/* Write its settings and start an entry VM; by the main thread only. */
+/*
+ * Writes an entry VM's settings and starts it; called by the main thread only.
+ */
 void vm_start(struct install *in, size_t i)
 {
 	struct entry_vm *v = &in->vms[i];
 	char self[PATH_MAX] = "", *path, *base, *args[8];
 	FILE *f;
 
-	demand(readlink("/proc/self/exe", self, sizeof(self) - 1) > 0, "exe");
+	require(readlink("/proc/self/exe", self, sizeof(self) - 1) > 0, "exe");
 	path = xasprintf("%s/bamboofrontd", dirname(self));
 	base = xasprintf("%s/%s-%u", in->dir, v->name, ++v->generation);
 	args[0] = path;
@@ -81,7 +91,7 @@
 	args[6] = xasprintf("%s.record", base);
 	args[7] = NULL;
 	f = fopen(args[2], "we");
-	demand(f, "settings");
+	require(f, "settings");
 	fprintf(f, settings_text, v->name, v->dc, v->platform_port, LEASE_MS,
 		FRESH_MS, TASK_LEASE_MS);
 	fclose(f);
@@ -89,13 +99,13 @@
 	if (!v->pid) {
 		char *log = xasprintf("%s.log", base);
 
-		/* A case that crashes must leave no process behind. */
+		/* The kernel kills the process if the test case crashes. */
 		prctl(PR_SET_PDEATHSIG, SIGKILL);
 		if (freopen(log, "a", stderr))
 			execv(path, args);
 		_exit(127);
 	}
-	demand(EVENTUALLY(20, vm_announced(v, args[4])), base);
+	require(EVENTUALLY(20, vm_read_ports(v, args[4])), base);
 	free(path);
 	free(base);
 	free(args[2]);
@@ -103,7 +113,7 @@
 	free(args[6]);
 }
 
-/* Send a signal to a VM; after SIGKILL it is reaped. */
+/* Sends a signal to an entry VM; after SIGKILL it waits for its end. */
 int vm_signal(struct install *in, size_t i, int sig)
 {
 	int rc = in->vms[i].pid ? kill(in->vms[i].pid, sig) : -1;
@@ -113,7 +123,7 @@
 	return rc;
 }
 
-/* Wait for the end of a VM. */
+/* Waits for the end of an entry VM; returns its exit status, or -1. */
 int vm_wait(struct install *in, size_t i)
 {
 	int status = -1;
@@ -124,14 +134,20 @@
 	return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-/* Would the balancer send callers there? */
+/*
+ * Returns true if the readiness check succeeds, by which the load balancer
+ * chooses entry VMs.
+ */
 bool vm_ready(const struct install *in, size_t i)
 {
 	return http_call(in->vms[i].callers_port, "GET", "/readyz", NULL,
 			 NULL) == 200;
 }
 
-/* Decode the value of a row of the platform's table; false: no such row. */
+/*
+ * Reads and decodes a row of the platform's table; returns false if it doesn't
+ * exist.
+ */
 static bool row_get(const struct install *in, const char *key, xdrproc_t proc,
 		    void *value, size_t size)
 {
@@ -155,6 +171,9 @@
 	return found;
 }
 
+/*
+ * Returns the index of the entry VM that owns a unit by its row, or SIZE_MAX.
+ */
 size_t vm_owner(const struct install *in, const char *unit)
 {
 	unit_row row;
@@ -169,13 +188,13 @@
 	return i < in->vm_count ? i : SIZE_MAX;
 }
 
-/* The shard that is a job's home. */
+/* Returns the key of the shard's row that a job belongs to. */
 char *unit_of_job(const char *job)
 {
 	return xasprintf("shard/%u", job_shard(bstr_lit(job)));
 }
 
-/* An operator's call; what was made for one VM is not kept. */
+/* Sends an operator's request to an entry VM on a connection of its own. */
 op_status operate(const struct install *in, size_t vm, const op_request *rq,
 		  json_t **answer, bstr *secret)
 {
@@ -208,7 +227,10 @@
 	return status;
 }
 
-/* Carry out a change when the installation is able to. */
+/*
+ * Sends an operator's request until it is no longer answered as unavailable;
+ * aborts if it isn't carried out.
+ */
 static void operate_until(struct install *in, const op_request *rq,
 			  bstr *secret)
 {
@@ -217,12 +239,15 @@
 	if (!EVENTUALLY(20, (status = operate(in, 0, rq, NULL, secret)) !=
 				    OP_UNAVAILABLE) ||
 	    status != OP_OK)
-		fprintf(stderr, "operator's call %d: status %d\n",
+		fprintf(stderr, "operator's request %d: status %d\n",
 			(int)rq->kind, (int)status);
-	demand(status == OP_OK, "an operator's call");
+	require(status == OP_OK, "an operator's request");
 }
 
-/* The pool that an operator is shown a VM in; malloced, "" if nothing. */
+/*
+ * Returns the pool of a VM as an operator sees it, "" if unknown.  The caller
+ * frees it.
+ */
 char *vm_pool_get(const struct install *in, size_t vm, const char *name)
 {
 	json_t *j, *one;
@@ -237,7 +262,10 @@
 	return state;
 }
 
-/* What an operator is told of a job; malloced. */
+/*
+ * Returns the answer of the operator's request that explains a job.  The caller
+ * frees it.
+ */
 char *job_explain(const struct install *in, size_t vm, const char *job)
 {
 	op_request rq = {.kind = OP_WHY_JOB,
@@ -251,7 +279,7 @@
 	return text;
 }
 
-/* Make pools, the team, its key, and put the workers into the pool. */
+/* Creates the pools, the team and its key, and adds the workers to the pool. */
 static void install_configure(struct install *in,
 			      const struct install_plan *plan)
 {
@@ -300,23 +328,26 @@
 	bstr_free(&secret);
 }
 
-/* Has a VM accepted and finished work?  Then it knows all it needs. */
-static bool install_works(struct install *in, size_t vm)
+/*
+ * Returns true if an entry VM completes a job, for which it needs all of the
+ * configuration.
+ */
+static bool vm_completes_job(struct install *in, size_t vm)
 {
-	struct caller_response said = caller_ask(
+	struct caller_response response = caller_ask(
 		in, vm, "POST", "/v1/jobs", NULL,
 		"{\"pool\": \"" POOL "\", \"payload\": {}, \"wait\": true, "
 		"\"timeout_ms\": 2000}",
 		4000);
-	bool works = said.status == 200 &&
-		     !strcmp(response_text(&said, "state"), "done");
+	bool works = response.status == 200 &&
+		     !strcmp(response_text(&response, "state"), "done");
 
-	caller_response_free(&said);
+	caller_response_free(&response);
 	return works;
 }
 
-/* The data centres of a layout. */
-static void install_lay_out(struct install *in, const char *layout)
+/* Fills in the entry VMs and data centres of a layout. */
+static void install_parse_layout(struct install *in, const char *layout)
 {
 	unsigned in_dc[128] = {0};
 	struct entry_vm *v;
@@ -331,7 +362,7 @@
 	}
 }
 
-/* Start everything, and wait until each entry VM gets work done. */
+/* Starts all processes and waits until each entry VM has completed a job. */
 void install_start(struct install *in, const struct install_plan *plan)
 {
 	char workers[16], slots[16];
@@ -339,9 +370,9 @@
 
 	memset(in, 0, sizeof(*in));
 	strcpy(in->dir, "/tmp/test-failure-XXXXXX");
-	demand(mkdtemp(in->dir), in->dir);
+	require(mkdtemp(in->dir), in->dir);
 	signal(SIGPIPE, SIG_IGN);
-	install_lay_out(in, plan->layout);
+	install_parse_layout(in, plan->layout);
 	snprintf(workers, sizeof(workers), "%u", plan->workers);
 	snprintf(slots, sizeof(slots), "%u", plan->slots);
 	standin_start(&in->platform, "standin-platform", NULL);
@@ -362,11 +393,12 @@
 	}
 	install_configure(in, plan);
 	for (i = 0; i < in->vm_count; i++)
-		demand(EVENTUALLY(30, vm_ready(in, i) && install_works(in, i)),
-		       in->vms[i].name);
+		require(EVENTUALLY(30,
+				   vm_ready(in, i) && vm_completes_job(in, i)),
+			in->vms[i].name);
 }
 
-/* Remove what a directory holds. */
+/* Removes a file or directory, for nftw(). */
 static int file_remove(const char *path, const struct stat *sb, int flag,
 		       struct FTW *ftw)
 {
@@ -376,7 +408,10 @@
 	return remove(path);
 }
 
-/* End everything; FAILURE_KEEP in the environment keeps logs and records. */
+/*
+ * Kills all processes and removes their files; FAILURE_KEEP in the environment
+ * keeps the logs and records.
+ */
 void install_stop(struct install *in)
 {
 	size_t i;
@@ -395,19 +430,22 @@
 		nftw(in->dir, file_remove, 16, FTW_DEPTH | FTW_PHYS);
 }
 
-/* Ask as a caller, on a fresh connection, for so long at the most. */
+/*
+ * Sends a caller's request on a new connection and waits timeout_ms at most for
+ * each read of the response.
+ */
 struct caller_response caller_ask(const struct install *in, size_t vm,
 				  const char *method, const char *path,
 				  const char *key, const char *body,
 				  unsigned timeout_ms)
 {
 	struct timeval tv = {timeout_ms / 1000, timeout_ms % 1000 * 1000};
-	struct caller_response said = {0};
+	struct caller_response response = {0};
 	int fd = http_connect(in->vms[vm].callers_port, NULL);
 	char *text = NULL, *p;
 
 	if (fd < 0)
-		return said;
+		return response;
 	setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &tv, sizeof(tv));
 	text = xasprintf("%s %s HTTP/1.1\r\nHost: x\r\n"
 			 "Authorization: Bearer %s\r\n%s%s%s"
@@ -418,76 +456,88 @@
 			 body ? body : "");
 	send(fd, text, strlen(text), MSG_NOSIGNAL);
 	free(text);
-	said.status = http_recv(fd, &text);
+	response.status = http_recv(fd, &text);
 	close(fd);
 	if (text) {
 		p = strcasestr(text, "\r\nRetry-After:");
-		said.retry_after = p ? (unsigned)strtoul(p + 14, NULL, 10) : 0;
-		said.json = json_loads(strstr(text, "\r\n\r\n") + 4, 0, NULL);
+		response.retry_after = p ? (unsigned)strtoul(p + 14, NULL, 10)
+					 : 0;
+		response.json = json_loads(strstr(text, "\r\n\r\n") + 4, 0,
+					   NULL);
 	}
 	free(text);
-	return said;
+	return response;
 }
 
-void caller_response_free(struct caller_response *said)
+/* Frees the JSON of a response. */
+void caller_response_free(struct caller_response *response)
 {
-	json_decref(said->json);
-	said->json = NULL;
+	json_decref(response->json);
+	response->json = NULL;
 }
 
-/* A member of an answer, "" if it has none. */
-const char *response_text(const struct caller_response *said, const char *name)
+/* Returns a string member of a response, or "" if it is missing. */
+const char *response_text(const struct caller_response *response,
+			  const char *name)
 {
-	const char *s = json_string_value(json_object_get(said->json, name));
+	const char *s = json_string_value(
+		json_object_get(response->json, name));
 
 	return s ? s : "";
 }
 
-/* Is a state final? */
-static bool state_final(const char *state)
+/* Returns true if a job's state is final. */
+static bool state_is_final(const char *state)
 {
 	return *state && strcmp(state, "queued") != 0 &&
 	       strcmp(state, "running") != 0;
 }
 
-/* Take an answer in; true if the job is over for its caller. */
-static bool job_take(struct load_job *j, const struct caller_response *said)
+/*
+ * Updates a job from a response; returns true if its caller need not ask again.
+ */
+static bool job_handle_response(struct load_job *j,
+				const struct caller_response *response)
 {
-	const char *state = response_text(said, "state");
+	const char *state = response_text(response, "state");
 
-	if (!said->status) {
+	if (!response->status) {
 		j->no_answers++;
 		return false;
 	}
 	snprintf(j->reason, sizeof(j->reason), "%s",
-		 response_text(said, "reason"));
-	if (*response_text(said, "job"))
+		 response_text(response, "reason"));
+	if (*response_text(response, "job"))
 		snprintf(j->id, sizeof(j->id), "%s",
-			 response_text(said, "job"));
-	if (said->status < 300)
+			 response_text(response, "job"));
+	if (response->status < 300)
 		j->accepted = true;
 	else
 		j->refusals++;
-	if (said->status == 503 && !said->retry_after)
+	if (response->status == 503 && !response->retry_after)
 		j->no_retry_after++;
 	/*
-	 * An edge's own "unknown" has no job, and that of a new owner which
-	 * has not heard its workers yet is not the last word: asking again
-	 * tells more.
+	 * A final state is taken only with a job ID: an entry VM that answers
+	 * "unknown" by itself gives none.  Nor is the answer of an owner final
+	 * that has just taken over and hasn't heard from its workers yet; a
+	 * later request tells more.
 	 */
-	if (*response_text(said, "job") && state_final(state) &&
+	if (*response_text(response, "job") && state_is_final(state) &&
 	    strcmp(j->reason, "owner-taking-over") != 0) {
 		snprintf(j->state, sizeof(j->state), "%s", state);
 		snprintf(j->result, sizeof(j->result), "%s",
-			 response_text(said, "result"));
+			 response_text(response, "result"));
 		j->wrong_job = !strcmp(state, "done") &&
 			       strcmp(j->result, j->key) != 0;
 		return true;
 	}
-	return said->status == 401 || said->status == 422;
+	return response->status == 401 || response->status == 422;
 }
 
-/* The body of a submission; its worker returns the key. */
+/*
+ * Returns the body of a submission; the worker returns the key as the result,
+ * which shows whose job it ran.
+ */
 static char *submission_body(const struct submission *s)
 {
 	return xasprintf(
@@ -500,18 +550,22 @@
 		s->timeout_ms ? s->timeout_ms : 30000, s->run_ms, s->key);
 }
 
+/* Sends one submission to an entry VM. */
 struct caller_response submit(const struct install *in, size_t vm,
 			      const struct submission *s)
 {
 	char *body = submission_body(s);
-	struct caller_response said = caller_ask(in, vm, "POST", "/v1/jobs",
-						 s->key, body, 4000);
+	struct caller_response response = caller_ask(in, vm, "POST", "/v1/jobs",
+						     s->key, body, 4000);
 
 	free(body);
-	return said;
+	return response;
 }
 
-/* Submit a job, and see it through whatever entry VM answers. */
+/*
+ * Submits a job and repeats the request at one entry VM after the other, until
+ * the job is over or give_up_ms has passed.
+ */
 static void job_run(struct load *l, struct load_job *j, size_t vm)
 {
 	struct submission s = {.key = j->key,
@@ -523,33 +577,35 @@
 			       .timeout_ms = l->timeout_ms};
 	int64_t until = clock_now() + l->give_up_ms;
 	char *body = submission_body(&s), *path;
-	struct caller_response said;
-	bool over = false;
+	struct caller_response response;
+	bool finished = false;
 
-	while (!over && clock_now() < until) {
+	while (!finished && clock_now() < until) {
 		vm = l->only_vm ? l->only_vm - 1 : (vm + 1) % l->in->vm_count;
 		/*
-		 * A repeatable job whose caller waits is known to one VM
-		 * alone; when that is gone, the caller submits it again.
+		 * A job that may be repeated and whose caller waits is known
+		 * only to the entry VM that accepted it; if that VM has failed,
+		 * the caller submits the job again.
 		 */
 		if (j->accepted && !s.may_repeat) {
 			path = xasprintf("/v1/jobs/%s?wait_ms=1500", j->id);
-			said = caller_ask(l->in, vm, "GET", path, NULL, NULL,
-					  4000);
+			response = caller_ask(l->in, vm, "GET", path, NULL,
+					      NULL, 4000);
 			free(path);
 		} else {
-			said = caller_ask(l->in, vm, "POST", "/v1/jobs", j->key,
-					  body, s.wait ? 8000 : 4000);
+			response = caller_ask(l->in, vm, "POST", "/v1/jobs",
+					      j->key, body,
+					      s.wait ? 8000 : 4000);
 		}
-		over = job_take(j, &said);
-		if (!over && (said.status != 200 || !s.wait))
+		finished = job_handle_response(j, &response);
+		if (!finished && (response.status != 200 || !s.wait))
 			nap_ms(100);
-		caller_response_free(&said);
+		caller_response_free(&response);
 	}
 	free(body);
 }
 
-/* A caller: one job after the other. */
+/* The thread of a caller, which runs one job after the other. */
 static void *load_run(void *arg)
 {
 	struct load *l = arg;
@@ -564,7 +620,7 @@
 	return NULL;
 }
 
-/* Start the callers. */
+/* Starts the threads of the callers. */
 void load_start(struct load *l)
 {
 	size_t i;
@@ -582,7 +638,7 @@
 		pthread_create(&l->thread[i], NULL, load_run, l);
 }
 
-/* Wait for the callers. */
+/* Waits until the callers have ended. */
 void load_join(struct load *l)
 {
 	size_t i;
@@ -591,8 +647,8 @@
 		pthread_join(l->thread[i], NULL);
 }
 
-/* The workers' log of a data centre. */
-static json_t *log_of(const struct install *in, size_t dc)
+/* Returns the workers' log of a data centre. */
+static json_t *worker_log(const struct install *in, size_t dc)
 {
 	json_t *j;
 
@@ -600,7 +656,7 @@
 	return j;
 }
 
-/* Add what a log says of a job, whose tasks are named JOB/... */
+/* Adds the log entries of a job's tasks, whose IDs begin with JOB/. */
 static void truth_add(struct truth *t, const json_t *log, const char *job)
 {
 	const char *task, *state;
@@ -613,16 +669,17 @@
 		    task[strlen(job)] != '/')
 			continue;
 		state = json_string_value(json_object_get(line, "state"));
-		/* what a checkpoint interrupts goes on elsewhere */
+		/* a checkpointed task continues on another worker */
 		t->starts += strcmp(state, "checkpointed") != 0;
 		t->done += !strcmp(state, "done");
 		t->running += !strcmp(state, "running");
 	}
 }
 
+/* Returns what the log of one data centre has of a job's tasks. */
 struct truth truth_at(const struct install *in, size_t dc, const char *job)
 {
-	json_t *log = log_of(in, dc);
+	json_t *log = worker_log(in, dc);
 	struct truth t = {0};
 
 	truth_add(&t, log, job);
@@ -630,6 +687,7 @@
 	return t;
 }
 
+/* Returns what the logs of all data centres have of a job's tasks. */
 struct truth truth_of(const struct install *in, const char *job)
 {
 	struct truth all = {0}, t;
@@ -644,10 +702,10 @@
 	return all;
 }
 
-/* How many tasks a worker has started. */
+/* Returns how many tasks a worker has started. */
 size_t worker_starts(const struct install *in, size_t dc, const char *worker)
 {
-	json_t *log = log_of(in, dc), *line;
+	json_t *log = worker_log(in, dc), *line;
 	size_t i, n = 0;
 
 	json_array_foreach(json_object_get(log, "starts"), i, line)
@@ -658,8 +716,8 @@
 }
 
 /*
- * The most that the team ever ran at once, an upper bound: the sum of the
- * most in each data centre's workers.  Exact for one data centre.
+ * Returns the peak number of the team's running tasks: the sum of the peaks of
+ * all data centres, which is exact for one and an upper bound for several.
  */
 int64_t max_running(const struct install *in)
 {
@@ -668,7 +726,7 @@
 	size_t i;
 
 	for (i = 0; i < in->log_count; i++) {
-		log = log_of(in, i);
+		log = worker_log(in, i);
 		most += json_int(
 			json_object_get(json_object_get(log, "teams"), TEAM),
 			"most");
@@ -677,27 +735,34 @@
 	return most;
 }
 
-/* What is wrong with what a job's caller was told; NULL: nothing. */
-static const char *job_fault(const struct load_job *j, const struct truth *t,
-			     bool may_fail)
+/*
+ * Returns what is wrong with the answers that a job's caller got, by the log of
+ * the workers, or NULL.
+ */
+static const char *job_wrong_answer(const struct load_job *j,
+				    const struct truth *t, bool may_fail)
 {
 	if (j->wrong_job)
-		return "an answer that is another's";
+		return "the result of another job";
 	if (!(j->kind & KIND_REPEAT) && t->starts > 1)
 		return "run more than once";
 	if (j->accepted && !*j->state)
-		return "accepted, and no end";
+		return "accepted, but it never ended";
 	if (!strcmp(j->state, "not-run") && t->starts)
-		return "told \"not run\", but it was started";
+		return "answered \"not run\", but it was started";
 	if (!strcmp(j->state, "done") && !t->done)
-		return "told \"done\", but it was not";
+		return "answered \"done\", but it was not";
 	if (!strcmp(j->state, "failed") && (!may_fail || !t->starts || t->done))
-		return "told \"failed\", but nothing failed";
+		return "answered \"failed\", but nothing failed";
 	if (j->no_retry_after)
 		return "503 without Retry-After";
 	return NULL;
 }
 
+/*
+ * Compares the answers that callers got with the logs of the workers; prints
+ * each wrong answer, and each job that ended as unknown or not run.
+ */
 struct verdict load_check(struct load *l)
 {
 	struct verdict v = {0};
@@ -710,7 +775,7 @@
 	char *why;
 
 	for (k = 0; k < l->in->log_count; k++)
-		logs[k] = log_of(l->in, k);
+		logs[k] = worker_log(l->in, k);
 	for (i = 0; i < l->count; i++) {
 		j = &l->jobs[i];
 		t = (struct truth){0};
@@ -723,7 +788,7 @@
 		v.refused += !*j->state;
 		refusals += j->refusals;
 		no_answers += j->no_answers;
-		fault = job_fault(j, &t, l->may_fail);
+		fault = job_wrong_answer(j, &t, l->may_fail);
 		if (!fault && strcmp(j->state, "unknown") != 0 &&
 		    strcmp(j->state, "not-run") != 0)
 			continue;
@@ -732,7 +797,7 @@
 			"%u starts, %u done, %u running: %s\n",
 			l->name, j->key, j->id, j->kind, j->state, j->reason,
 			j->result, t.starts, t.done, t.running,
-			fault ? fault : "true");
+			fault ? fault : "correct");
 		if (!fault)
 			continue;
 		v.wrong++;
@@ -744,31 +809,32 @@
 		json_decref(logs[k]);
 	fprintf(stderr,
 		"%s: callers saw %zu done, %zu failed, %zu not run, %zu "
-		"unknown, %zu without an end; on the way %u refusals and %u "
-		"calls without an answer; %zu wrong\n",
+		"unknown, %zu without a final state; %u refusals and %u "
+		"requests without a response; %zu wrong\n",
 		l->name, v.done, v.failed, v.not_run, v.unknown, v.refused,
 		refusals, no_answers, v.wrong);
 	return v;
 }
 
+/* Frees the jobs of a load. */
 void load_free(struct load *l)
 {
 	free(l->jobs);
 	l->jobs = NULL;
 }
 
-/* Set the platform's faults; "[]" ends them. */
+/* Sets the platform's faults; "[]" ends them. */
 void platform_set_fault(const struct install *in, const char *json)
 {
 	char *body = http_expand(json);
 
-	demand(http_call(in->platform.port, "POST", "/control/fault", body,
-			 NULL) == 200,
-	       "a fault of the platform");
+	require(http_call(in->platform.port, "POST", "/control/fault", body,
+			  NULL) == 200,
+		"setting a fault of the platform");
 	free(body);
 }
 
-/* Set a mode of the workers of a data centre, or of one of them. */
+/* Sets a mode of the workers of a data centre, or of one of them. */
 void workers_set_mode(const struct install *in, size_t dc, const char *mode,
 		      const char *worker)
 {
@@ -776,8 +842,8 @@
 			       worker ? ", \"workers\": [\"" : "",
 			       worker ? worker : "", worker ? "\"]" : "");
 
-	demand(http_call(in->workers[dc].port, "POST", "/control", body,
-			 NULL) == 200,
-	       "a mode of the workers");
+	require(http_call(in->workers[dc].port, "POST", "/control", body,
+			  NULL) == 200,
+		"setting a mode of the workers");
 	free(body);
 }
--- a/tests/support-relay.c
+++ b/tests/support-relay.c
@@ -14,7 +14,7 @@
 #include <unistd.h>
 
 #define LINKS_MAX 32
-#define LOOK_MS 50 /* how soon a change of mode is seen */
+#define POLL_MS 50 /* poll interval, in which a change of mode is noticed */
 #define PLATFORM "platform"
 
 /* One relay: from a VM to the platform or to another VM. */
@@ -23,24 +23,24 @@
 	char from[16], to[16];
 	int fd;
 	uint16_t port;
-	atomic_uint target; /* port; a VM that is replaced has another */
+	atomic_uint target; /* port; changes when a VM is replaced */
 	atomic_uint mode;
-	atomic_uint silenced; /* connections older than this are silent */
+	atomic_uint stalled_serial; /* up to this serial */
 	pthread_t thread;
 };
 struct relay_net {
-	pthread_mutex_t lock; /* of the list */
+	pthread_mutex_t lock; /* guards links and count */
 	struct link links[LINKS_MAX];
 	size_t count;
-	atomic_uint connections; /* open now */
+	atomic_uint connections; /* open connections */
 	atomic_uint serial;
 	atomic_bool ended;
 };
-/* Bytes on their way from one side to the other. */
+/* One direction of a connection. */
 struct flow {
 	int from, to;
 	bool answers, rewrite;
-	bstr held; /* of an answer that is not whole yet */
+	bstr partial; /* incomplete answer */
 };
 struct conn {
 	struct link *link;
@@ -51,7 +51,9 @@
 static struct link *link_new(struct relay_net *net, const char *from,
 			     const char *to, uint16_t target);
 
-/* Find a link, or make it; its target is set. */
+/*
+ * Returns the link between two ends with its target set; creates it if needed.
+ */
 static struct link *link_get(struct relay_net *net, const char *from,
 			     const char *to, uint16_t target)
 {
@@ -71,8 +73,11 @@
 	return l;
 }
 
-/* Give a member's row the address of the relay to it. */
-static void row_rewrite(struct link *l, json_t *j)
+/*
+ * Replaces the peer address in a member's row by the address of the relay to
+ * that VM.
+ */
+static void member_row_rewrite(struct link *l, json_t *j)
 {
 	const char *key = json_string_value(json_object_get(j, "key"));
 	member_row row;
@@ -106,8 +111,8 @@
 	bstr_free(&bytes);
 }
 
-/* Send all of it. */
-static bool bytes_send(int fd, const char *p, size_t len)
+/* Sends all bytes; returns false on failure. */
+static bool send_all(int fd, const char *p, size_t len)
 {
 	ssize_t n;
 
@@ -117,9 +122,9 @@
 	return true;
 }
 
-/* Pass a whole answer on, with the members' rows in it rewritten. */
-static bool answer_pass(struct link *l, int to, const char *text, size_t head,
-			size_t body)
+/* Forwards a complete answer, with the member rows in it rewritten. */
+static bool answer_forward(struct link *l, int to, const char *text,
+			   size_t head, size_t body)
 {
 	json_t *j = json_loadb(text + head, body, 0, NULL), *row;
 	char *out, *dump, *length;
@@ -128,10 +133,10 @@
 
 	if (!j || !memmem(text + head, body, "member/", 7)) {
 		json_decref(j);
-		return bytes_send(to, text, head + body);
+		return send_all(to, text, head + body);
 	}
 	json_array_foreach(json_object_get(j, "rows"), i, row)
-		row_rewrite(l, row);
+		member_row_rewrite(l, row);
 	dump = json_dumps(j, JSON_COMPACT);
 	json_decref(j);
 	length = strcasestr(text, "\r\nContent-Length:");
@@ -139,39 +144,46 @@
 			(int)(length - text), text, strlen(dump),
 			(int)(text + head - strstr(length + 2, "\r\n")),
 			strstr(length + 2, "\r\n"), dump);
-	ok = bytes_send(to, out, strlen(out));
+	ok = send_all(to, out, strlen(out));
 	free(out);
 	free(dump);
 	return ok;
 }
 
-/* Pass on the answers that are whole; false: the connection is over. */
-static bool answers_pass(struct link *l, struct flow *f)
+/*
+ * Forwards the complete answers; returns false if the connection has to be
+ * closed.
+ */
+static bool answers_forward(struct link *l, struct flow *f)
 {
 	char *end, *length;
 	size_t head, body;
 	bool ok = true;
 
-	while (ok && f->held.bstr_len) {
-		f->held.bstr_val[f->held.bstr_len] = '\0';
-		end = strstr(f->held.bstr_val, "\r\n\r\n");
-		length = strcasestr(f->held.bstr_val, "\r\nContent-Length:");
+	while (ok && f->partial.bstr_len) {
+		f->partial.bstr_val[f->partial.bstr_len] = '\0';
+		end = strstr(f->partial.bstr_val, "\r\n\r\n");
+		length = strcasestr(f->partial.bstr_val, "\r\nContent-Length:");
+		/* The stand-in sends Content-Length in every answer. */
 		if (!end || !length || length > end)
-			return !end; /* every answer of the stand-in has one */
-		head = (size_t)(end + 4 - f->held.bstr_val);
+			return !end;
+		head = (size_t)(end + 4 - f->partial.bstr_val);
 		body = strtoul(length + 17, NULL, 10);
-		if (f->held.bstr_len < head + body)
+		if (f->partial.bstr_len < head + body)
 			return true;
-		ok = answer_pass(l, f->to, f->held.bstr_val, head, body);
-		f->held.bstr_len -= (u_int)(head + body);
-		memmove(f->held.bstr_val, f->held.bstr_val + head + body,
-			f->held.bstr_len);
+		ok = answer_forward(l, f->to, f->partial.bstr_val, head, body);
+		f->partial.bstr_len -= (u_int)(head + body);
+		memmove(f->partial.bstr_val, f->partial.bstr_val + head + body,
+			f->partial.bstr_len);
 	}
 	return ok;
 }
 
-/* Pass on what there is; false: the connection is over. */
-static bool flow_pass(struct link *l, struct flow *f)
+/*
+ * Forwards the bytes that have arrived; returns false if the connection has to
+ * be closed.
+ */
+static bool flow_forward(struct link *l, struct flow *f)
 {
 	char buf[16384];
 	ssize_t n = recv(f->from, buf, sizeof(buf), 0);
@@ -181,22 +193,22 @@
 	if (f->answers && atomic_load(&l->mode) == RELAY_LOSE_ANSWERS)
 		return true;
 	if (!f->rewrite)
-		return bytes_send(f->to, buf, (size_t)n);
-	f->held.bstr_val = xrealloc(f->held.bstr_val,
-				    f->held.bstr_len + (size_t)n + 1, 1);
-	memcpy(f->held.bstr_val + f->held.bstr_len, buf, (size_t)n);
-	f->held.bstr_len += (u_int)n;
-	return answers_pass(l, f);
+		return send_all(f->to, buf, (size_t)n);
+	f->partial.bstr_val = xrealloc(f->partial.bstr_val,
+				       f->partial.bstr_len + (size_t)n + 1, 1);
+	memcpy(f->partial.bstr_val + f->partial.bstr_len, buf, (size_t)n);
+	f->partial.bstr_len += (u_int)n;
+	return answers_forward(l, f);
 }
 
-/* Is this connection one on which nothing passes any more? */
-static bool conn_silent(const struct conn *c)
+/* Returns true if a connection is stalled. */
+static bool conn_is_stalled(const struct conn *c)
 {
-	return c->serial <= atomic_load(&c->link->silenced);
+	return c->serial <= atomic_load(&c->link->stalled_serial);
 }
 
-/* Pass on both ways until one side ends or the link is cut. */
-static void conn_pump(struct conn *c, int target)
+/* Forwards in both directions until one side closes or the link is reset. */
+static void conn_forward(struct conn *c, int target)
 {
 	struct flow flows[2] = {{.from = c->fd, .to = target},
 				{.from = target,
@@ -210,21 +222,21 @@
 	       atomic_load(&c->link->mode) != RELAY_RESET) {
 		p[0] = (struct pollfd){.fd = c->fd, .events = POLLIN};
 		p[1] = (struct pollfd){.fd = target, .events = POLLIN};
-		if (conn_silent(c)) {
-			usleep(LOOK_MS * 1000);
+		if (conn_is_stalled(c)) {
+			usleep(POLL_MS * 1000);
 			continue;
 		}
-		poll(p, 2, LOOK_MS);
-		if (conn_silent(c))
+		poll(p, 2, POLL_MS);
+		if (conn_is_stalled(c))
 			continue;
 		for (i = 0; i < 2 && open; i++)
 			if (p[i].revents)
-				open = flow_pass(c->link, &flows[i]);
+				open = flow_forward(c->link, &flows[i]);
 	}
-	free(flows[1].held.bstr_val);
+	free(flows[1].partial.bstr_val);
 }
 
-/* Serve one connection. */
+/* The thread of a connection. */
 static void *conn_run(void *arg)
 {
 	struct linger reset = {.l_onoff = 1, .l_linger = 0};
@@ -237,7 +249,7 @@
 				      NULL);
 	if (target >= 0) {
 		setsockopt(c->fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-		conn_pump(c, target);
+		conn_forward(c, target);
 		close(target);
 	}
 	if (atomic_load(&c->link->mode) == RELAY_RESET)
@@ -248,7 +260,7 @@
 	return NULL;
 }
 
-/* Accept connections, each with a thread of its own. */
+/* The thread of a link: accepts connections and starts a thread for each. */
 static void *link_run(void *arg)
 {
 	struct link *l = arg;
@@ -268,7 +280,7 @@
 	return NULL;
 }
 
-/* Make a link; the list is locked. */
+/* Creates a link; called with the lock held. */
 static struct link *link_new(struct relay_net *net, const char *from,
 			     const char *to, uint16_t target)
 {
@@ -292,15 +304,17 @@
 	return l;
 }
 
+/* Creates a network of relays to a platform's port. */
 struct relay_net *relay_net_new(uint16_t platform)
 {
 	struct relay_net *net = xcalloc(1, sizeof(*net));
 
 	pthread_mutex_init(&net->lock, NULL);
-	net->links[0].port = platform; /* copied by each relay_net_add */
+	net->links[0].port = platform; /* read by the first relay_net_add() */
 	return net;
 }
 
+/* Adds a VM; returns the port of its relay to the platform. */
 uint16_t relay_net_add(struct relay_net *net, const char *vm)
 {
 	uint16_t platform = net->count ? (uint16_t)atomic_load(
@@ -310,6 +324,10 @@
 	return link_get(net, vm, PLATFORM, platform)->port;
 }
 
+/*
+ * Sets the mode of the links between from and to, in both directions; NULL
+ * stands for all.
+ */
 void relay_net_set(struct relay_net *net, const char *from, const char *to,
 		   enum relay_mode mode)
 {
@@ -325,12 +343,14 @@
 		      (!to || !strcmp(l->from, to))))
 			continue;
 		if (mode == RELAY_STALL)
-			atomic_store(&l->silenced, atomic_load(&net->serial));
+			atomic_store(&l->stalled_serial,
+				     atomic_load(&net->serial));
 		atomic_store(&l->mode, mode == RELAY_STALL ? RELAY_PASS : mode);
 	}
 	pthread_mutex_unlock(&net->lock);
 }
 
+/* Stops all relays and waits until their connections are closed. */
 void relay_net_free(struct relay_net *net)
 {
 	size_t i;
--- a/tests/support-table.c
+++ b/tests/support-table.c
@@ -9,7 +9,7 @@
 	UT_hash_handle hh;
 };
 
-/* Find a row, or an object. */
+/* Returns the row or object with a key, or NULL. */
 struct fake_row *fake_row_get(struct fake_row *rows, bstr key)
 {
 	struct fake_row *r;
@@ -18,6 +18,7 @@
 	return r;
 }
 
+/* Writes a row or an object. */
 static void row_put(struct fake_row **rows, bstr key, uint64_t version,
 		    bstr value)
 {
@@ -32,7 +33,8 @@
 	bstr_set(&r->value, value);
 }
 
-static void row_drop(struct fake_row **rows, struct fake_row *r)
+/* Removes a row or an object. */
+static void row_remove(struct fake_row **rows, struct fake_row *r)
 {
 	HASH_DEL(*rows, r);
 	free(r->key);
@@ -40,19 +42,19 @@
 	free(r);
 }
 
-/* Write a row outside of any transaction. */
+/* Writes a row outside of a transaction. */
 void fake_row_set(struct fake_table *t, bstr key, bstr value)
 {
 	row_put(&t->rows, key, ++t->version, value);
 }
 
-/* Store an object. */
+/* Stores an object. */
 void fake_object_set(struct fake_table *t, bstr name, bstr body)
 {
 	row_put(&t->objects, name, 1, body);
 }
 
-/* Put a row, or that there is none, into an answer. */
+/* Adds a row to an answer; version 0 if it doesn't exist. */
 static void answer_row(ev_platform *p, bstr key, const struct fake_row *r)
 {
 	u_int n = p->rows.rows_len++;
@@ -62,7 +64,10 @@
 					  r ? bstr_copy(r->value) : BSTR_NONE};
 }
 
-/* Do the checks hold?  The answer names the rows of those that don't. */
+/*
+ * Returns true if all checks of a transaction hold; otherwise makes the answer
+ * a conflict with the rows whose checks fail.
+ */
 static bool checks_hold(struct fake_table *t, const fx_commit *c,
 			ev_platform *p)
 {
@@ -82,31 +87,34 @@
 	return hold;
 }
 
-/* Do one write of a transaction. */
-static void write_one(struct fake_table *t, const fx_commit *c,
-		      const table_write *w, ev_platform *p)
+/* Applies one write of a transaction and adds its row to the answer. */
+static void write_apply(struct fake_table *t, const fx_commit *c,
+			const table_write *w, ev_platform *p)
 {
 	struct fake_row *r = fake_row_get(t->rows, w->key);
 
 	if (t->before_write)
 		t->before_write(t->arg, c, w, r);
 	if (w->remove && r)
-		row_drop(&t->rows, r);
+		row_remove(&t->rows, r);
 	if (!w->remove)
 		fake_row_set(t, w->key, w->value);
 	answer_row(p, w->key, fake_row_get(t->rows, w->key));
 }
 
-/* A transaction, unless its id was applied before: then its answer of then. */
+/*
+ * Applies a transaction and returns true.  If its ID was applied before,
+ * repeats the answer of then and returns false, as it does on a conflict.
+ */
 bool fake_table_commit(struct fake_table *t, const fx_commit *c, ev_platform *p)
 {
-	struct fake_txn *done;
+	struct fake_txn *txn;
 	u_int i;
 
-	HASH_FIND(hh, t->txns, c->txid.bstr_val, c->txid.bstr_len, done);
-	if (done) {
+	HASH_FIND(hh, t->txns, c->txid.bstr_val, c->txid.bstr_len, txn);
+	if (txn) {
 		xdr_free(XDR_PROC(xdr_ev_platform), (char *)p);
-		xdr_copy(XDR_PROC(xdr_ev_platform), p, &done->answer,
+		xdr_copy(XDR_PROC(xdr_ev_platform), p, &txn->answer,
 			 sizeof(*p));
 		p->req = c->req;
 		return false;
@@ -114,22 +122,23 @@
 	if (!checks_hold(t, c, p))
 		return false;
 	for (i = 0; i < c->writes.writes_len; i++)
-		write_one(t, c, &c->writes.writes_val[i], p);
-	done = xcalloc(1, sizeof(*done));
-	done->id = bstr_cstr(c->txid);
-	xdr_copy(XDR_PROC(xdr_ev_platform), &done->answer, p, sizeof(*p));
-	HASH_ADD_KEYPTR(hh, t->txns, done->id, c->txid.bstr_len, done);
+		write_apply(t, c, &c->writes.writes_val[i], p);
+	txn = xcalloc(1, sizeof(*txn));
+	txn->id = bstr_cstr(c->txid);
+	xdr_copy(XDR_PROC(xdr_ev_platform), &txn->answer, p, sizeof(*p));
+	HASH_ADD_KEYPTR(hh, t->txns, txn->id, c->txid.bstr_len, txn);
 	return true;
 }
 
-static int row_order(const void *a, const void *b)
+/* Compares rows by key, for qsort(). */
+static int row_cmp(const void *a, const void *b)
 {
 	return bstr_cmp(((const table_row *)a)->key,
 			((const table_row *)b)->key);
 }
 
-/* The rows whose keys begin so, in the order of their keys. */
-static void table_list(struct fake_table *t, bstr prefix, ev_platform *p)
+/* Adds the rows with a prefix to the answer, sorted by key. */
+static void table_scan(struct fake_table *t, bstr prefix, ev_platform *p)
 {
 	struct fake_row *r, *next;
 
@@ -139,10 +148,13 @@
 	}
 	if (p->rows.rows_len)
 		qsort(p->rows.rows_val, p->rows.rows_len, sizeof(table_row),
-		      row_order);
+		      row_cmp);
 }
 
-/* A read, a scan, or an object. */
+/*
+ * Handles a read, a scan or a request for an object; returns false for other
+ * effects.
+ */
 bool fake_table_request(struct fake_table *t, const effect *fx, ev_platform *p)
 {
 	const fx_object *o = &fx->effect_u.object;
@@ -158,7 +170,7 @@
 				fake_row_get(t->rows, read->keys.keys_val[i]));
 		return true;
 	case FX_SCAN:
-		table_list(t, fx->effect_u.scan.prefix, p);
+		table_scan(t, fx->effect_u.scan.prefix, p);
 		return true;
 	case FX_OBJECT_PUT:
 		fake_object_set(t, o->name, o->body);
@@ -175,25 +187,26 @@
 	}
 }
 
+/* Frees rows or objects. */
 static void rows_free(struct fake_row **rows)
 {
 	struct fake_row *r, *next;
 
 	HASH_ITER(hh, *rows, r, next)
-		row_drop(rows, r);
+		row_remove(rows, r);
 }
 
-/* Free what a table holds. */
+/* Frees the contents of a table. */
 void fake_table_free(struct fake_table *t)
 {
-	struct fake_txn *done, *next;
+	struct fake_txn *txn, *next;
 
 	rows_free(&t->rows);
 	rows_free(&t->objects);
-	HASH_ITER(hh, t->txns, done, next) {
-		HASH_DEL(t->txns, done);
-		free(done->id);
-		xdr_free(XDR_PROC(xdr_ev_platform), (char *)&done->answer);
-		free(done);
+	HASH_ITER(hh, t->txns, txn, next) {
+		HASH_DEL(t->txns, txn);
+		free(txn->id);
+		xdr_free(XDR_PROC(xdr_ev_platform), (char *)&txn->answer);
+		free(txn);
 	}
 }
