--- a/tests/soak-entry.c
+++ b/tests/soak-entry.c
@@ -1,17 +1,17 @@
 /*
- * A soak of bamboofront-entryd: real processes on loopback beside a stand-in
- * of the platform, clients that keep their connections open, and faults from
- * outside, drawn from a seed: processes killed, stopped by plan, paused; the
- * way to the store cut, silent or losing answers; the store refusing, slow or
- * without its history; workers that crash, freeze, go silent or turn starts
- * away; the owner of the scheduling and its successor killed; changes of the
- * configuration.  Faults come in series and overlap.
+ * Soak test of bamboofront-entryd: real processes on loopback beside a stand-in
+ * of the platform, clients that keep their connections open, and injected
+ * faults drawn from a seed: processes killed, stopped by plan or paused; the
+ * path to the store cut, stalled or losing answers; the store refusing, slow or
+ * without its history; workers that crash, freeze, go silent or refuse starts;
+ * the owner of the scheduling and its successor killed; configuration changes.
+ * Faults come in series and overlap.
  *
- * What is checked, from what callers and workers see: no task runs twice at a
- * time, nor after its end was acknowledged; a refused job never runs; an
- * accepted one is known to every VM and completes; who asks how many jobs of a
- * queue wait is told no less than half of them, or 503, and 0 when all are
- * done; a planned stop ends in time, with status 0.
+ * It checks by the answers to callers and the state of the workers: no task
+ * runs twice at a time, nor after its end was acknowledged; a refused job never
+ * runs; an accepted one is known to every VM and completes; the answer to how
+ * many jobs of a queue wait is at least half of them, or 503, and 0 when all
+ * are done; a planned stop ends in time, with status 0.
  *
  * soak-entry             the kept seeds, a few seconds each
  * soak-entry SEED [S]    one seed, S seconds of faults
@@ -38,58 +38,63 @@
 
 #define VMS 4
 #define CLIENTS 3
-#define JOBS_MAX 4000 /* of one client */
-#define FAULT_S 8     /* of a kept seed */
-#define LEAD_MS 3000  /* of clients at work before the faults */
+#define JOBS_MAX 4000 /* per client */
+#define FAULT_S 8     /* length of the faults, unless given */
+#define LEAD_MS 3000  /* clients run without faults first */
 #define KEY "k1"
-#define LIMIT_CPU 2000 /* the organisation's: two tasks at a time */
-/* A count may be 2 s old; a job that was accepted so long ago is in it. */
+#define LIMIT_CPU 2000 /* upper limit of the organisation: two tasks */
+/*
+ * A count may be 2 s old, so it has to include the jobs that were accepted this
+ * long ago.
+ */
 #define COUNT_LATE_MS 5000
-/* Beyond all leases, takeovers and the jobs themselves, sanitized. */
+/*
+ * Longer than all leases, takeovers and the jobs themselves, with sanitizers.
+ */
 #define FINISH_MS 45000
-#define STOP_MS 9000	/* the grace of 6 s, sanitized */
-#define STARTED_MS 1000 /* a process takes less to start, sanitized */
+#define STOP_MS 9000	/* the grace of 6 s, plus the slowdown by sanitizers */
+#define STARTED_MS 1000 /* a process starts in less, also with sanitizers */
 #define TRIES_MAX 8
 #define CALL_MS 2500
 
-/* Seeds that failed once, or are worth a look in CI. */
+/* Seeds that failed once, or whose faults are worth running in CI. */
 static const struct {
 	uint64_t seed;
 	const char *why;
 } kept[] = {
-	{1, "the first one kept; other faults by now"},
+	{1, "the first seed kept; it draws other faults by now"},
 	{2, "processes killed and paused, workers that crash or go silent"},
 	{12,
 	 "owners killed in a row, planned stops, the store slow and silent"},
-	{33, "owners killed in a row, answers lost, starts turned away"},
-	{402, "starts that were turned away counted as begun"},
-	{414, "a VM told the last beat's count, seconds after it"},
-	{417, "a VM that had owned told a count from before it did"},
-	{2001, "stops asked for while the process stood still"},
+	{33, "owners killed in a row, answers lost, starts refused"},
+	{402, "refused starts were counted as started"},
+	{414, "a VM answered with the last beat's count, seconds after it"},
+	{417, "a former owner answered with a count from before it owned"},
+	{2001, "stops requested while the process was paused"},
 	{2016, "the same"},
 };
 
-/* Two queues: one of quick jobs, one of an organisation at its limit. */
+/* One queue of quick jobs, and one of an organisation at its upper limit. */
 static const char *const queues[] = {"/q/", "/w/"};
 #define LIMITED 1
 
 struct vm {
-	pid_t pid; /* 0: it does not run */
+	pid_t pid; /* 0: not running */
 	uint16_t port, readiness;
-	uint16_t store; /* its relay's */
+	uint16_t store; /* port of its relay to the store */
 	char name[8];
 	unsigned lives;
-	bool stopping; /* was asked to stop by plan */
-	int64_t began_at;
+	bool stopping; /* a planned stop was requested */
+	int64_t started_at;
 	int64_t stop_by;
-	int64_t down_until; /* it is not started before */
+	int64_t down_until; /* restart time */
 };
 struct job {
 	char id[17];
 	unsigned queue;
 	bool accepted;
 	int64_t accepted_at;
-	bool refused; /* the last word on it: it will not run */
+	bool refused; /* the final answer was a refusal */
 };
 struct client {
 	struct soak *soak;
@@ -97,62 +102,61 @@
 	uint64_t random;
 	int fds[VMS];
 	struct job *jobs;
-	atomic_size_t count; /* those before it don't change any more */
+	atomic_size_t count; /* jobs before this index don't change */
 	unsigned counts, counts_refused;
 };
-/* What is to come of "kill the owner, and who follows it". */
+/* The remaining kills of the owner of the scheduling and its successors. */
 struct succession {
 	unsigned kills;
-	uint64_t epoch; /* of the last that was killed */
+	uint64_t epoch; /* epoch of the last owner killed */
 	unsigned down_ms;
 };
 struct soak {
 	char dir[64];
 	uint64_t random;
 	struct standin cloud;
-	pthread_mutex_t control; /* one call to the stand-in at a time */
+	pthread_mutex_t control; /* serialises calls to the stand-in */
 	struct relay_net *net;
 	struct vm vms[VMS];
 	struct client clients[CLIENTS];
 	struct succession succession;
-	const char *store_fault, *start_fault; /* JSON; "": none */
-	FILE *journal;			       /* of the faults */
+	const char *store_fault, *start_fault; /* JSON; "" for none */
+	FILE *log_file;			       /* log of the faults */
 	atomic_bool over;
 	unsigned config, limit;
-	atomic_uint wrong, most_waiting;
+	atomic_uint violations, most_waiting;
 };
 
-/* Draw a number below a bound. */
+/* Draws a random number below a bound. */
 static unsigned draw(uint64_t *random, unsigned below)
 {
 	return (unsigned)(random_next(random) % below);
 }
 
-/* Sleep. */
 static void nap_ms(unsigned ms)
 {
 	usleep(ms * 1000);
 }
 
-/* Say what is wrong. */
-static void wrong(struct soak *s, const char *what, const char *id)
+/* Reports a violation and counts it. */
+static void violation(struct soak *s, const char *what, const char *id)
 {
 	printf("wrong: %s %s\n", what, id);
-	fflush(stdout); /* or each process that is started writes it too */
-	atomic_fetch_add(&s->wrong, 1);
+	fflush(stdout); /* a forked process would print the buffer again */
+	atomic_fetch_add(&s->violations, 1);
 }
 
-/* Note a fault, for who reads the logs of a seed that failed. */
-static void note(struct soak *s, const char *what, const char *where)
+/* Writes a fault to the log, which explains the logs of a failed seed. */
+static void fault_log(struct soak *s, const char *what, const char *where)
 {
-	fprintf(s->journal, "mono_ms=%lld %s %s\n", (long long)clock_now(),
+	fprintf(s->log_file, "mono_ms=%lld %s %s\n", (long long)clock_now(),
 		what, where);
-	fflush(s->journal);
+	fflush(s->log_file);
 }
 
 /*
- * The loopback address of this soak's VMs.  Each has its own: a port that is
- * free for a moment, while its VM is down, is not taken by another program.
+ * Returns the loopback address of this run's VMs.  Each run has its own, so
+ * that another program can't take a VM's port while the VM is down.
  */
 static struct sockaddr_in vm_address(uint16_t port)
 {
@@ -164,7 +168,10 @@
 	return a;
 }
 
-/* Choose ports that are free there; all are held until the last is chosen. */
+/*
+ * Chooses free ports at that address; all stay bound until the last is chosen,
+ * so they differ.
+ */
 static void ports_choose(uint16_t *ports, size_t count)
 {
 	struct sockaddr_in a;
@@ -185,7 +192,7 @@
 		close(fds[i]);
 }
 
-/* Connect to a VM; -1: nobody listens. */
+/* Connects to a VM; returns -1 if it doesn't listen. */
 static int vm_connect(const struct vm *v)
 {
 	struct timeval limit = {CALL_MS / 1000, CALL_MS % 1000 * 1000};
@@ -200,8 +207,8 @@
 	return fd;
 }
 
-/* Start a VM's process. */
-static void vm_begin(struct soak *s, struct vm *v)
+/* Starts a VM's process. */
+static void vm_spawn(struct soak *s, struct vm *v)
 {
 	struct sockaddr_in a = vm_address(0);
 	char ip[INET_ADDRSTRLEN];
@@ -215,12 +222,15 @@
 
 	inet_ntop(AF_INET, &a.sin_addr, ip, sizeof(ip));
 	v->stopping = false;
-	v->began_at = clock_now();
+	v->started_at = clock_now();
 	entry_process_start(&p, s->dir);
 	v->pid = p.pid;
 }
 
-/* Has a VM's process ended?  One that was not killed has to end well. */
+/*
+ * Returns true if a VM's process has ended.  It has to end with status 0 unless
+ * it was killed.
+ */
 static bool vm_ended(struct soak *s, struct vm *v)
 {
 	int status;
@@ -231,29 +241,35 @@
 	if (WIFSIGNALED(status) ? WTERMSIG(status) != SIGKILL
 				: WEXITSTATUS(status) != 0) {
 		printf("%s ended with status %x\n", v->name, (unsigned)status);
-		wrong(s, "a process ended badly:", v->name);
+		violation(s, "a process failed:", v->name);
 	}
 	return true;
 }
 
-/* Look after the processes: who ended starts anew. */
-static void vms_look(struct soak *s)
+/*
+ * Restarts the processes that have ended, and kills those whose planned stop
+ * takes too long.
+ */
+static void vms_supervise(struct soak *s)
 {
 	struct vm *v;
 
 	for (v = s->vms; v < s->vms + VMS; v++) {
 		if (vm_ended(s, v)) {
 			if (clock_now() >= v->down_until)
-				vm_begin(s, v);
+				vm_spawn(s, v);
 		} else if (v->stopping && clock_now() > v->stop_by) {
-			wrong(s, "a planned stop took too long:", v->name);
+			violation(s, "a planned stop took too long:", v->name);
 			kill(v->pid, SIGKILL);
 			v->stopping = false;
 		}
 	}
 }
 
-/* One exchange on a client's open connection to a VM; 0: no answer. */
+/*
+ * Sends a request on a client's connection to a VM; returns the status, or 0 if
+ * there was no answer.
+ */
 static int client_call(struct client *c, unsigned vm, const char *method,
 		       const char *path, const char *body, char **text)
 {
@@ -274,13 +290,16 @@
 	return status;
 }
 
-/* The path of a job. */
+/* Returns the path of a job. */
 static char *job_path(const struct job *j)
 {
 	return xasprintf("%s%s", queues[j->queue], j->id);
 }
 
-/* Hand a job in, at one VM after another until its fate is known. */
+/*
+ * Submits a job to random VMs until it is accepted or the tries are used up.
+ * It counts as refused only if every try was answered with 429 or 503.
+ */
 static void client_submit(struct client *c, struct job *j)
 {
 	static const char *const steps[] = {
@@ -294,7 +313,7 @@
 	char *body = xasprintf("{\"specification\":\"%u\",\"steps\":%s}",
 			       (limited ? 600 : 50) + draw(&c->random, 400),
 			       steps[limited ? 2 : draw(&c->random, 2)]);
-	bool open = false; /* a try may have been taken */
+	bool maybe_accepted = false; /* some try wasn't refused */
 	unsigned tries = 1 + draw(&c->random, TRIES_MAX), i;
 	int status;
 
@@ -305,17 +324,18 @@
 		j->accepted = status / 100 == 2;
 		j->accepted_at = clock_now();
 		if (!j->accepted && status != 429 && status != 503)
-			open = true;
+			maybe_accepted = true;
 		nap_ms(50);
 	}
-	j->refused = !j->accepted && !open;
+	j->refused = !j->accepted && !maybe_accepted;
 	free(path);
 	free(body);
 }
 
 /*
- * A call to the stand-in; the answer is the caller's.  One at a time: a call
- * that is open while the connections to the store go silent gets no answer.
+ * Sends a request to the stand-in and returns its answer, which the caller
+ * frees.  Calls are serialised, as a call that is open while the connections to
+ * the store go silent gets no answer.
  */
 static json_t *cloud_call(struct soak *s, const char *method, const char *path,
 			  const char *body)
@@ -331,7 +351,10 @@
 	return answer;
 }
 
-/* A row of the scheduler's as the store has it, and its age; NULL: none. */
+/*
+ * Returns a row of the scheduler from the store, and its age; NULL if there is
+ * none.
+ */
 static json_t *scheduler_row(struct soak *s, const char *key, int64_t *age)
 {
 	char *path = xasprintf("/control/scheduler/%s", key);
@@ -347,8 +370,11 @@
 	return value;
 }
 
-/* How many jobs of a queue wait now that were accepted before a time? */
-static unsigned queue_waits(struct soak *s, unsigned queue, int64_t before)
+/*
+ * Returns how many jobs of a queue were accepted before a time and have no task
+ * started yet.
+ */
+static unsigned queue_waiting(struct soak *s, unsigned queue, int64_t before)
 {
 	json_t *verdict = cloud_call(s, "GET", "/control/verdict", NULL);
 	json_t *begun = json_object_get(verdict, "begun");
@@ -372,51 +398,55 @@
 	return n;
 }
 
-/* How many jobs of a queue wait, as a VM says; the status. */
+/* Asks a VM how many jobs of a queue wait; returns the status. */
 static int client_count(struct client *c, unsigned vm, unsigned queue,
-			unsigned long *told)
+			unsigned long *waiting)
 {
 	char *text, *p;
 	int status = client_call(c, vm, "GET", queues[queue], NULL, &text);
 
 	p = status == 200 ? strstr(text, "\"waiting\":") : NULL;
-	*told = p ? strtoul(p + 10, NULL, 10) : 0;
+	*waiting = p ? strtoul(p + 10, NULL, 10) : 0;
 	free(text);
 	return status;
 }
 
-/* Ask a VM how many jobs of a queue wait, and judge its answer. */
-static void client_ask_count(struct client *c)
+/* Asks a VM how many jobs of a queue wait, and checks the answer. */
+static void client_check_count(struct client *c)
 {
-	unsigned queue = draw(&c->random, NELEMS(queues)), waits;
+	unsigned queue = draw(&c->random, NELEMS(queues)), expected;
 	unsigned vm = draw(&c->random, VMS);
 	int64_t before = clock_now() - COUNT_LATE_MS, age;
-	unsigned long told;
+	unsigned long waiting;
 	json_t *beat;
 	char *what;
-	int status = client_count(c, vm, queue, &told);
+	int status = client_count(c, vm, queue, &waiting);
 
 	c->counts += status == 200;
 	c->counts_refused += status == 503;
 	if (status != 200)
 		return;
-	waits = queue_waits(c->soak, queue, before);
-	if (2 * told >= waits)
+	expected = queue_waiting(c->soak, queue, before);
+	if (2 * waiting >= expected)
 		return;
 	beat = scheduler_row(c->soak, "beat", &age);
 	what = xasprintf("%s says %lu of %u in %s; the store's beat is %lld ms "
 			 "old, of epoch %lld, and says %lld",
-			 c->soak->vms[vm].name, told, waits, queues[queue],
-			 (long long)age, (long long)json_int(beat, "epoch"),
+			 c->soak->vms[vm].name, waiting, expected,
+			 queues[queue], (long long)age,
+			 (long long)json_int(beat, "epoch"),
 			 (long long)json_int(json_object_get(beat, "waiting"),
 					     queue == LIMITED ? "w" : "q"));
-	wrong(c->soak, "too few wait:", what);
-	note(c->soak, "wrong:", what);
+	violation(c->soak, "count of waiting jobs too low:", what);
+	fault_log(c->soak, "wrong:", what);
 	free(what);
 	json_decref(beat);
 }
 
-/* A client at work: jobs one after another, and questions about them. */
+/*
+ * The thread of a client: submits jobs one after another and asks for counts
+ * and earlier jobs.
+ */
 static void *client_run(void *arg)
 {
 	struct client *c = arg;
@@ -431,13 +461,14 @@
 			 (unsigned long long)random_next(&c->random));
 		client_submit(c, j);
 		c->count++;
-		client_ask_count(c);
+		client_check_count(c);
 		j = &c->jobs[draw(&c->random, (unsigned)c->count)];
 		path = job_path(j);
 		status = client_call(c, draw(&c->random, VMS), "GET", path,
 				     NULL, &text);
 		if (status == 410 && j->accepted)
-			wrong(c->soak, "an accepted job is not known:", j->id);
+			violation(c->soak,
+				  "an accepted job is unknown:", j->id);
 		free(text);
 		free(path);
 		nap_ms(20);
@@ -445,13 +476,13 @@
 	return NULL;
 }
 
-/* Tell the stand-in something. */
-static void cloud_tell(struct soak *s, const char *path, const char *body)
+/* Posts a command to the stand-in. */
+static void cloud_post(struct soak *s, const char *path, const char *body)
 {
 	json_decref(cloud_call(s, "POST", path, body));
 }
 
-/* Write a new configuration; an organisation's limit is 0: none. */
+/* Writes a new configuration; an upper limit of 0 means none. */
 static void config_write(struct soak *s)
 {
 	char *body = xasprintf(
@@ -468,29 +499,32 @@
 		"}}",
 		++s->config, queues[0], queues[LIMITED], s->limit);
 
-	cloud_tell(s, "/control/operator", body);
+	cloud_post(s, "/control/operator", body);
 	free(body);
 }
 
-/* Does a VM's process catch signals by now?  Until then they end it. */
+/*
+ * Returns true if a VM's process has had the time to install its signal
+ * handlers; before, a signal would kill it.
+ */
 static bool vm_started(const struct vm *v)
 {
-	return clock_now() > v->began_at + STARTED_MS;
+	return clock_now() > v->started_at + STARTED_MS;
 }
 
-/* Put the faults of the store and of starts in force, side by side. */
-static void faults_tell(struct soak *s)
+/* Injects the faults of the store and of starts, both at a time. */
+static void faults_apply(struct soak *s)
 {
 	char *body = xasprintf("[%s%s%s]", s->store_fault,
 			       *s->store_fault && *s->start_fault ? "," : "",
 			       s->start_fault);
 
-	cloud_tell(s, "/control/fault", body);
-	note(s, "store and starts", body);
+	cloud_post(s, "/control/fault", body);
+	fault_log(s, "store and starts", body);
 	free(body);
 }
 
-/* Let the store fail, or the workers' starts. */
+/* Draws a fault of the store or of the workers' starts. */
 static void fault_cloud(struct soak *s)
 {
 	static const char *const store[] = {
@@ -513,10 +547,10 @@
 		s->store_fault = store[draw(&s->random, NELEMS(store))];
 	else
 		s->start_fault = starts[draw(&s->random, NELEMS(starts))];
-	faults_tell(s);
+	faults_apply(s);
 }
 
-/* The VM that the store names as the owner of the scheduling; NULL: none. */
+/* Returns the VM that owns the scheduling by its row in the store, or NULL. */
 static struct vm *owner_find(struct soak *s, uint64_t *epoch)
 {
 	struct vm *v, *found = NULL;
@@ -531,7 +565,10 @@
 	return found;
 }
 
-/* Kill the owner if that is still to come; then who has claimed after it. */
+/*
+ * Kills the owner of the scheduling while kills remain; each must have claimed
+ * a later epoch than the last one killed.
+ */
 static void owner_kill(struct soak *s)
 {
 	struct succession *k = &s->succession;
@@ -545,10 +582,10 @@
 	v->down_until = clock_now() + k->down_ms;
 	k->epoch = epoch;
 	k->kills--;
-	note(s, "owner killed", v->name);
+	fault_log(s, "owner killed", v->name);
 }
 
-/* Do something to a VM's process. */
+/* Kills, stops or pauses a VM's process. */
 static void fault_vm(struct soak *s, struct vm *v)
 {
 	static const struct {
@@ -560,14 +597,14 @@
 	if (!v->pid || (kind && (v->stopping || !vm_started(v))))
 		return;
 	kill(v->pid, kinds[kind].sig);
-	note(s, kinds[kind].what, v->name);
+	fault_log(s, kinds[kind].what, v->name);
 	if (kinds[kind].sig == SIGTERM) {
 		v->stopping = true;
 		v->stop_by = clock_now() + STOP_MS;
 	}
 }
 
-/* Do something to a worker. */
+/* Makes a worker crash, freeze or go silent. */
 static void fault_worker(struct soak *s)
 {
 	static const char *const whats[] = {"crash", "freeze", "silence"};
@@ -575,12 +612,12 @@
 	char *body = xasprintf("{\"worker\":%u,\"what\":\"%s\"}", worker,
 			       whats[draw(&s->random, 3)]);
 
-	cloud_tell(s, "/control/worker", body);
-	note(s, "worker", body);
+	cloud_post(s, "/control/worker", body);
+	fault_log(s, "worker", body);
 	free(body);
 }
 
-/* Bring about one fault. */
+/* Draws and injects one fault. */
 static void fault_make(struct soak *s)
 {
 	static const enum relay_mode modes[] = {RELAY_RESET, RELAY_LOSE_ANSWERS,
@@ -601,12 +638,12 @@
 		if (v->pid && vm_started(v))
 			kill(v->pid, SIGHUP);
 		config_write(s);
-		note(s, "configuration", v->name);
+		fault_log(s, "configuration", v->name);
 		break;
 	case 4:
 		i = draw(&s->random, NELEMS(modes));
 		relay_net_set(s->net, v->name, "platform", modes[i]);
-		note(s, mode_names[i], v->name);
+		fault_log(s, mode_names[i], v->name);
 		break;
 	case 5:
 	case 6:
@@ -615,8 +652,8 @@
 		break;
 	case 8:
 		i = draw(&s->random, NELEMS(stores));
-		cloud_tell(s, "/control/store", stores[i]);
-		note(s, "store", stores[i]);
+		cloud_post(s, "/control/store", stores[i]);
+		fault_log(s, "store", stores[i]);
 		break;
 	case 9:
 		s->succession.kills = 2;
@@ -628,7 +665,7 @@
 	}
 }
 
-/* End what lasts of the faults. */
+/* Ends the faults that last. */
 static void faults_heal(struct soak *s)
 {
 	char *body;
@@ -639,65 +676,66 @@
 			kill(s->vms[i].pid, SIGCONT);
 	for (i = 0; i < 6; i++) {
 		body = xasprintf("{\"worker\":%u,\"what\":\"thaw\"}", i);
-		cloud_tell(s, "/control/worker", body);
+		cloud_post(s, "/control/worker", body);
 		free(body);
 	}
 	relay_net_set(s->net, NULL, "platform", RELAY_PASS);
-	note(s, "healed", "");
+	fault_log(s, "healed", "");
 	s->store_fault = s->start_fault = "";
-	faults_tell(s);
+	faults_apply(s);
 }
 
-/* Is a job shown as completed? */
+/* Returns true if a VM shows a job as completed. */
 static bool job_is_done(struct client *c, const struct job *j)
 {
 	char *path = job_path(j), *text;
 	int status = client_call(c, draw(&c->random, VMS), "GET", path, NULL,
 				 &text);
-	bool so = status == 200 && text && strstr(text, "completed");
+	bool completed = status == 200 && text && strstr(text, "completed");
 
 	free(path);
 	free(text);
-	return so;
+	return completed;
 }
 
-/* Wait until a job is shown as completed; false: not by then. */
+/* Waits until a job is shown as completed; returns false at the deadline. */
 static bool job_wait(struct client *c, const struct job *j, int64_t until)
 {
 	while (!job_is_done(c, j)) {
 		if (clock_now() >= until)
 			return false;
-		vms_look(c->soak);
+		vms_supervise(c->soak);
 		nap_ms(50);
 	}
 	return true;
 }
 
-/* Every VM has to tell again that no job waits once all are done. */
-static void counts_judge(struct soak *s, int64_t until)
+/* Checks that every VM answers that no job waits once all are done. */
+static void counts_check(struct soak *s, int64_t until)
 {
 	unsigned vm, queue;
-	unsigned long told;
+	unsigned long waiting;
 
 	for (vm = 0; vm < VMS; vm++) {
 		for (queue = 0; queue < NELEMS(queues); queue++) {
-			while (client_count(s->clients, vm, queue, &told) !=
+			while (client_count(s->clients, vm, queue, &waiting) !=
 				       200 ||
-			       told) {
+			       waiting) {
 				if (clock_now() >= until) {
-					wrong(s, "does not say that none wait:",
-					      s->vms[vm].name);
+					violation(s,
+						  "still counts waiting jobs:",
+						  s->vms[vm].name);
 					break;
 				}
-				vms_look(s);
+				vms_supervise(s);
 				nap_ms(50);
 			}
 		}
 	}
 }
 
-/* Wait until all that was accepted is done, and judge. */
-static void judge(struct soak *s)
+/* Waits until all accepted jobs are done, and checks the invariants. */
+static void check_invariants(struct soak *s)
 {
 	int64_t until = clock_now() + FINISH_MS;
 	unsigned counts = 0, unknown = 0;
@@ -714,29 +752,31 @@
 			accepted += j->accepted;
 			refused += j->refused;
 			if (j->accepted && !job_wait(c, j, until))
-				wrong(s, "an accepted job is not done:", j->id);
+				violation(s, "an accepted job is not done:",
+					  j->id);
 		}
 	}
-	counts_judge(s, until);
+	counts_check(s, until);
 	verdict = cloud_call(s, "GET", "/control/verdict", NULL);
 	json_array_foreach(json_object_get(verdict, "broken"), i, v)
-		wrong(s, "at the workers:", json_string_value(v));
+		violation(s, "at the workers:", json_string_value(v));
 	for (c = s->clients; c < s->clients + CLIENTS; c++)
 		for (i = 0; i < c->count; i++)
 			if (c->jobs[i].refused &&
 			    json_object_get(json_object_get(verdict, "begun"),
 					    c->jobs[i].id))
-				wrong(s, "a refused job ran:", c->jobs[i].id);
+				violation(s,
+					  "a refused job ran:", c->jobs[i].id);
 	printf("accepted %zu refused %zu starts %lld; counts %u refused %u, "
 	       "at most %u waited\n",
 	       accepted, refused, (long long)json_int(verdict, "starts"),
 	       counts, unknown, atomic_load(&s->most_waiting));
 	if (!accepted)
-		wrong(s, "nothing was accepted", "");
+		violation(s, "no job was accepted", "");
 	json_decref(verdict);
 }
 
-/* Start everything. */
+/* Starts the stand-in, the VMs and the clients. */
 static void soak_start(struct soak *s, uint64_t seed)
 {
 	static const char *const args[] = {"--workers", "6", NULL};
@@ -753,9 +793,9 @@
 	if (!mkdtemp(s->dir))
 		abort();
 	path = xasprintf("%s/faults.log", s->dir);
-	s->journal = fopen(path, "we");
+	s->log_file = fopen(path, "we");
 	free(path);
-	if (!s->journal)
+	if (!s->log_file)
 		abort();
 	s->store_fault = s->start_fault = "";
 	s->limit = LIMIT_CPU;
@@ -769,7 +809,7 @@
 		v->port = ports[2 * i];
 		v->readiness = ports[2 * i + 1];
 		v->store = relay_net_add(s->net, v->name);
-		vm_begin(s, v);
+		vm_spawn(s, v);
 	}
 	nap_ms(1500);
 	for (c = s->clients; c < s->clients + CLIENTS; c++) {
@@ -782,7 +822,7 @@
 	}
 }
 
-/* Stop everything; logs stay only where something was wrong. */
+/* Stops everything; the logs are kept only if something was wrong. */
 static void soak_stop(struct soak *s)
 {
 	struct dirent *d;
@@ -804,11 +844,11 @@
 				close(c->fds[i]);
 		free(c->jobs);
 	}
-	fclose(s->journal);
+	fclose(s->log_file);
 	pthread_mutex_destroy(&s->control);
 	relay_net_free(s->net);
 	standin_stop(&s->cloud);
-	if (s->wrong) {
+	if (s->violations) {
 		printf("logs: %s\n", s->dir);
 		return;
 	}
@@ -823,25 +863,25 @@
 	rmdir(s->dir);
 }
 
-/* Sleep, and look after the processes. */
-static void soak_nap(struct soak *s, unsigned ms)
+/* Sleeps while it restarts processes and kills owners. */
+static void soak_sleep(struct soak *s, unsigned ms)
 {
 	int64_t until = clock_now() + ms;
 
 	do {
 		nap_ms(20);
-		vms_look(s);
+		vms_supervise(s);
 		owner_kill(s);
 	} while (clock_now() < until);
 }
 
-/* Run one seed; true: nothing was wrong. */
+/* Runs one seed; returns true if nothing was wrong. */
 static bool soak_run(uint64_t seed, unsigned seconds)
 {
 	struct soak *s = xcalloc(1, sizeof(*s));
 	int64_t until, heal_at = 0;
 	struct client *c;
-	bool good;
+	bool ok;
 
 	printf("seed %llu, %u s\n", (unsigned long long)seed, seconds);
 	fflush(stdout);
@@ -850,11 +890,14 @@
 	until = clock_now() + seconds * 1000;
 	while (clock_now() < until) {
 		fault_make(s);
-		soak_nap(s, 100 + draw(&s->random, 500));
+		soak_sleep(s, 100 + draw(&s->random, 500));
 		if (clock_now() > heal_at) {
 			faults_heal(s);
 			heal_at = clock_now() + 1000 + draw(&s->random, 3000);
-			/* Some last longer than a count may be late. */
+			/*
+			 * Some faults last longer than the age that a count may
+			 * have.
+			 */
 			if (!draw(&s->random, 4))
 				heal_at += COUNT_LATE_MS;
 		}
@@ -864,17 +907,17 @@
 	config_write(s);
 	atomic_store(&s->over, true);
 	for (c = s->clients; c < s->clients + CLIENTS; c++) {
-		vms_look(s);
+		vms_supervise(s);
 		pthread_join(c->thread, NULL);
 	}
-	judge(s);
-	good = !s->wrong;
+	check_invariants(s);
+	ok = !s->violations;
 	soak_stop(s);
 	free(s);
-	return good;
+	return ok;
 }
 
-/* Run one seed, or the kept ones. */
+/* Runs one seed, or the kept ones. */
 int main(int argc, char **argv)
 {
 	unsigned passed = 0, failed = 0;
