--- a/tests/race-edge-caller.c
+++ b/tests/race-edge-caller.c
@@ -7,7 +7,7 @@
 #include <unistd.h>
 
 #define CLIENTS 6
-#define EACH 400
+#define REQUESTS_EACH 400
 
 struct client {
 	struct reducer *reducer;
@@ -21,10 +21,13 @@
 	bool stop;
 };
 
-/* Ask for a job of one's own; another's answer is the fault looked for. */
-static int client_own(struct client *c, int fd, unsigned i, bool submit)
+/*
+ * Sends a request for a job of this client.  The answer must name that job, or
+ * be 504; an answer to another client is the fault that the test looks for.
+ */
+static int client_request_own(struct client *c, int fd, unsigned i, bool submit)
 {
-	char ask[512], job[64], want[80], *response;
+	char request[512], job[64], want[80], *response;
 	unsigned http;
 
 	if (fd < 0)
@@ -32,17 +35,17 @@
 	snprintf(job, sizeof(job), "own-%u-%u", c->index, i);
 	snprintf(want, sizeof(want), "\"job\":\"%s\"", job);
 	if (submit)
-		snprintf(ask, sizeof(ask),
+		snprintf(request, sizeof(request),
 			 "POST /v1/jobs HTTP/1.1\r\nHost: x\r\n" CALLER_AUTH
 			 "Idempotency-Key: %s\r\nContent-Length: 24\r\n\r\n"
 			 "{\"pool\":\"p\",\"payload\":1}",
 			 job);
 	else
-		snprintf(ask, sizeof(ask),
+		snprintf(request, sizeof(request),
 			 "GET /v1/jobs/%s HTTP/1.1\r\nHost: x\r\n" CALLER_AUTH
 			 "\r\n",
 			 job);
-	client_send(fd, ask, strlen(ask));
+	client_send(fd, request, strlen(request));
 	response = client_read(fd);
 	http = response_status(response);
 	if (http == 200 ? !strstr(response, want) : http != 504) {
@@ -53,16 +56,19 @@
 	return fd;
 }
 
-/* Ask for what is held, and leave or wait for the answer or 504. */
-static void client_held(struct client *c, bool leave)
+/*
+ * Sends a request that the reducer holds, and closes the connection or waits
+ * for the answer or 504.
+ */
+static void client_request_held(struct client *c, bool leave)
 {
-	static const char ask[] =
+	static const char request[] =
 		"GET /v1/jobs/held HTTP/1.1\r\nHost: x\r\n" CALLER_AUTH "\r\n";
 	int fd = client_connect(edge_caller_port(c->reducer->edge));
 	char *response;
 	unsigned http;
 
-	client_send(fd, ask, sizeof(ask) - 1);
+	client_send(fd, request, sizeof(request) - 1);
 	if (!leave) {
 		response = client_read(fd);
 		http = response_status(response);
@@ -76,23 +82,26 @@
 	close(fd);
 }
 
+/*
+ * The thread of a client: random requests, some on a connection that is kept.
+ */
 static void *client_run(void *arg)
 {
 	struct client *c = arg;
-	unsigned i, what;
+	unsigned i, kind;
 	int fd = -1;
 
-	for (i = 0; i < EACH; i++) {
-		what = (unsigned)rand_r(&c->seed) % 8;
-		if (what == 0) {
-			client_held(c, true);
-		} else if (what == 1) {
-			client_held(c, false);
-		} else if (what == 2 && fd >= 0) {
+	for (i = 0; i < REQUESTS_EACH; i++) {
+		kind = (unsigned)rand_r(&c->seed) % 8;
+		if (kind == 0) {
+			client_request_held(c, true);
+		} else if (kind == 1) {
+			client_request_held(c, false);
+		} else if (kind == 2 && fd >= 0) {
 			close(fd);
 			fd = -1;
 		} else {
-			fd = client_own(c, fd, i, what % 2);
+			fd = client_request_own(c, fd, i, kind % 2);
 		}
 	}
 	if (fd >= 0)
@@ -100,7 +109,10 @@
 	return NULL;
 }
 
-/* Answer held calls in any order, some twice, some of clients that left. */
+/*
+ * The thread that answers held calls in random order, some twice and some of
+ * clients that have left.
+ */
 static void *answerer_run(void *arg)
 {
 	struct answerer *a = arg;
@@ -130,7 +142,10 @@
 	return NULL;
 }
 
-/* How many calls have neither an answer taken nor an EV_CALL_GONE. */
+/*
+ * Returns the number of calls with neither an accepted answer nor an
+ * EV_CALL_GONE.
+ */
 static int calls_open(struct reducer *r)
 {
 	int n;
@@ -143,10 +158,11 @@
 }
 
 /*
- * Clients that ask, leave and wait, beside late and doubled answers.  A client
- * must see its own answer or 504; another's would show as a foreign job.  Of
- * every call exactly one thing comes: an answer that is taken, or one
- * EV_CALL_GONE; both or neither show as a count that does not come to zero.
+ * Clients send requests, disconnect or wait, while answers come late or twice.
+ * A client must get the answer to its own request or 504; if answers are
+ * confused, it sees a job that isn't its own.  Each call must end in exactly
+ * one of an accepted answer and an EV_CALL_GONE; if both or neither happen, the
+ * number of open calls doesn't return to zero.
  */
 int main(void)
 {
--- a/tests/race-edge-http.c
+++ b/tests/race-edge-http.c
@@ -5,22 +5,23 @@
 #include <stdlib.h>
 
 #define SENDERS 4
-#define EACH 150
-#define TOTAL (2 * SENDERS * EACH)
+#define REQUESTS_EACH 150
+#define TOTAL (2 * SENDERS * REQUESTS_EACH)
 
-/* The two edges, and the server that they talk to. */
-struct bench {
+/* The two edges, and the port of the server that they connect to. */
+struct fixture {
 	struct edge_platform *platform;
 	struct edge_worker *worker;
 	uint16_t port;
 };
 
 struct sender {
-	struct bench *bench;
-	uint64_t first; /* its reqs */
+	struct fixture *fixture;
+	uint64_t first; /* first request ID */
 };
 
-static effect *worker_effect(const struct bench *b, uint64_t req)
+/* Returns a command or a watch for a worker. */
+static effect *worker_effect(const struct fixture *b, uint64_t req)
 {
 	effect *fx = effect_new(FX_WORKER);
 	fx_worker *w = &fx->effect_u.worker;
@@ -32,6 +33,7 @@
 	return fx;
 }
 
+/* Returns a request for an object. */
 static effect *platform_effect(uint64_t req)
 {
 	effect *fx = effect_new(FX_OBJECT_GET);
@@ -41,16 +43,19 @@
 	return fx;
 }
 
-/* Send to both edges in turn; a full queue is tried again. */
+/*
+ * The thread of a sender: sends to both edges in turn and retries while a queue
+ * is full.
+ */
 static void *sender_run(void *arg)
 {
 	struct sender *s = arg;
-	struct bench *b = s->bench;
+	struct fixture *b = s->fixture;
 	uint64_t req = s->first;
 	effect *fx;
 	int i;
 
-	for (i = 0; i < EACH; i++) {
+	for (i = 0; i < REQUESTS_EACH; i++) {
 		fx = worker_effect(b, req++);
 		while (!edge_worker_send(b->worker, fx))
 			sched_yield();
@@ -61,24 +66,27 @@
 	return NULL;
 }
 
-/* Stop both edges while their events are still being read. */
+/* The thread that stops both edges, while the test still reads their events. */
 static void *stop_run(void *arg)
 {
-	struct bench *b = arg;
+	struct fixture *b = arg;
 
 	edge_platform_stop(b->platform);
 	edge_worker_stop(b->worker);
 	return NULL;
 }
 
-/* The id of an event's effect. */
+/* Returns the request ID of an event's effect. */
 static uint64_t event_req(const event *ev)
 {
 	return ev->body.kind == EV_WORKER ? ev->body.event_body_u.worker.req
 					  : ev->body.event_body_u.platform.req;
 }
 
-/* Read events until a thread has ended; how many came twice or of nothing. */
+/*
+ * Reads events until a thread has ended.  Returns how many were duplicates or
+ * belong to no effect.
+ */
 static int events_read(struct mailbox *inbox, bool *got, pthread_t thread)
 {
 	bool ended = false;
@@ -100,14 +108,15 @@
 }
 
 /*
- * Several threads send to both edges while a server answers, resets, cuts
- * short and falls silent, and the edges are stopped under way.  Each effect
- * must become exactly one event; a lost one shows as a wait that ends
- * without, a doubled one as a req that comes twice.
+ * Several threads send to both edges while a server answers, resets
+ * connections, truncates answers or goes silent, and the edges are stopped
+ * meanwhile.  Each effect must become exactly one event.  If an event is lost,
+ * its request ID is missing at the end; if one is duplicated, its request ID
+ * comes twice.
  */
 int main(void)
 {
-	static const enum fake_action acts[] = {
+	static const enum fake_action actions[] = {
 		FAKE_ANSWER, FAKE_ANSWER_TWICE, FAKE_TRUNCATE,
 		FAKE_RESET,  FAKE_ANSWER_CLOSE, FAKE_RAW,
 		FAKE_ANSWER, FAKE_NO_ANSWER};
@@ -121,13 +130,13 @@
 	pthread_t threads[SENDERS], stopper;
 	int i, bad = 0;
 	struct fake *f;
-	struct bench b;
+	struct fixture b;
 	struct error e;
 
 	log_open("race-edge-http", LEVEL_ERR);
 	error_init(&e);
 	for (i = 0; i < TOTAL; i++) {
-		steps[i].action = acts[(i / 16) % NELEMS(acts)];
+		steps[i].action = actions[(i / 16) % NELEMS(actions)];
 		steps[i].status = 200;
 		steps[i].body = "x";
 	}
@@ -139,12 +148,16 @@
 	if (!b.platform || !b.worker)
 		return 1;
 	for (i = 0; i < SENDERS; i++) {
-		senders[i] = (struct sender){&b, (uint64_t)i * 2 * EACH};
+		senders[i] = (struct sender){&b,
+					     (uint64_t)i * 2 * REQUESTS_EACH};
 		pthread_create(&threads[i], NULL, sender_run, &senders[i]);
 	}
 	for (i = 0; i < SENDERS; i++)
 		bad += events_read(inbox, got, threads[i]);
-	/* Some are still waiting or under way: the stop has to end them. */
+	/*
+	 * Some requests are still queued or in flight; the stop has to end
+	 * them.
+	 */
 	pthread_create(&stopper, NULL, stop_run, &b);
 	bad += events_read(inbox, got, stopper);
 	for (i = 0; i < TOTAL; i++)
--- a/tests/race-edge-rpc.c
+++ b/tests/race-edge-rpc.c
@@ -14,7 +14,7 @@
 #define OPERATORS 3
 #define CALLS 60
 
-/* Until secret.c is here. */
+/* Used unless secret.c is linked. */
 __attribute__((weak)) void secret_new(bstr key_id, bstr *secret, bstr *salt,
 				      bstr *hash)
 {
@@ -38,8 +38,9 @@
 static struct node nodes[NODES];
 static char *names[NODES] = {"a1", "b1", "c1"};
 static atomic_uint answered, lost;
-static struct mailbox *done; /* nodes that have all their pings */
+static struct mailbox *finished; /* nodes that have all their pings */
 
+/* Sends a ping to another node; retries while the queue is full. */
 static void node_ping(struct node *n, struct node *to, uint64_t seq)
 {
 	effect *fx = effect_new(FX_PEER);
@@ -52,7 +53,10 @@
 		sched_yield();
 }
 
-/* The reducer's place: answers operators and counts pings, until EV_STOP. */
+/*
+ * The thread in place of a node's reducer: answers operators and counts pings,
+ * until EV_STOP.
+ */
 static void *node_reduce(void *arg)
 {
 	struct node *n = arg;
@@ -65,7 +69,7 @@
 		switch (ev->body.kind) {
 		case EV_PEER:
 			if (++n->pings == PINGS * 2 * (NODES - 1))
-				mailbox_put(done, n);
+				mailbox_put(finished, n);
 			break;
 		case EV_PEER_LOST:
 			atomic_fetch_add(&lost, 1);
@@ -84,6 +88,7 @@
 	}
 }
 
+/* Starts the edges of a node. */
 static void node_start(struct node *n, char *name)
 {
 	struct error e;
@@ -108,7 +113,7 @@
 					edge_operator_port(n->operators));
 }
 
-/* A thread that sends to every other node. */
+/* A thread that sends pings to all other nodes. */
 static void *ping_run(void *arg)
 {
 	struct node *n = arg;
@@ -122,7 +127,7 @@
 	return NULL;
 }
 
-/* An operator that makes keys, now here, now there. */
+/* The thread of an operator that creates keys at each node in turn. */
 static void *operate_run(void *arg)
 {
 	op_request req = {.kind = OP_KEY_CREATE};
@@ -150,8 +155,8 @@
 	return NULL;
 }
 
-/* Half of a mark, to each listener; silent from then on. */
-static int half_open(uint16_t port)
+/* Opens a connection, sends part of a record mark and then nothing more. */
+static int partial_open(uint16_t port)
 {
 	struct sockaddr_in sa = {.sin_family = AF_INET};
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -165,24 +170,25 @@
 }
 
 /*
- * Every node sends to every other from two threads, operators call them all,
- * half-open connections stand by, senders come and go, and the edges stop
- * while their senders still have messages queued: all messages and answers
- * arrive, and nothing is shared without a lock.
+ * Each node sends to all others from two threads, operators send requests to
+ * all nodes, connections with a partial record stay open, idle senders end and
+ * are started again, and the edges stop while messages are still queued.  All
+ * messages and answers must arrive; ThreadSanitizer reports state that is
+ * shared without a lock.
  */
 int main(void)
 {
 	pthread_t pings[NODES * 2], operators[OPERATORS];
-	int half[NODES * 2], i;
-	unsigned bad;
+	int partial[NODES * 2], i;
+	unsigned failed;
 
 	rpc_timeouts.sender_idle_ms = 1;
-	done = mailbox_new(8);
+	finished = mailbox_new(8);
 	for (i = 0; i < NODES; i++)
 		node_start(&nodes[i], names[i]);
 	for (i = 0; i < NODES; i++) {
-		half[i] = half_open(edge_peer_port(nodes[i].peers));
-		half[NODES + i] = half_open(
+		partial[i] = partial_open(edge_peer_port(nodes[i].peers));
+		partial[NODES + i] = partial_open(
 			edge_operator_port(nodes[i].operators));
 		pthread_create(&nodes[i].reducer, NULL, node_reduce, &nodes[i]);
 	}
@@ -195,17 +201,17 @@
 	for (i = 0; i < OPERATORS; i++)
 		pthread_join(operators[i], NULL);
 	for (i = 0; i < NODES; i++)
-		while (!mailbox_take(done))
-			if (!mailbox_wait(done, 60000))
+		while (!mailbox_take(finished))
+			if (!mailbox_wait(finished, 60000))
 				goto out;
 out:
-	bad = i != NODES || atomic_load(&lost);
-	for (i = 0; i < NODES; i++) { /* what these meet is no matter */
+	failed = i != NODES || atomic_load(&lost);
+	for (i = 0; i < NODES; i++) { /* these pings may be lost */
 		ping_run(&nodes[i]);
 		edge_peer_stop(nodes[i].peers);
 		edge_operator_stop(nodes[i].operators);
-		close(half[i]);
-		close(half[NODES + i]);
+		close(partial[i]);
+		close(partial[NODES + i]);
 	}
 	for (i = 0; i < NODES; i++) {
 		mailbox_put(nodes[i].inbox, event_new(EV_STOP));
@@ -214,8 +220,8 @@
 		bstr_free(&nodes[i].address);
 		free(nodes[i].operator_address);
 	}
-	mailbox_free(done);
-	bad += answered != OPERATORS * CALLS;
-	printf("%d passed, %d failed\n", bad ? 0 : 1, bad ? 1 : 0);
-	return bad != 0;
+	mailbox_free(finished);
+	failed += answered != OPERATORS * CALLS;
+	printf("%d passed, %d failed\n", failed ? 0 : 1, failed ? 1 : 0);
+	return failed != 0;
 }
--- a/tests/test-edge-tls.c
+++ b/tests/test-edge-tls.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Made for this test alone; good for 127.0.0.1 from 2020 to 2120. */
+/* Made for this test; valid for 127.0.0.1 from 2020 to 2120. */
 static const char server_cert[] =
 	"-----BEGIN CERTIFICATE-----\n"
 	"MIIBTjCB9aADAgECAgEBMAoGCCqGSM49BAMCMA8xDTALBgNVBAMMBHRlc3QwIBcN\n"
@@ -26,7 +26,7 @@
 	"6YMDQiuhyaJPKD0m5fgxWUvTu0oTgAj6Qvf34iOfSEYo7etu2oJ1AIbt\n"
 	"-----END PRIVATE KEY-----\n";
 
-/* Another authority, which has signed nothing here. */
+/* A certificate authority that signed neither of them. */
 static const char other_cert[] =
 	"-----BEGIN CERTIFICATE-----\n"
 	"MIIBTzCB9aADAgECAgECMAoGCCqGSM49BAMCMA8xDTALBgNVBAMMBHRlc3QwIBcN\n"
@@ -39,7 +39,7 @@
 	"zdg8\n"
 	"-----END CERTIFICATE-----\n";
 
-/* Answer any request with a report, and count it. */
+/* Answers any request with a report and counts it. */
 static enum MHD_Result answer(void *arg, struct MHD_Connection *conn,
 			      const char *url, const char *method,
 			      const char *version, const char *data,
@@ -66,7 +66,7 @@
 	return rc;
 }
 
-/* Write a file of its own for a certificate; the caller unlinks it. */
+/* Writes a certificate to a temporary file, which the caller unlinks. */
 static void cert_write(char *path, const char *pem)
 {
 	int fd = mkstemp(path);
@@ -77,8 +77,9 @@
 }
 
 /*
- * A worker whose certificate another authority signed, and one that talks no
- * TLS: the handshake fails before the request, so nothing was sent.
+ * A worker whose certificate another authority signed, or that doesn't speak
+ * TLS, must not get the request: the handshake fails before it is sent, so the
+ * outcome is "not sent".
  */
 Test(edge_tls, only_to_a_worker_of_the_authority)
 {
--- a/tests/test-http-client.c
+++ b/tests/test-http-client.c
@@ -10,26 +10,29 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define LONG_MS 60000 /* a limit that is not to be reached */
-#define SHORT_MS 1000 /* one that is */
-#define WAIT_MS 10000 /* for what must come */
+#define LONG_MS 60000 /* a timeout that must not expire */
+#define SHORT_MS 1000 /* a timeout that is meant to expire */
+#define WAIT_MS 10000 /* for events that must happen */
 
-/* A request and what came of it, seen from the client's thread. */
+/*
+ * A request and its outcome.  The members from entered on make its callbacks
+ * block the client's thread.
+ */
 struct call {
 	struct http_request http;
 	enum http_outcome outcome;
 	int64_t opened_at;
 	struct gate *ended;
-	/* Hold the client's thread up: at a gate, past a deadline. */
+	/* Block at a gate, or until a call's deadline has passed. */
 	struct gate *entered;
 	struct gate *leave;
 	struct call *outlast;
-	int listener;	     /* and till a connection has come here; or 0 */
-	int accepted;	     /* that connection */
-	struct call *expire; /* put the deadline of this one in the past */
+	int listener;	     /* or until a connection arrives here; 0: none */
+	int accepted;	     /* the connection that arrived */
+	struct call *expire; /* call whose deadline is set to the past */
 };
 
-/* Counts how often it was opened; threads wait for that. */
+/* A counter of openings that threads can wait for. */
 struct gate {
 	pthread_mutex_t lock;
 	pthread_cond_t opened;
@@ -40,6 +43,7 @@
 		PTHREAD_MUTEX_INITIALIZER, PTHREAD_COND_INITIALIZER, 0 \
 	}
 
+/* Opens a gate once more. */
 static void gate_open(struct gate *g)
 {
 	pthread_mutex_lock(&g->lock);
@@ -48,7 +52,7 @@
 	pthread_mutex_unlock(&g->lock);
 }
 
-/* Wait until a gate has been opened so often. */
+/* Waits until a gate has been opened count times. */
 static void gate_wait(struct gate *g, unsigned count)
 {
 	pthread_mutex_lock(&g->lock);
@@ -57,14 +61,14 @@
 	pthread_mutex_unlock(&g->lock);
 }
 
-/* Let time pass until the deadline of another call has. */
+/* Blocks until the deadline of another call has passed. */
 static void call_outlast(const struct call *other)
 {
 	while (clock_now() <= other->http.deadline)
 		poll(NULL, 0, 20);
 }
 
-/* Keep the client's thread from its work, as a VM without processor does. */
+/* Blocks the client's thread, as when a VM gets no processor time. */
 static bool call_build(struct http_request *r)
 {
 	struct call *c = (struct call *)r;
@@ -78,7 +82,7 @@
 	return true;
 }
 
-/* Note the outcome; a call with a listener holds the thread up here. */
+/* Records the outcome.  A call with a listener blocks the client's thread. */
 static struct http_request *call_done(struct http_request *r,
 				      const struct http_response *a)
 {
@@ -89,7 +93,10 @@
 	c->outcome = a->outcome;
 	c->opened_at = a->conn_opened_at;
 	if (c->listener) {
-		/* Make room for the connection that hangs, and wait for it. */
+		/*
+		 * Accepting the first connection makes room for the one that
+		 * hangs; waits for that.
+		 */
 		first = accept(c->listener, NULL, NULL);
 		if (c->outlast)
 			call_outlast(c->outlast);
@@ -104,7 +111,7 @@
 	return NULL;
 }
 
-/* Set up a call to a port. */
+/* Fills in a call to a port. */
 static void call_set(struct call *c, uint16_t port, const char *name,
 		     int64_t timeout_ms, struct gate *ended)
 {
@@ -120,6 +127,7 @@
 	c->http.done = call_done;
 }
 
+/* Starts a client. */
 static struct http_client *client_start(void)
 {
 	struct http_client_options o = {
@@ -134,10 +142,11 @@
 }
 
 /*
- * An order lies with libcurl, and the thread gets no time until its deadline
- * has passed.  The order must not leave then: another may have taken over the
- * machine that it is about.  The order is ready before what holds the thread
- * up, as both come in the one round after the call that waits for the gate.
+ * Guards against sending an order after its deadline, when another VM may have
+ * taken over the machine that it is about.  The order is queued in libcurl and
+ * the client's thread gets no processor time until the deadline has passed.
+ * The order is ready before the call that blocks the thread, as both come in
+ * the same round after the call that waits for the gate.
  */
 Test(http_client, nothing_leaves_after_its_deadline, .timeout = 60)
 {
@@ -158,7 +167,7 @@
 		f = fake_start(steps, NELEMS(steps));
 		client = client_start();
 		if (kept) {
-			/* Its connection is then there for the order. */
+			/* Leaves a connection for the order. */
 			call_set(&warm, fake_port(f), "warm", LONG_MS, &ended);
 			cr_assert(http_client_send(client, &warm.http));
 			gate_wait(&ended, ++count);
@@ -192,10 +201,11 @@
 }
 
 /*
- * The order's connection hangs, and is accepted while the thread gets no time
- * and its deadline passes.  The server must not see a byte of it; neither if
- * libcurl, which looks at the clock once for all that it does in a round, is
- * late to note the deadline: then the deadline passes without its knowing.
+ * Guards against sending an order on a connection that is established after the
+ * deadline.  The order's connection hangs, and is accepted while the client's
+ * thread gets no processor time and the deadline passes.  The server must not
+ * receive a byte.  This includes the case that libcurl, which reads the clock
+ * once per round, hasn't noticed the deadline yet ("unknown").
  */
 Test(http_client, a_late_connection_carries_nothing, .timeout = 60)
 {
@@ -213,7 +223,7 @@
 		f = fake_start(steps, NELEMS(steps));
 		port = fake_hanging_port(hanging);
 		client = client_start();
-		/* The kernel asks again for a connection after a second. */
+		/* The kernel repeats the SYN after a second. */
 		call_set(&order, port, "order", (unknown ? 10 : 3) * SHORT_MS,
 			 &ended);
 		call_set(&hold, fake_port(f), "hold", LONG_MS, &ended);
@@ -222,7 +232,10 @@
 		hold.listener = hanging[0];
 		cr_assert(http_client_send(client, &order.http));
 		cr_assert(http_client_send(client, &hold.http));
-		/* The order was begun before it: it waits to be connected. */
+		/*
+		 * The order was started before this request, so it is
+		 * connecting by now.
+		 */
 		cr_assert(fake_wait(f, 0));
 		fake_release(f, 0);
 		gate_wait(&ended, 2);
@@ -240,9 +253,10 @@
 }
 
 /*
- * A start that only an earlier life of its worker can have got is taken for
- * one that any life may do late: the age of the connection that carried a
- * request has to be told, also of one without an answer.
+ * The age of the connection that carried a request has to be reported, also for
+ * a request without an answer.  Without it, a start that only an earlier
+ * instance of the worker can have received is taken for one that any instance
+ * may still run late.
  */
 Test(http_client, tells_how_old_the_connection_is, .timeout = 60)
 {
@@ -270,7 +284,7 @@
 	fake_stop(f);
 }
 
-/* Send a call and wait for its outcome. */
+/* Sends a call and returns its outcome. */
 static enum http_outcome call_once(struct http_client *client, struct call *c,
 				   uint16_t port, const char *queue)
 {
@@ -285,8 +299,8 @@
 }
 
 /*
- * A peer that closes idle connections makes the next request fail, or the
- * client's thread spin on a socket that is readable for ever.
+ * Guards against two faults when a peer closes idle connections: the next
+ * request fails, or the client's thread spins on a socket that stays readable.
  */
 Test(http_client, a_connection_closed_while_idle_is_replaced, .timeout = 60)
 {
@@ -310,7 +324,10 @@
 	http_client_stop(client);
 }
 
-/* Queues beyond one shard lose their requests, or their connections. */
+/*
+ * Guards against losing requests or connections when there are more queues than
+ * one shard holds.
+ */
 Test(http_client, many_queues_keep_their_connections, .timeout = 60)
 {
 	enum { QUEUES = 70 };
@@ -335,7 +352,10 @@
 	fake_stop(f);
 }
 
-/* What waits for a place or for its time is begun late, never, or too early. */
+/*
+ * Guards against requests that start late, never or too early after they waited
+ * for a free connection or for their start time.
+ */
 Test(http_client, waits_for_a_place_and_for_its_time, .timeout = 60)
 {
 	static const struct {
