--- a/tests/test-standin-platform.c
+++ b/tests/test-standin-platform.c
@@ -15,7 +15,7 @@
 
 static struct standin platform;
 
-/* Start the platform with some arguments. */
+/* Starts the platform with up to four arguments. */
 static void start(const char *a, const char *b, const char *c, const char *d)
 {
 	const char *const args[] = {a, b, c, d, NULL};
@@ -28,12 +28,15 @@
 	standin_stop(&platform);
 }
 
-/* Transactions, versions that never repeat, idempotent ids, pages. */
+/*
+ * Transactions, versions that are never reused, idempotent transaction IDs, and
+ * pages of a scan.
+ */
 Test(standin_platform, keeps_the_contract, .fini = stop)
 {
 	start(NULL, NULL, NULL, NULL);
 	RUN(
-		/* Version 0 in a check: the row must not be there. */
+		/* Version 0 in a check: the row must not exist. */
 		{COMMIT,
 		 "{'txid':'1','checks':[{'key':'a','version':0}],"
 		 "'writes':[{'key':'a','value':'<x>'}]}",
@@ -42,7 +45,10 @@
 		 "{'txid':'2','checks':[{'key':'a','version':0}],"
 		 "'writes':[{'key':'b','value':'<y>'}]}",
 		 409, "{'rows':[{'key':'a','version':1,'value':'<x>'}]}"},
-		/* One check fails: no write is done, only the failed told. */
+		/*
+		 * One check fails: nothing is written, and only the row of that
+		 * check is returned.
+		 */
 		{COMMIT,
 		 "{'txid':'3','checks':[{'key':'a','version':1},"
 		 "{'key':'b','version':9}],'writes':[{'key':'a','value':''}]}",
@@ -50,14 +56,19 @@
 		{READ, "{'keys':['b','a']}", 200,
 		 "{'rows':[{'key':'b','version':0},"
 		 "{'key':'a','version':1,'value':'<x>'}]}"},
-		/* An id that conflicted has not been committed. */
+		/*
+		 * A transaction that conflicted wasn't committed, so its ID can
+		 * be used again.
+		 */
 		{COMMIT, "{'txid':'2','writes':[{'key':'b','value':'<y>'}]}",
 		 200, "{'key':'b','version':2}"},
 		{COMMIT, "{'txid':'2','writes':[{'key':'b','value':'<z>'}]}",
 		 200, "{'key':'b','version':2}"},
 		{READ, "{'keys':['b']}", 200, "'value':'<y>'"},
 		{STATS, 200, "'replays':1"},
-		/* Removed and made again, a version doesn't come back. */
+		/*
+		 * A row that is removed and written again gets a new version.
+		 */
 		{COMMIT, "{'txid':'4','writes':[{'key':'a','remove':true}]}",
 		 200, "{'key':'a','version':0}"},
 		{READ, "{'keys':['a']}", 200, "[{'key':'a','version':0}]"},
@@ -114,9 +125,10 @@
 }
 
 /*
- * The caller sees 429 with the time to come back, and nothing was done.  The
- * buckets hold one second's worth; what is larger passes when its bucket is
- * full and leaves a debt, here of a minute, so no step can meet its end.
+ * Over the limit the caller gets 429 with Retry-After, and nothing is done.  A
+ * bucket holds the tokens of one second.  A larger request passes when the
+ * bucket is full and leaves it negative, here for a minute, so no later step
+ * can find it refilled.
  */
 Test(standin_platform, limits_writes_and_reads, .fini = stop)
 {
@@ -136,7 +148,7 @@
 	    {COMMIT, "{'txid':'2','writes':[{'key':'d','value':''}]}", 429,
 	     "\r\nRetry-After: "},
 	    {"PUT", "/v1/objects/o", "x", 429, "\r\nRetry-After: "},
-	    /* Reads have a bucket of their own; a missing row counts. */
+	    /* Reads have their own bucket; a missing row counts as well. */
 	    {READ, keys, 200},
 	    {READ, "{'keys':['a']}", 429, "\r\nRetry-After: "},
 	    {SCAN, "{'prefix':'none','limit':1}", 429, "\r\nRetry-After: "},
@@ -146,9 +158,9 @@
 }
 
 /*
- * What a commit's caller sees of each fault, and what it did.  "lose" and
- * "truncate" take effect before the answer is lost: the same id again must
- * find it done and write nothing.
+ * The response to a commit under each fault, and whether it took effect.
+ * "lose" and "truncate" act after the commit: the same transaction ID again
+ * must find it done and write nothing.
  */
 Test(standin_platform, fails_as_told, .fini = stop)
 {
@@ -190,9 +202,9 @@
 }
 
 /*
- * The caller hears nothing from a platform that is down, and then loses the
- * connection; others, that the fault leaves out, are served meanwhile.  The
- * commit was never done.
+ * A caller gets no answer from a platform that is down, and the connection is
+ * closed when the fault ends.  Callers from other addresses are served
+ * meanwhile.  The commits are never applied.
  */
 Test(standin_platform, is_down_for_some, .fini = stop)
 {
@@ -221,7 +233,7 @@
 	free(body);
 }
 
-/* A share of the requests fails, by a fixed seed. */
+/* A share of the requests fails; the seed is fixed. */
 Test(standin_platform, fails_a_share, .fini = stop)
 {
 	int i, refused = 0;
@@ -234,7 +246,7 @@
 	cr_expect(refused > 60 && refused < 140, "%d", refused);
 }
 
-/* The list of VMs shows what was set only after its lag. */
+/* The VM list shows a change only after its lag. */
 Test(standin_platform, lists_vms_late, .fini = stop)
 {
 	static const struct http_step shown = {"GET", "/v1/vms", NULL, 200,
@@ -251,9 +263,9 @@
 }
 
 /*
- * A reboot names the boot that is to end.  The worker restarts once; the
- * same request again, as after a lost answer, finds another boot and does
- * nothing.  A VM that is not listed, or has no worker, is not found.
+ * A reboot names the boot that is to end.  The worker restarts once; the same
+ * request again, as after a lost answer, finds another boot and does nothing.
+ * A VM that isn't listed, or has no worker, is answered with 404.
  */
 Test(standin_platform, reboots_a_boot_once, .fini = stop)
 {
--- a/tests/test-standin-worker.c
+++ b/tests/test-standin-worker.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Requests with a lease that no test outlives. */
+/* Requests with a lease that is longer than any test. */
 #define CELL(pool, dc, epoch) \
 	"{'pool':'" pool "','dc':'" dc "','epoch':" epoch ",'lease_ms':3600000"
 #define HOME CELL("p", "a", "1")
@@ -16,7 +16,7 @@
 #define START(id, load) CMD, HOME ",'starts':[" ONE(id, load) "]}"
 #define ORDER(id, verb) \
 	CMD, HOME ",'orders':[{'task':'" id "','verb':'" verb "'}]}"
-/* A watch answers when there is something to tell: no test sleeps. */
+/* A watch answers when something has changed, so no test sleeps. */
 #define WATCH_CELL(cell, since, wait) \
 	"POST", "/v1/watch", cell ",'since':" since ",'wait_ms':" wait "}"
 #define WATCH(since) WATCH_CELL(HOME, since, "60000")
@@ -31,9 +31,9 @@
 #define RUN(...) cr_expect_eq(HTTP_STEPS(port, __VA_ARGS__), 0)
 
 static struct standin worker;
-static uint16_t port; /* of the first worker */
+static uint16_t port; /* of the worker, or of the control port */
 
-/* Start one worker with an option. */
+/* Starts one worker with an option. */
 static void start(const char *option, const char *value)
 {
 	const char *const args[] = {"--prefix", "w", option, value, NULL};
@@ -49,14 +49,16 @@
 	standin_stop(&worker);
 }
 
-/* Repeat a step until its answer is the wanted one. */
+/* Repeats a step until its answer is the expected one. */
 static void run_until(struct http_step st)
 {
 	while (!http_step(port, &st, false))
 		continue;
 }
 
-/* Send a request on a connection that stays open. */
+/*
+ * Sends a request on a connection that stays open; opens one if fd is negative.
+ */
 static int send_on(int fd, const char *method, const char *path,
 		   const char *body)
 {
@@ -69,7 +71,7 @@
 	return fd;
 }
 
-/* The answer on a connection must have something in it. */
+/* Checks that the answer on a connection contains a text, and closes it. */
 static void expect_on(int fd, const char *want)
 {
 	char *text;
@@ -92,7 +94,7 @@
 	    {START("2", "{'fail':true,'result':'why'}"), 200, "running"},
 	    {WATCH("2"), 200, GAVE("2", "failed", "task-failed", "why")},
 	    {WATCH("1"), 200, IS("1", "done", "")},
-	    /* What the stand-in can't read is echoed. */
+	    /* A payload that isn't JSON is returned as the result. */
 	    {START("3", "any"), 200, "running"},
 	    {WATCH("3"), 200, GAVE("3", "done", "", "any")},
 	    {START("4", LONG), 200, IS("4", "running", "")},
@@ -100,14 +102,17 @@
 	    {ORDER("4", "stop"), 200, GAVE("4", "stopped", "", "")},
 	    {ORDER("4", "checkpoint"), 200, IS("4", "stopped", "")},
 	    {ORDER("4", "forget"), 200, "'tasks':[]"},
-	    /* Stopped before it started: it never will. */
+	    /* A task that is stopped before its start can't start any more. */
 	    {ORDER("5", "stop"), 200, IS("5", "refused", "tombstone")},
 	    {START("5", QUICK), 200, IS("5", "refused", "tombstone")},
 	    {ORDER("6", "checkpoint"), 200, "'tasks':[]"},
 	    {CMD, HOME ",'starts':[{'task':'7','start_by_ms':-1}]}", 200,
 	     IS("7", "refused", "late")},
 	    {START("7", QUICK), 200, IS("7", "refused", "late")},
-	    /* Progress is kept by the submitter and given to the next. */
+	    /*
+	     * The submitter keeps the checkpoint and passes it to the next
+	     * start.
+	     */
 	    {START("8", LONG), 200, "running"},
 	    {ORDER("8", "forget"), 200, IS("8", "running", "")},
 	    {ORDER("8", "checkpoint"), 200, IS("8", "checkpointed", "")},
@@ -136,14 +141,17 @@
 	    {START("9", LONG), 200, IS("9", "refused", "no-slot")},
 	    {"GET", "/v1/run?sleep_ms=0", NULL, 503, "\r\nRetry-After: "},
 	    {ORDER("1", "stop"), 200, "stopped"},
-	    /* What was refused stays so: a late copy must not run. */
+	    /* A refused start stays refused: a late copy of it must not run. */
 	    {START("9", LONG), 200, IS("9", "refused", "no-slot")},
 	    {START("10", LONG), 200, IS("10", "running", "")},
 	    {LOG, 200, "'teams':{'t':{'running':8,'most':8}}"},
 	    {LOG, 200, "'workers':{'w':{'running':8,'most':8}}"});
 }
 
-/* Each pool has its own epochs; a lower one changes nothing, leases too. */
+/*
+ * Each pool has its own epochs; a request with a lower one changes nothing,
+ * including leases.
+ */
 Test(standin_worker, fences_by_epoch, .fini = stop)
 {
 	start(NULL, NULL);
@@ -158,8 +166,9 @@
 }
 
 /*
- * A cell whose owner falls silent: its tasks lapse when the lease ends, and
- * a successor with a higher epoch is told.  Other cells' tasks run on.
+ * If the owner of a cell goes silent, its tasks lapse when the lease expires,
+ * and a successor with a higher epoch sees them in its report.  Tasks of other
+ * cells continue.
  */
 Test(standin_worker, ends_leases_by_cell, .fini = stop)
 {
@@ -172,7 +181,7 @@
 	    {WATCH("1"), 200, GAVE("2", "lapsed", "", "")},
 	    {WATCH_CELL(CELL("p", "b", "2"), "0", "0"), 200,
 	     IS("1", "running", "")},
-	    /* A watch sets the lease as a command does. */
+	    /* A watch renews the lease as a command does. */
 	    {CMD, CELL("q", "b", "1") ",'starts':[" ONE("3", LONG) "]}", 200,
 	     "running"},
 	    {WATCH_CELL("{'pool':'q','dc':'b','epoch':1,'lease_ms':1", "9",
@@ -183,7 +192,9 @@
 	    {LOG, 200, "'teams':{'t':{'running':1,'most':2}}"});
 }
 
-/* Paused, a task doesn't end; its use is reported with a lag. */
+/*
+ * A task that is throttled to 0 doesn't end; its usage is reported with a lag.
+ */
 Test(standin_worker, throttles, .fini = stop)
 {
 	start("--usage-lag-ms", "1");
@@ -197,7 +208,7 @@
 	     400});
 }
 
-/* Results and tombstones are kept for a time only. */
+/* Results and tombstones are dropped after keep_ms. */
 Test(standin_worker, forgets_in_time, .fini = stop)
 {
 	start("--keep-ms", "1");
@@ -225,7 +236,7 @@
 	    {LOG, 200, "{'seq':0,'starts':[]"});
 }
 
-/* The modes that an owner sees at once. */
+/* The modes whose effect an owner sees immediately. */
 Test(standin_worker, obeys_control, .fini = stop)
 {
 	start(NULL, NULL);
@@ -248,8 +259,8 @@
 }
 
 /*
- * At the limit a further connection is closed at once; when one of the
- * others ends there is room again, also if it ended while its watch waited.
+ * At the limit a further connection is closed at once.  When another ends there
+ * is room again, also if it closed while its watch waited.
  */
 Test(standin_worker, limits_connections, .fini = stop)
 {
@@ -273,34 +284,35 @@
 }
 
 /*
- * Something between lost track of the open connections: they stay open and
- * are never answered, whether a request waited or comes later; fresh ones
- * work, and find that what came on a silent one was not done.
+ * The worker goes silent on the open connections, as if something on the
+ * network path had lost track of them.  They stay open and are never answered,
+ * whether a request waits or comes later.  New connections work, and show that
+ * a request on a silent one had no effect.
  */
 Test(standin_worker, goes_silent, .fini = stop)
 {
 	char *text;
-	int idle, waits;
+	int idle, watching;
 
 	start(NULL, NULL);
 	idle = send_on(-1, START("1", LONG));
 	cr_assert_eq(http_recv(idle, &text), 200);
 	free(text);
-	waits = send_on(-1, WATCH("1"));
+	watching = send_on(-1, WATCH("1"));
 	RUN({LOG, 200}, {CONTROL("silent"), 200});
 	send_on(idle, START("2", QUICK));
 	RUN({ORDER("1", "stop"), 200, "stopped"}, {CONTROL("none"), 200},
 	    {WATCH("0"), 200, IS("1", "stopped", "")}, {LOG, 200, "{'seq':1,"});
 	cr_expect(http_silent(idle));
-	cr_expect(http_silent(waits));
+	cr_expect(http_silent(watching));
 	close(idle);
-	close(waits);
+	close(watching);
 }
 
 /*
- * A frozen worker answers nobody and lets no lease end.  When it goes on,
- * what lapsed meanwhile is lapsed before anything else is looked at, and a
- * start that waited past its deadline is refused.
+ * A frozen worker answers no request and no lease expires.  After the thaw,
+ * expired leases end their tasks before anything else is handled, and a start
+ * that waited past its deadline is refused.
  */
 Test(standin_worker, freezes_and_thaws, .fini = stop)
 {
@@ -312,7 +324,10 @@
 	char *body;
 
 	start(NULL, NULL);
-	/* On a busy machine the lease may end before the freeze: again. */
+	/*
+	 * On a busy machine the lease may expire before the freeze; then try
+	 * again with a longer one.
+	 */
 	for (lease = 40; !frozen; lease *= 2) {
 		body = xasprintf("{'pool':'p','dc':'b','epoch':1,'lease_ms':%d,"
 				 "'starts':[" ONE("1", LONG) "]}",
@@ -327,7 +342,7 @@
 	fd = send_on(-1, CMD, HOME ",'starts':[{'task':'2','start_by_ms':1}]}");
 	cr_expect(http_step(port, &running, true));
 	for (end = clock_now() + lease; clock_now() <= end;)
-		usleep(1000); /* both deadlines pass on the same clock */
+		usleep(1000); /* the worker uses the same clock */
 	cr_expect(http_step(port, &running, true));
 	cr_expect(http_silent(fd));
 	cr_expect(http_silent(watch));
@@ -336,7 +351,7 @@
 	expect_on(fd, "\"reason\":\"late\"");
 }
 
-/* Many workers in one process: by port, by name, or all at once. */
+/* Many workers in one process, addressed by port or by name. */
 Test(standin_worker, plays_many, .fini = stop)
 {
 	const char *const args[] = {"--workers", "50", "--prefix", "m", NULL};
