--- a/tests/test-edge-operator.c
+++ b/tests/test-edge-operator.c
@@ -2,7 +2,7 @@
 
 static const uint8_t key[SEAL_KEY_BYTES] = "the operator's key";
 
-/* Until secret.c is here. */
+/* Used unless secret.c is linked. */
 __attribute__((weak)) void secret_new(bstr key_id, bstr *secret, bstr *salt,
 				      bstr *hash)
 {
@@ -11,7 +11,7 @@
 	*hash = bstr_new("hash");
 }
 
-/* An operators' edge and a thread in the place of its reducer. */
+/* An operators' edge and a thread in place of its reducer. */
 struct host {
 	struct settings settings;
 	struct operator_key keys[1];
@@ -19,15 +19,16 @@
 	struct edge_operator *edge;
 	char *address;
 	pthread_t reducer;
-	op_status answer;     /* what the reducer says to everything */
-	size_t body;	      /* bytes of a document; 0: the kind in JSON */
-	bool held;	      /* the reducer sends its answers at the stop */
-	struct mailbox *late; /* those */
-	op_key made;	      /* the key create that it saw */
+	op_status answer; /* status of all of the reducer's answers */
+	size_t body; /* size of the answers' body; 0: the request's kind as JSON
+		      */
+	bool held;   /* the reducer sends its answers only when it stops */
+	struct mailbox *late; /* held answers */
+	op_key made;	      /* the last key creation that the reducer got */
 	struct operator_client *other;
 };
 
-/* What the reducer answers to a request. */
+/* Returns the reducer's answer to a request. */
 static effect *host_answer(struct host *h, const ev_operate *operate)
 {
 	effect *fx = effect_new(FX_OP_REPLY);
@@ -50,7 +51,10 @@
 	return fx;
 }
 
-/* Answer each request until EV_STOP, then those that were held back. */
+/*
+ * The reducer's thread: answers requests until EV_STOP, then sends the held
+ * answers.
+ */
 static void *host_reduce(void *arg)
 {
 	struct host *h = arg;
@@ -78,6 +82,7 @@
 	return NULL;
 }
 
+/* Starts a host; a reducer's thread runs only if the inbox has 64 entries. */
 static void host_start_with(struct host *h, unsigned inbox)
 {
 	struct error e;
@@ -105,6 +110,7 @@
 	host_start_with(h, 64);
 }
 
+/* Stops a host. */
 static void host_stop(struct host *h)
 {
 	event *ev;
@@ -123,7 +129,10 @@
 	free(h->address);
 }
 
-/* One call by a fresh client. */
+/*
+ * Sends a request by a new client with a name and a key; returns false if it
+ * failed.
+ */
 static bool host_call_as(struct host *h, const char *name, const uint8_t *k,
 			 const op_request *req, op_reply *reply)
 {
@@ -140,6 +149,7 @@
 	return ok;
 }
 
+/* Sends a request by a new client with the valid key. */
 static bool host_call(struct host *h, const op_request *req, op_reply *reply)
 {
 	return host_call_as(h, "ana", key, req, reply);
@@ -164,7 +174,10 @@
 	host_stop(&h);
 }
 
-/* The edge counts for itself: this must work when the reducer is stuck. */
+/*
+ * The edge answers requests for the counters itself, so they work when the
+ * reducer is stuck.
+ */
 Test(edge_operator, answers_counters_itself)
 {
 	op_request req = {.kind = OP_COUNTERS};
@@ -182,7 +195,10 @@
 	host_stop(&h);
 }
 
-/* The secret reaches the operator; the reducer sees only salt and hash. */
+/*
+ * The secret of a new key reaches the operator, and only if the key was
+ * created; the reducer gets only the salt and hash.
+ */
 Test(edge_operator, shows_a_new_keys_secret_only_if_it_was_made)
 {
 	op_request req = {.kind = OP_KEY_CREATE};
@@ -206,7 +222,7 @@
 	host_stop(&h);
 }
 
-/* An operator is a name and its key; nobody else learns or does anything. */
+/* A request with an unknown name or the wrong key is denied. */
 Test(edge_operator, denies_strangers)
 {
 	static const uint8_t other[SEAL_KEY_BYTES] = "another key";
@@ -231,9 +247,10 @@
 }
 
 /*
- * The reducer says nothing, or takes nothing.  The operator has an answer in
- * bounded time all the same, and it is true: a change may have taken effect,
- * a question can be asked again.  The reducer's late answer is dropped.
+ * The reducer doesn't answer, or its inbox is full.  The operator must still
+ * get an answer in bounded time, and a correct one: a change may have taken
+ * effect, so its outcome is unknown; a query can be repeated.  The reducer's
+ * late answer is dropped.
  */
 Test(edge_operator, answers_when_the_reducer_does_not)
 {
@@ -277,7 +294,9 @@
 	}
 }
 
-/* A large answer arrives whole; one that can't travel is said to be so. */
+/*
+ * A large answer arrives complete; one that is too large to be sent is refused.
+ */
 Test(edge_operator, bounds_answers)
 {
 	static const struct {
@@ -310,7 +329,10 @@
 	host_stop(&h);
 }
 
-/* A sealed body that is no request: an answer, since the operator is known. */
+/*
+ * A sealed body that isn't a request gets an answer, as the seal has identified
+ * the operator.
+ */
 Test(edge_operator, refuses_a_body_that_does_not_decode)
 {
 	struct rpc_client *rpc;
@@ -343,21 +365,21 @@
 }
 
 /*
- * The operator's command calls something that is not an entry VM, or one
- * that fails: it ends by its deadline and says "unknown" only if the call
- * may have been carried out.
+ * The operator's client calls a server that isn't an entry VM or that fails.
+ * The call must end by its deadline and report "unknown" only if it may have
+ * been carried out.
  */
 Test(operator_client, tells_what_became_of_a_call)
 {
 	static const struct {
 		const char *name;
-		const char *bytes; /* the answer; NULL: none, silence */
+		const char *bytes; /* the answer; NULL: none */
 		size_t len;
 		bool close;
 		op_status status;
 	} cases[] = {
 		{"silent", NULL, 0, false, OP_UNKNOWN},
-		{"closed after the call", NULL, 0, true, OP_UNKNOWN},
+		{"closed after the request", NULL, 0, true, OP_UNKNOWN},
 		{"another protocol", "HTTP/1.1 400 Bad Request\r\n\r\n", 28,
 		 true, OP_UNKNOWN},
 		{"half an answer", "\x80\0\0\x20\0\0", 6, false, OP_UNKNOWN},
@@ -389,7 +411,10 @@
 			fault_write(in, cases[i].bytes, cases[i].len);
 		if (cases[i].close)
 			shutdown(in, SHUT_WR);
-		/* What came unasked, or its end, is not used for a call. */
+		/*
+		 * Neither bytes that arrived before the call nor the end of the
+		 * connection are taken as its answer.
+		 */
 		cr_expect_not(operator_client_call(c, &req, clock_now() + 200,
 						   &reply));
 		cr_expect_eq(reply.status, cases[i].status, "%s: %d %.*s",
@@ -409,6 +434,7 @@
 	error_free(&e);
 }
 
+/* Seals a request of a valid operator. */
 static void target_envelope(void *arg, sealed *out)
 {
 	op_request req = {.kind = OP_FLEET};
@@ -420,6 +446,7 @@
 	bstr_free(&body);
 }
 
+/* Sends a request by another client, which must work beside the faults. */
 static bool target_bystander(void *arg)
 {
 	op_request req = {.kind = OP_FLEET};
@@ -462,14 +489,14 @@
 FAULT_TEST(refuses_a_copy, fault_replay)
 
 /*
- * A caller leaves large answers unread and sends nothing more.  Its window
- * is shut, so a plain close would leave the rest with the kernel; it must see a
- * reset.
+ * A caller doesn't read large answers and sends nothing more.  As its window is
+ * closed, a plain close() would leave the rest of the answers in the kernel, so
+ * the connection must be reset.
  */
 Test(edge_operator, resets_a_caller_that_leaves_its_answer)
 {
 	struct target t = {.program = BAMBOO_OPERATOR};
-	struct pollfd p = {0}; /* POLLERR and POLLHUP come unasked */
+	struct pollfd p = {0}; /* POLLERR and POLLHUP are always reported */
 	struct host h;
 	int small = 4096;
 	bstr call;
@@ -482,7 +509,7 @@
 	p.fd = socket(AF_INET, SOCK_STREAM, 0);
 	setsockopt(p.fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof(small));
 	fault_connect_with(p.fd, edge_operator_port(h.edge));
-	for (i = 0; i < 32; i++) { /* more than the kernel holds */
+	for (i = 0; i < 32; i++) { /* more than the kernel buffers */
 		call = fault_good_call(&t, 1);
 		fault_write(p.fd, call.bstr_val, call.bstr_len);
 		bstr_free(&call);
@@ -493,7 +520,7 @@
 	host_stop(&h);
 }
 
-/* The caller is gone before the reducer answers: nothing is harmed. */
+/* Callers disconnect before the reducer answers; later calls must work. */
 Test(edge_operator, forgets_a_caller_that_left)
 {
 	struct target t = {.program = BAMBOO_OPERATOR};
@@ -519,12 +546,14 @@
 		xdr_free(XDR_PROC(xdr_sealed), (char *)&envelope);
 	}
 	h.held = false;
-	while (!target_bystander(&h)) /* until there is room again */
+	while (!target_bystander(&h)) /* until the edge accepts a call again */
 		cr_assert(clock_now() < deadline);
 	host_stop(&h);
 }
 
-/* Calls that nobody answers are bounded, also if their callers leave. */
+/*
+ * The number of unanswered calls is bounded, also if their callers disconnect.
+ */
 Test(edge_operator, bounds_waiting_calls)
 {
 	struct target t = {.program = BAMBOO_OPERATOR};
@@ -547,7 +576,8 @@
 		bstr_free(&call);
 	}
 	cr_expect(i >= 1024);
-	while (!host_call(&h, &req, &reply)) { /* until there is room */
+	while (!host_call(&h, &req,
+			  &reply)) { /* until the edge accepts a call */
 		reply_free(&reply);
 		cr_assert(clock_now() < deadline);
 	}
--- a/tests/test-edge-peer.c
+++ b/tests/test-edge-peer.c
@@ -2,15 +2,16 @@
 
 #include <sys/resource.h>
 
-/* An entry VM's edge, with its inbox. */
+/* An entry VM's edge and its inbox. */
 struct node {
 	struct settings settings;
 	struct mailbox *inbox;
 	struct edge_peer *edge;
 	bstr address;
-	struct rpc_client *other; /* a peer that calls it, for the faults */
+	struct rpc_client *other; /* a client that calls it beside the faults */
 };
 
+/* Starts the edge of a VM at a port, with an inbox of a given capacity. */
 static void node_start_at(struct node *n, const char *vm, uint16_t port,
 			  unsigned inbox)
 {
@@ -30,11 +31,13 @@
 	n->address = bstr_printf("127.0.0.1:%u", edge_peer_port(n->edge));
 }
 
+/* Starts the edge of a VM at any port. */
 static void node_start(struct node *n, const char *vm)
 {
 	node_start_at(n, vm, 0, 1024);
 }
 
+/* Stops the edge of a VM. */
 static void node_stop(struct node *n)
 {
 	event *ev;
@@ -47,7 +50,7 @@
 	rpc_client_close(n->other);
 }
 
-/* The next event, waited for. */
+/* Waits for the next event. */
 static event *node_event(struct node *n)
 {
 	int64_t deadline = clock_now() + WAIT_MS;
@@ -59,6 +62,7 @@
 	return ev;
 }
 
+/* Returns a ping to a VM. */
 static effect *ping(const char *to, bstr address, uint64_t seq)
 {
 	effect *fx = effect_new(FX_PEER);
@@ -71,7 +75,7 @@
 	return fx;
 }
 
-/* A message that is mostly payload. */
+/* Returns a dispatch to a VM, with a payload of a given size. */
 static effect *dispatch(const char *to, bstr address, size_t bytes)
 {
 	effect *fx = ping(to, address, 0);
@@ -86,12 +90,13 @@
 	return fx;
 }
 
+/* Sends a message, which must be accepted. */
 static void node_send(struct node *n, effect *fx)
 {
 	cr_assert(edge_peer_send(n->edge, fx));
 }
 
-/* Expect pings first..last from a VM, in their order. */
+/* Expects the pings first..last from a VM, in order. */
 static void expect_pings(struct node *n, const char *from, uint64_t first,
 			 uint64_t last)
 {
@@ -109,6 +114,7 @@
 	}
 }
 
+/* Expects the event that a VM's messages were lost. */
 static void expect_lost(struct node *n, const char *to, const char *name)
 {
 	event *ev = node_event(n);
@@ -137,16 +143,16 @@
 	node_stop(&b);
 }
 
-/* What a fake peer does on the first connection that it is offered. */
+/* What a fake peer does on its first connection. */
 struct fake {
 	const char *name;
-	bool answer;	   /* after a whole call, or else at once */
-	uint32_t xid;	   /* is added to the call's */
-	uint32_t words[6]; /* of an answer, from its direction */
-	size_t bytes;	   /* of the answer that are sent */
-	bool close;	   /* then, or else silence */
-	uint32_t mark;	   /* of its length, if not the right one */
-	size_t chunk;	   /* of the answer, over and over, without end */
+	bool answer;  /* answer after a complete call; false: act at once */
+	uint32_t xid; /* added to the call's xid */
+	uint32_t words[6]; /* of the answer, from the direction on */
+	size_t bytes;	   /* number of bytes of the answer to send */
+	bool close;	   /* close then; false: stay silent */
+	uint32_t mark;	   /* record mark; 0: the correct one */
+	size_t chunk; /* repeat the answer forever, in pieces of this size */
 };
 
 struct fake_peer {
@@ -157,6 +163,7 @@
 	pthread_t thread;
 };
 
+/* The thread of a fake peer. */
 static void *fake_run(void *arg)
 {
 	struct fake_peer *p = arg;
@@ -192,6 +199,7 @@
 	return NULL;
 }
 
+/* Starts a fake peer. */
 static void fake_start(struct fake_peer *p, const struct fake *fake)
 {
 	struct sockaddr_in sa = {.sin_family = AF_INET};
@@ -210,7 +218,10 @@
 	pthread_create(&p->thread, NULL, fake_run, p);
 }
 
-/* Its connection, if it is open, stays so: it has only gone silent. */
+/*
+ * Closes a fake peer's listening socket; an open connection stays open and
+ * silent.
+ */
 static void fake_leave(struct fake_peer *p)
 {
 	pthread_join(p->thread, NULL);
@@ -218,21 +229,21 @@
 }
 
 /*
- * A peer's connection is of no use any more: it is silent, closed, reset, or
- * its answers are not answers.  The sender tells the reducer once by the
- * deadline, and the next message goes over a fresh connection to the same
- * address, where a real peer answers now; nothing is sent again by itself.
+ * A peer's connection has failed: it is silent, closed or reset, or carries
+ * invalid answers.  The sender must tell the reducer once, by the deadline, and
+ * send the next message on a new connection to the same address, where a real
+ * peer answers by now.  Nothing is sent again automatically.
  */
 Test(edge_peer, replaces_a_connection_that_fails)
 {
 	static const struct fake fakes[] = {
 		{"silent"},
 		{"closed at once", .close = true},
-		{"takes the call, says nothing", true},
+		{"takes the call, doesn't answer", true},
 		{"takes the call, closes", true, .close = true},
-		{"an answer cut short, silence", true, .words = {REPLY},
+		{"a truncated answer, then silence", true, .words = {REPLY},
 		 .bytes = 13},
-		{"an answer cut short, closed", true, .words = {REPLY},
+		{"a truncated answer, then closed", true, .words = {REPLY},
 		 .bytes = 13, .close = true},
 		{"half a mark", true, .bytes = 2},
 		{"an answer to another call", true, 1, {REPLY}, 32},
@@ -278,14 +289,9 @@
 }
 
 /*
- * Messages pile up behind a connection that has gone silent.  All of them
- * are lost with it, in one event: the reducer must not hear of each.
- */
-/*
- * A VM decides to send two messages, freezes, and thaws after the first one's
- * deadline.  The peer must see neither: the first is too late, the second
- * goes with it as lost, and the reducer is told so.  A message that is sent
- * in time arrives.
+ * Guards against messages that are sent too late because the VM was suspended.
+ * A message whose deadline has passed must not be sent, and the reducer must be
+ * told that it was lost.  A message that is sent in time arrives.
  */
 Test(edge_peer, sends_nothing_after_its_deadline)
 {
@@ -306,6 +312,10 @@
 	node_stop(&b);
 }
 
+/*
+ * Messages queue behind a connection that has gone silent.  All of them are
+ * lost with it, in one event; the reducer must not get an event for each.
+ */
 Test(edge_peer, tells_of_a_burst_of_failures_once)
 {
 	static const struct fake silent = {"silent"};
@@ -320,10 +330,10 @@
 	address = bstr_printf("127.0.0.1:%u", p.port);
 	for (i = 0; i < 500; i++)
 		node_send(&a, ping("b1", address, i));
-	for (i = 0; i < 3; i++) /* more than one batch holds */
+	for (i = 0; i < 3; i++) /* more than fits into a batch */
 		node_send(&a, dispatch("b1", address, 200000));
 	expect_lost(&a, "b1", "burst");
-	node_send(&a, ping("b1", b.address, 1)); /* it was replaced */
+	node_send(&a, ping("b1", b.address, 1)); /* on a new connection */
 	expect_pings(&b, "a1", 1, 1);
 	cr_expect_null(mailbox_take(a.inbox));
 	fake_leave(&p);
@@ -334,8 +344,8 @@
 }
 
 /*
- * A peer that was stopped reads nothing: the socket fills and the sender's
- * write itself waits.  The deadline must end that, too.
+ * A suspended peer reads nothing, so the socket's buffer fills and the sender's
+ * write blocks.  The deadline must end that, too.
  */
 Test(edge_peer, notices_a_peer_that_reads_nothing)
 {
@@ -350,7 +360,7 @@
 	address = bstr_printf("127.0.0.1:%u", p.port);
 	for (i = 0; i < 7; i++)
 		node_send(&a, dispatch("b1", address, 1000000));
-	for (i = 0; i < 300; i++) /* beside it, another peer's sender works */
+	for (i = 0; i < 300; i++) /* another peer's sender still works */
 		node_send(&a, ping("a1", a.address, (uint64_t)i));
 	expect_pings(&a, "a1", 0, 299);
 	expect_lost(&a, "b1", "reads nothing");
@@ -360,7 +370,10 @@
 	bstr_free(&address);
 }
 
-/* A message that never arrives as it is: lost once, and counted there. */
+/*
+ * A message that the receiver refuses is reported as lost once, and counted by
+ * the receiver.
+ */
 Test(edge_peer, reports_what_a_peer_refuses)
 {
 	static const struct {
@@ -406,7 +419,10 @@
 	}
 }
 
-/* A restart closes the idle connection; that alone loses no message. */
+/*
+ * A peer's restart closes the idle connection; that must not lose the next
+ * message.
+ */
 Test(edge_peer, does_not_use_a_closed_connection)
 {
 	struct node a, b;
@@ -426,7 +442,7 @@
 	node_stop(&b);
 }
 
-/* A VM was replaced by one of the same name at another address. */
+/* A VM was replaced by one with the same name at another address. */
 Test(edge_peer, follows_a_changed_address)
 {
 	struct node a, b, c;
@@ -451,7 +467,9 @@
 	node_stop(&c);
 }
 
-/* The queue of a peer that takes nothing is bounded, in either measure. */
+/*
+ * The queue to a peer that reads nothing is bounded, by messages and by bytes.
+ */
 Test(edge_peer, bounds_its_queues)
 {
 	static const struct fake silent = {"silent"};
@@ -482,7 +500,7 @@
 	bstr_free(&address);
 }
 
-/* A sender without work ends; the next message starts another. */
+/* An idle sender ends; the next message starts a new one. */
 Test(edge_peer, senders_come_and_go)
 {
 	struct node a, b;
@@ -500,7 +518,7 @@
 	node_stop(&b);
 }
 
-/* What was sent before a planned stop, a farewell say, still goes out. */
+/* Messages that were queued before a planned stop are still sent. */
 Test(edge_peer, stop_sends_what_is_queued)
 {
 	struct node a, b;
@@ -515,6 +533,7 @@
 	node_stop(&b);
 }
 
+/* Seals a batch of a valid peer. */
 static void target_envelope(void *arg, sealed *out)
 {
 	const struct node *n = arg;
@@ -527,7 +546,10 @@
 	bstr_free(&body);
 }
 
-/* Deliver a batch as another peer, and take what came of it. */
+/*
+ * Delivers a batch as another peer and takes its event; it must work beside the
+ * faults.
+ */
 static bool target_bystander(void *arg)
 {
 	struct node *n = arg;
@@ -548,6 +570,7 @@
 	return stat == RPC_SUCCESS;
 }
 
+/* Starts a node as the target of the fault tests. */
 static void target_start(struct node *n, struct target *t)
 {
 	node_start(n, "a1");
@@ -555,7 +578,7 @@
 			     target_envelope,	      target_bystander, n};
 }
 
-/* The listener serves libtirpc's own client. */
+/* The listener serves the client of libtirpc. */
 Test(edge_peer, serves_clnt_vc)
 {
 	struct sockaddr_in sa = {.sin_family = AF_INET};
@@ -567,7 +590,7 @@
 
 	node_start(&n, "a1");
 	fd = fault_connect(edge_peer_port(n.edge));
-	/* Small fragments: a call comes in many. */
+	/* Small fragments, so that a call comes in many. */
 	c = clnt_vc_create(fd, &nb, BAMBOO_PEER, BAMBOO_PEER_V1, 100, 100);
 	cr_assert_not_null(c);
 	for (i = 0; i < 3; i++) {
@@ -583,6 +606,7 @@
 
 static int served;
 
+/* Dispatch function of libtirpc's server; counts the valid calls. */
 static void stock_dispatch(struct svc_req *req, SVCXPRT *xprt)
 {
 	sealed envelope = {0};
@@ -594,22 +618,23 @@
 	svc_sendreply(xprt, XDR_PROC(xdr_void), NULL);
 }
 
+/* The thread of libtirpc's server; serves one connection. */
 static void *stock_run(void *arg)
 {
 	int i;
 
-	svc_getreq_common(*(int *)arg); /* accepts */
+	svc_getreq_common(*(int *)arg); /* accepts the connection */
 	for (i = 0; i < 3; i++)
 		svc_getreq_common(svc_pollfd[1].fd);
 	return NULL;
 }
 
-/* Our client's calls are served by libtirpc's own server. */
+/* The server of libtirpc serves the calls of our client. */
 Test(edge_peer, is_served_by_svc_vc)
 {
 	static const struct fake silent = {"silent"};
 	int64_t deadline = clock_now() + WAIT_MS;
-	struct fake_peer p; /* only for its listening socket */
+	struct fake_peer p; /* used for its listening socket */
 	struct rpc_client *c;
 	pthread_t thread;
 	sealed envelope;
@@ -620,7 +645,7 @@
 
 	node_start(&n, "a1");
 	fake_start(&p, &silent);
-	close(fault_connect(p.port)); /* the fake has had its one */
+	close(fault_connect(p.port)); /* uses up the fake's one connection */
 	pthread_join(p.thread, NULL);
 	xprt = svc_vc_create(p.listen_fd, 0, 0);
 	cr_assert(svc_reg(xprt, BAMBOO_PEER, BAMBOO_PEER_V1, stock_dispatch,
@@ -645,7 +670,7 @@
 	node_stop(&n);
 }
 
-/* More peers than senders may be: refused, and the others go on. */
+/* A message to more peers than there may be senders is refused. */
 Test(edge_peer, bounds_its_senders)
 {
 	struct node a, b;
@@ -668,8 +693,8 @@
 }
 
 /*
- * No descriptor is left for a connection that waits.  The bystander must be
- * served all the same, and the other once there are descriptors again.
+ * No file descriptor is left for a new connection.  The bystander must still be
+ * served, and the new connection once there are descriptors again.
  */
 Test(edge_peer, survives_a_lack_of_descriptors)
 {
@@ -687,7 +712,7 @@
 	fd = socket(AF_INET, SOCK_STREAM, 0);
 	getrlimit(RLIMIT_NOFILE, &old);
 	few = old;
-	few.rlim_cur = (rlim_t)dup(fd); /* the lowest that is free */
+	few.rlim_cur = (rlim_t)dup(fd); /* the lowest free descriptor */
 	close((int)few.rlim_cur);
 	cr_assert(!setrlimit(RLIMIT_NOFILE, &few));
 	fault_connect_with(fd, t.port);
--- a/tests/test-edge-platform.c
+++ b/tests/test-edge-platform.c
@@ -6,6 +6,7 @@
 #include <string.h>
 #include <unistd.h>
 
+/* Starts an edge to a port with a timeout and a limit of requests in flight. */
 static struct edge_platform *start(struct mailbox *inbox, uint16_t port,
 				   uint32_t timeout_ms, uint32_t in_flight)
 {
@@ -25,7 +26,10 @@
 	return edge;
 }
 
-/* An effect of a kind: keys k and l, the prefix v/, the object o. */
+/*
+ * Returns an effect of a kind, about the keys k and l, the prefix v/ or the
+ * object o.
+ */
 static effect *request(effect_kind kind, uint64_t req)
 {
 	effect *fx = effect_new(kind);
@@ -100,7 +104,7 @@
 	{                                                               \
 		what, kind, PLATFORM_REFUSED, after, false, __VA_ARGS__ \
 	}
-/* A write whose answer makes no sense may have been done. */
+/* A write with an invalid answer may have been applied. */
 #define WRITES(kind) ((kind) == FX_COMMIT || (kind) == FX_OBJECT_PUT)
 #define GARBAGE(what, kind, ...)                                               \
 	{                                                                      \
@@ -112,10 +116,10 @@
 #define K1 K64 K64 K64 K64 K64 K64 K64 K64 K64 K64 K64 K64 K64 K64 K64 K64
 #define H8 "A: " K1 K1 K1 K1 K1 K1 K1 K1 "\r\n"
 #define LONG_HEADERS H8 H8 H8 H8 H8 H8 H8 H8 H8
-#define LONG_MS 20000 /* a limit that is not to be reached */
-#define SHORT_MS 200  /* one that is */
+#define LONG_MS 20000 /* a timeout that must not expire */
+#define SHORT_MS 200  /* a timeout that is meant to expire */
 
-/* Take the one event of an effect. */
+/* Takes the event of an effect and checks its outcome. */
 static ev_platform expect(struct mailbox *inbox, uint64_t req,
 			  platform_outcome outcome, const char *what)
 {
@@ -131,6 +135,7 @@
 	return p;
 }
 
+/* Frees an event. */
 static void discard(ev_platform p)
 {
 	xdr_free(XDR_PROC(xdr_ev_platform), (char *)&p);
@@ -146,13 +151,13 @@
 };
 
 /*
- * One effect, one answer with a fault.  The reducer sees exactly one event
- * of that effect, with nothing of a wrong answer in it.
+ * One effect with one answer each, most of them with a fault.  The reducer must
+ * get exactly one event of that effect, without contents of an invalid answer.
  */
 Test(edge_platform, answers, .timeout = 120)
 {
 	static const struct answer_case cases[] = {
-		/* Whole answers. */
+		/* Complete answers. */
 		CASE("commit", FX_COMMIT, PLATFORM_OK,
 		     SAY(200, ROWS(DONE("k", "4")))),
 		CASE("removed row named", FX_COMMIT, PLATFORM_OK,
@@ -180,7 +185,7 @@
 		REFUSED("limited scan", FX_SCAN, 1000, REFUSE(429, "1")),
 		REFUSED("down for objects", FX_OBJECT_PUT, 1000,
 			REFUSE(503, "1")),
-		REFUSED("does not say when", FX_COMMIT, 0, SAY(503, "")),
+		REFUSED("no Retry-After", FX_COMMIT, 0, SAY(503, "")),
 		REFUSED("too long a time", FX_COMMIT, 60000,
 			REFUSE(429, "1e12")),
 		REFUSED("endless time", FX_COMMIT, 0, REFUSE(429, "inf")),
@@ -188,7 +193,7 @@
 		REFUSED("no time at all", FX_COMMIT, 0, REFUSE(429, "soon")),
 		REFUSED("much text for a time", FX_COMMIT, 0,
 			REFUSE(429, "1111111111111111111111111111111111111")),
-		/* No whole answer. */
+		/* No complete answer. */
 		CASE("silent", FX_COMMIT, PLATFORM_UNKNOWN,
 		     STEP(FAKE_NO_ANSWER)),
 		CASE("silent read", FX_READ, PLATFORM_UNKNOWN,
@@ -209,9 +214,9 @@
 		CASE("cut after the length", FX_OBJECT_GET, PLATFORM_UNKNOWN,
 		     STEP(FAKE_RAW, 0,
 			  "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n")),
-		CASE("closed without a word", FX_COMMIT, PLATFORM_UNKNOWN,
+		CASE("closed without an answer", FX_COMMIT, PLATFORM_UNKNOWN,
 		     STEP(FAKE_RAW, 0, "")),
-		/* Not an answer to this. */
+		/* Invalid answers. */
 		GARBAGE("no HTTP", FX_COMMIT,
 			STEP(FAKE_RAW, 0, "\x01\x02garbage\r\n\r\n")),
 		GARBAGE("no HTTP, read", FX_READ,
@@ -232,7 +237,7 @@
 		     STEP(FAKE_ANSWER, 200, "", NULL, NULL, BSTR_MAX)),
 		GARBAGE("too long headers", FX_READ,
 			STEP(FAKE_ANSWER, 200, "", LONG_HEADERS)),
-		GARBAGE("a page for people", FX_READ,
+		GARBAGE("an HTML page", FX_READ,
 			SAY(200, "<html>login</html>")),
 		GARBAGE("redirect", FX_READ,
 			STEP(FAKE_ANSWER, 301, "", "Location: /v1/vms\r\n")),
@@ -308,7 +313,7 @@
 		GARBAGE("row of a scan gone", FX_SCAN,
 			SAY(200, PAGE(GONE("v/a"), "false"))),
 		GARBAGE("more of nothing", FX_SCAN, SAY(200, PAGE("", "true"))),
-		GARBAGE("does not say if more", FX_SCAN, SAY(200, ROWS(""))),
+		GARBAGE("more is missing", FX_SCAN, SAY(200, ROWS(""))),
 		/* The list of VMs. */
 		GARBAGE("VM twice", FX_VM_LIST,
 			SAY(200, "{\"vms\":[" VM("w1") "," VM("w1") "]}")),
@@ -352,7 +357,10 @@
 	mailbox_free(inbox);
 }
 
-/* What an answer holds arrives, and each request is as the page says. */
+/*
+ * The contents of an answer reach the reducer, and each request has the
+ * documented form.
+ */
 Test(edge_platform, each_effect_has_its_event)
 {
 	static const struct fake_step steps[] = {
@@ -416,8 +424,8 @@
 }
 
 /*
- * A scan goes on from page to page, through a refusal and through a page that
- * is too long, and gives all rows in one event; or it fails whole.
+ * A scan continues from page to page, after a refusal and after a page that is
+ * too long, and returns all rows in one event; otherwise it fails as a whole.
  */
 Test(edge_platform, scans)
 {
@@ -428,7 +436,7 @@
 		platform_outcome outcome;
 		u_int rows;
 		size_t requests;
-		const char *last; /* request body */
+		const char *last; /* body of the last request */
 		struct fake_step steps[4];
 	} cases[] = {
 		{"two pages",
@@ -498,8 +506,8 @@
 }
 
 /*
- * No connection: nothing has reached the platform, so a write was refused,
- * not unknown, and its sender may simply try again.
+ * Without a connection nothing has reached the platform, so a write must be
+ * reported as refused, not as unknown, and can be sent again.
  */
 Test(edge_platform, not_sent)
 {
@@ -527,9 +535,9 @@
 }
 
 /*
- * The platform resets each connection as it accepts it.  If the client sees
- * that before it sends, nothing was done; if later, it can't know.  No other
- * outcome is true, and which of the two it is, is a race.
+ * The platform resets each connection as it accepts it.  If the client notices
+ * that before it sends, nothing was done; if later, it can't know.  Only these
+ * two outcomes are correct, and which of them comes is a race.
  */
 Test(edge_platform, reset_at_once)
 {
@@ -562,10 +570,10 @@
 }
 
 /*
- * A reply is lost after the write took effect: the commit is unknown, is sent
- * again with the same txid, and the platform says that it is done.  The three
- * requests are two sends: libcurl repeats the one whose kept connection was
- * reset without an answer.
+ * An answer is lost after the write took effect: the commit is unknown, and is
+ * sent again with the same transaction ID, which the platform reports as done.
+ * There are four requests for three sends, as libcurl repeats a request whose
+ * kept connection was reset without an answer.
  */
 Test(edge_platform, reply_lost_after_effect)
 {
@@ -598,9 +606,10 @@
 }
 
 /*
- * Two connections are kept.  One goes silent: its request is unknown.  The
- * other is as old, and what forgot the one may have forgotten it too, so the
- * next request goes by a new one and does not cost another timeout.
+ * Of two kept connections one goes silent, so its request is unknown.  The
+ * other is as old, and whatever lost track of the one may have lost track of
+ * the other, so the next request must use a new connection instead of waiting
+ * for another timeout.
  */
 Test(edge_platform, connections_gone_silent)
 {
@@ -620,7 +629,7 @@
 	fake_release(f, 0);
 	fake_release(f, 1);
 	for (i = 0; i < 2; i++) {
-		ev = fake_next_event(inbox); /* of either: they raced */
+		ev = fake_next_event(inbox); /* of either request */
 		cr_assert(ev);
 		cr_expect_eq(ev->body.event_body_u.platform.outcome,
 			     PLATFORM_OK);
@@ -641,14 +650,14 @@
 }
 
 /*
- * A second answer to the last request waits on a kept connection, or comes
- * when its request has run out of time.  The next request must not take it
- * for its own.
+ * A second answer to the last request waits on a kept connection, or arrives
+ * after that request has timed out.  The next request must not take it as its
+ * own.
  */
 Test(edge_platform, answers_of_others)
 {
-	static const enum fake_action acts[] = {FAKE_ANSWER_TWICE,
-						FAKE_ANSWER_AGAIN, FAKE_HOLD};
+	static const enum fake_action actions[] = {
+		FAKE_ANSWER_TWICE, FAKE_ANSWER_AGAIN, FAKE_HOLD};
 	struct mailbox *inbox = mailbox_new(16);
 	struct fake_step steps[] = {SAY(200, "old"), SAY(200, "new")};
 	struct edge_platform *edge;
@@ -656,20 +665,21 @@
 	ev_platform p;
 	size_t i;
 
-	for (i = 0; i < NELEMS(acts); i++) {
-		steps[0].action = acts[i];
+	for (i = 0; i < NELEMS(actions); i++) {
+		steps[0].action = actions[i];
 		f = fake_start(steps, NELEMS(steps));
 		edge = start(inbox, fake_port(f), 1000, 4);
 		cr_assert(edge_platform_send(edge, request(FX_OBJECT_GET, 1)));
 		discard(expect(inbox, 1,
-			       acts[i] == FAKE_HOLD ? PLATFORM_UNKNOWN
-						    : PLATFORM_OK,
+			       actions[i] == FAKE_HOLD ? PLATFORM_UNKNOWN
+						       : PLATFORM_OK,
 			       "first"));
 		fake_release(f, 0);
 		cr_assert(edge_platform_send(edge, request(FX_OBJECT_GET, 2)));
 		p = expect(inbox, 2, PLATFORM_OK, "second");
-		cr_expect(bstr_eq_str(p.body, "new"), "act %d", acts[i]);
-		cr_expect_eq(fake_wait(f, 1)->connection, 2, "act %d", acts[i]);
+		cr_expect(bstr_eq_str(p.body, "new"), "act %d", actions[i]);
+		cr_expect_eq(fake_wait(f, 1)->connection, 2, "act %d",
+			     actions[i]);
 		discard(p);
 		edge_platform_stop(edge);
 		fake_stop(f);
@@ -678,8 +688,8 @@
 }
 
 /*
- * Two places: the third request waits for one of them.  Answers come in
- * another order than the requests and each finds its own.
+ * Two requests may be in flight, so the third waits.  Answers come in another
+ * order than the requests, and each must reach its own request.
  */
 Test(edge_platform, out_of_order_within_the_bound)
 {
@@ -717,7 +727,7 @@
 	fake_stop(f);
 }
 
-/* A stop in its own thread, while the test reads a small inbox. */
+/* Stops an edge in a thread, while the test reads a small inbox. */
 static void *stop_run(void *arg)
 {
 	edge_platform_stop(arg);
@@ -725,9 +735,9 @@
 }
 
 /*
- * The platform is silent and the queue fills: the effect that finds it full
- * stays its sender's.  The stop then ends all that were taken, each with one
- * event that tells the truth: sent is unknown, waiting is refused.
+ * The platform is silent and the queue fills up.  The effect that finds it full
+ * stays with its sender.  The stop must then end all accepted effects with one
+ * correct event each: unknown if it was sent, refused if it was queued.
  */
 Test(edge_platform, stop_with_a_full_queue)
 {
@@ -767,7 +777,7 @@
 	fake_stop(f);
 }
 
-/* Each beginning of a good answer is an error; only the whole is an answer. */
+/* Each proper prefix of a valid answer is an error. */
 Test(edge_platform, every_part_of_an_answer)
 {
 	static const char whole[] = ROWS(GONE("k") "," ROW("l", "4", "aGk="));
@@ -796,7 +806,10 @@
 	fake_stop(f);
 }
 
-/* A CA file that is not there, and a token that would add a header. */
+/*
+ * The edge doesn't start with a CA file that doesn't exist, or with a token
+ * that would add a header.
+ */
 Test(edge_platform, bad_settings)
 {
 	struct settings s = {0};
--- a/tests/test-edge-worker.c
+++ b/tests/test-edge-worker.c
@@ -23,10 +23,10 @@
 		FAKE_ANSWER, status, body \
 	}
 #define K64 "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
-#define LONG_MS 20000 /* a limit that is not to be reached */
-#define SHORT_MS 200  /* one that is */
+#define LONG_MS 20000 /* a timeout that must not expire */
+#define SHORT_MS 200  /* a timeout that is meant to expire */
 
-/* A watch since 2, or a command that names t1 once and t2 twice. */
+/* Returns a watch since 2, or a command that names t1 once and t2 twice. */
 static effect *exchange(uint16_t port, uint64_t req, bool watch)
 {
 	effect *fx = effect_new(FX_WORKER);
@@ -59,6 +59,7 @@
 	return fx;
 }
 
+/* Starts an edge with a timeout and a limit of connections. */
 static struct edge_worker *start(struct mailbox *inbox, uint32_t timeout_ms,
 				 uint32_t connections)
 {
@@ -74,7 +75,7 @@
 	return edge;
 }
 
-/* Take the one event of an effect. */
+/* Takes the event of an effect and checks its outcome. */
 static ev_worker expect(struct mailbox *inbox, uint64_t req,
 			worker_outcome outcome, const char *what)
 {
@@ -91,15 +92,16 @@
 	return w;
 }
 
+/* Frees an event. */
 static void discard(ev_worker w)
 {
 	xdr_free(XDR_PROC(xdr_ev_worker), (char *)&w);
 }
 
 /*
- * One exchange, one answer.  The reducer sees exactly one event, of the VM
- * that was addressed; what is not this VM's report of what was asked holds
- * nothing and is counted.
+ * One exchange with one answer each.  The reducer must get exactly one event,
+ * of the VM that the effect addressed.  An answer that isn't this VM's valid
+ * report on the request must yield an event without contents, and is counted.
  */
 Test(edge_worker, answers, .timeout = 120)
 {
@@ -136,7 +138,7 @@
 		CASE("reset", false, WORKER_NO_ANSWER, STEP(FAKE_RESET)),
 		CASE("cut short", false, WORKER_NO_ANSWER,
 		     STEP(FAKE_TRUNCATE, 200, REPORT(""))),
-		CASE("closed without a word", false, WORKER_NO_ANSWER,
+		CASE("closed without an answer", false, WORKER_NO_ANSWER,
 		     STEP(FAKE_RAW, 0, "")),
 		GARBAGE("no HTTP", false, STEP(FAKE_RAW, 0, "x\r\n\r\n")),
 		GARBAGE("length unknown", false,
@@ -167,7 +169,7 @@
 		GARBAGE("stale without epoch", false, SAY(409, "{}")),
 		GARBAGE("task not named", false,
 			SAY(200, REPORT(TASK("t3", "done")))),
-		GARBAGE("task named once, told twice", false,
+		GARBAGE("task named once, reported twice", false,
 			SAY(200, REPORT(TASK("t1", "running") "," TASK(
 					 "t1", "done")))),
 		GARBAGE("task twice in a watch", true,
@@ -188,7 +190,7 @@
 					 "t1", "done", "",
 					 "\"ran_ms\":4294967296,"
 					 "\"cpu_milli\":0,\"memory_mb\":0")))),
-		GARBAGE("a good task and a bad one", true,
+		GARBAGE("a valid task and an invalid one", true,
 			SAY(200, REPORT(TASK("t1", "done") ",{}"))),
 	};
 	struct mailbox *inbox = mailbox_new(16);
@@ -224,7 +226,10 @@
 	mailbox_free(inbox);
 }
 
-/* What a report holds arrives, and each request is as the page says. */
+/*
+ * The contents of a report reach the reducer, and each request has the
+ * documented form.
+ */
 Test(edge_worker, command_and_watch)
 {
 	static const struct fake_step steps[] = {
@@ -277,8 +282,8 @@
 }
 
 /*
- * No connection, or an address that is none: the worker saw nothing, so the
- * start may be sent to another one.
+ * Without a connection, or with an invalid address, the worker received
+ * nothing, so the outcome must allow the start to be sent to another worker.
  */
 Test(edge_worker, not_sent)
 {
@@ -314,9 +319,9 @@
 }
 
 /*
- * Two connections to a worker.  A watch holds its one for as long as nothing
- * changes; commands go by the other, one after the other, and a second watch
- * waits for the first.
+ * Guards against commands that wait for a watch.  There are two connections to
+ * a worker.  A watch occupies one until something changes; commands use the
+ * other, one after the other, and a second watch waits for the first.
  */
 Test(edge_worker, commands_do_not_wait_for_a_watch)
 {
@@ -350,9 +355,10 @@
 }
 
 /*
- * A worker reads nothing until long after the command has run out of time.
- * What it had been sent by then is all that it ever gets: were the kernel to
- * go on sending, it would start tasks that the reducer takes as not started.
+ * Guards against sending after the deadline.  A worker reads nothing until long
+ * after the command has timed out.  It must get no more than it had been sent
+ * by then: if the kernel went on sending, the worker would start tasks that the
+ * reducer takes as not started.
  */
 Test(edge_worker, nothing_is_sent_after_the_deadline)
 {
@@ -368,7 +374,8 @@
 	bstr_free(&s->payload);
 	s->payload = bstr_from_bytes(payload, size);
 	cr_assert(edge_worker_send(edge, fx));
-	discard(expect(inbox, 1, WORKER_NO_ANSWER, "deaf"));
+	discard(expect(inbox, 1, WORKER_NO_ANSWER,
+		       "worker that reads nothing"));
 	fake_release(f, 0);
 	cr_expect_lt(fake_bytes_read(f), size);
 	edge_worker_stop(edge);
@@ -377,7 +384,7 @@
 	fake_stop(f);
 }
 
-/* Each beginning of a good report is an error; only the whole is a report. */
+/* Each proper prefix of a valid report is an error. */
 Test(edge_worker, every_part_of_a_report)
 {
 	static const char whole[] = REPORT(TASK("t1", "done"));
