--- a/tests/soak-entry.c
+++ b/tests/soak-entry.c
@@ -133,6 +133,7 @@
 	return (unsigned)(random_next(random) % below);
 }
 
+/* Sleeps for ms milliseconds. */
 static void nap_ms(unsigned ms)
 {
 	usleep(ms * 1000);
@@ -430,13 +431,13 @@
 	if (2 * waiting >= expected)
 		return;
 	beat = scheduler_row(c->soak, "beat", &age);
-	what = xasprintf("%s says %lu of %u in %s; the store's beat is %lld ms "
-			 "old, of epoch %lld, and says %lld",
-			 c->soak->vms[vm].name, waiting, expected,
-			 queues[queue], (long long)age,
-			 (long long)json_int(beat, "epoch"),
-			 (long long)json_int(json_object_get(beat, "waiting"),
-					     queue == LIMITED ? "w" : "q"));
+	what = xasprintf(
+		"%s counts %lu of %u in %s; the store's beat is %lld ms "
+		"old, of epoch %lld, and counts %lld",
+		c->soak->vms[vm].name, waiting, expected, queues[queue],
+		(long long)age, (long long)json_int(beat, "epoch"),
+		(long long)json_int(json_object_get(beat, "waiting"),
+				    queue == LIMITED ? "w" : "q"));
 	violation(c->soak, "count of waiting jobs too low:", what);
 	fault_log(c->soak, "wrong:", what);
 	free(what);
--- a/tests/standin-cloud.c
+++ b/tests/standin-cloud.c
@@ -181,7 +181,7 @@
 
 /*
  * GET rows-feed: answers with newer rows, at once or in a long poll; 410 if the
- * history before them is gone.
+ * history up to them was dropped.
  */
 static void feed_handle(struct request *rq)
 {
@@ -497,8 +497,8 @@
 }
 
 /*
- * POST hold: renews the lease, acknowledges ended runs, and waits for the next
- * one.
+ * POST hold: renews the lease and acknowledges ended runs; a long poll waits
+ * for the next ended run.
  */
 static void hold_handle(struct request *rq)
 {
--- a/tests/standin-platform.c
+++ b/tests/standin-platform.c
@@ -27,7 +27,7 @@
 };
 struct table {
 	struct row **rows; /* sorted by key */
-	size_t count, room;
+	size_t count, capacity;
 };
 struct bucket {
 	double rate; /* tokens per second; also the capacity */
@@ -119,9 +119,9 @@
 	size_t i = row_index(t, key, &found);
 	struct row **at;
 
-	if (!found && t->count == t->room) {
-		t->room = t->room ? t->room * 2 : 1024;
-		t->rows = xrealloc(t->rows, t->room, sizeof(struct row *));
+	if (!found && t->count == t->capacity) {
+		t->capacity = t->capacity ? t->capacity * 2 : 1024;
+		t->rows = xrealloc(t->rows, t->capacity, sizeof(struct row *));
 	}
 	at = t->rows + i;
 	if (!found) {
@@ -133,6 +133,7 @@
 	return (*at)->version = ++last_version;
 }
 
+/* Removes a row, if it exists. */
 static void row_remove(struct table *t, bstr key)
 {
 	bool found;
@@ -433,7 +434,10 @@
 	request_answer(rq, 200, json_pack("{s:O}", "vms", vms_shown));
 }
 
-/* Returns the port of a VM's worker in the newest VM list, or 0. */
+/*
+ * Returns the port of a VM's worker in the newest VM list, or 0 if the VM isn't
+ * listed or has no worker.
+ */
 static uint16_t vm_port(bstr name)
 {
 	const json_t *vm;
@@ -502,15 +506,15 @@
 	vms_newest = json_incref(rq->json);
 	vms_timer.fire = vms_show;
 	/*
-	 * A timer that is set already keeps its deadline, so a burst of changes
-	 * can't delay the list without end.
+	 * A timer that is already set keeps its deadline, so a burst of changes
+	 * can't delay the list indefinitely.
 	 */
 	if (!vms_timer.due.index)
 		timer_set(&vms_timer, clock_now() + list_lag_ms);
 	request_answer(rq, 200, json_object());
 }
 
-/* GET /control/stats */
+/* GET /control/stats: returns the counters and the number of rows. */
 static void control_stats(struct request *rq)
 {
 	json_object_set_new(stats, "rows",
@@ -518,7 +522,7 @@
 	request_answer(rq, 200, json_incref(stats));
 }
 
-/* GET /control/table?prefix= */
+/* GET /control/table?prefix=: returns all rows with a prefix. */
 static void control_table(struct request *rq)
 {
 	const char *prefix = request_query_arg(rq, "prefix");
--- a/tests/standin-worker.c
+++ b/tests/standin-worker.c
@@ -137,10 +137,10 @@
 }
 
 /* Returns the JSON for a number of running tasks and its maximum so far. */
-static json_t *running_count_json(int64_t running, int64_t most)
+static json_t *running_count_json(int64_t running, int64_t peak)
 {
 	return json_pack("{s:I,s:I}", "running", running, "most",
-			 running > most ? running : most);
+			 running > peak ? running : peak);
 }
 
 /* Changes the number of running tasks of a team, if the task has one. */
@@ -158,31 +158,31 @@
 /* Adds a task that starts to the start log and counts its slot. */
 static void log_begin(struct task *t, const char *team)
 {
-	struct start_record *line = xcalloc(1, sizeof(*line));
+	struct start_record *rec = xcalloc(1, sizeof(*rec));
 
-	TAILQ_INSERT_TAIL(&start_log, line, entry);
-	t->log = line;
-	line->seq = ++last_start_seq;
-	line->worker = t->worker;
-	line->task = xstrdup(t->id);
-	line->boot = t->worker->boots;
-	line->started_at = t->started_at;
-	line->state = RUNNING;
+	TAILQ_INSERT_TAIL(&start_log, rec, entry);
+	t->log = rec;
+	rec->seq = ++last_start_seq;
+	rec->worker = t->worker;
+	rec->task = xstrdup(t->id);
+	rec->boot = t->worker->boots;
+	rec->started_at = t->started_at;
+	rec->state = RUNNING;
 	if (++t->worker->used > t->worker->peak_used)
 		t->worker->peak_used = t->worker->used;
-	line->team = team ? xstrdup(team) : NULL;
+	rec->team = team ? xstrdup(team) : NULL;
 	team_count(team, 1);
 }
 
 /* Records the end of a task in the start log and frees its slot. */
 static void log_end(const struct task *t, enum run_state state)
 {
-	struct start_record *line = t->log;
+	struct start_record *rec = t->log;
 
-	line->ended_at = clock_now();
-	line->state = state;
+	rec->ended_at = clock_now();
+	rec->state = state;
 	t->worker->used--;
-	team_count(line->team, -1);
+	team_count(rec->team, -1);
 }
 
 /* Ends a running task; it stays in reports for keep_ms. */
@@ -605,7 +605,7 @@
 
 /*
  * GET /v1/run?sleep_ms=N: runs a task without leases or reports, as a baseline
- * for benchmarks.
+ * to compare with.
  */
 static void worker_run(struct request *rq)
 {
@@ -802,22 +802,21 @@
 	const char *after = request_query_arg(rq, "after");
 	int64_t from = after ? strtoll(after, NULL, 10) : 0;
 	json_t *list = json_array(), *by_worker = json_object();
-	const struct start_record *line;
+	const struct start_record *rec;
 	int k;
 
-	TAILQ_FOREACH(line, &start_log, entry) {
-		if (line->seq <= from || !worker_selected(rq, line->worker))
+	TAILQ_FOREACH(rec, &start_log, entry) {
+		if (rec->seq <= from || !worker_selected(rq, rec->worker))
 			continue;
 		json_array_append_new(
-			list,
-			json_pack("{s:I,s:s,s:s,s:i,s:s,s:I,s:I,s:s}", "seq",
-				  (json_int_t)line->seq, "worker",
-				  line->worker->name, "task", line->task,
-				  "boot", (int)line->boot, "team",
-				  line->team ? line->team : "", "began_ms",
-				  (json_int_t)line->started_at, "ended_ms",
-				  (json_int_t)line->ended_at, "state",
-				  state_names[line->state]));
+			list, json_pack("{s:I,s:s,s:s,s:i,s:s,s:I,s:I,s:s}",
+					"seq", (json_int_t)rec->seq, "worker",
+					rec->worker->name, "task", rec->task,
+					"boot", (int)rec->boot, "team",
+					rec->team ? rec->team : "", "began_ms",
+					(json_int_t)rec->started_at, "ended_ms",
+					(json_int_t)rec->ended_at, "state",
+					state_names[rec->state]));
 	}
 	for (k = 0; k < worker_count; k++)
 		if (worker_selected(rq, &workers[k]))
--- a/tests/support-caller.c
+++ b/tests/support-caller.c
@@ -273,7 +273,7 @@
 	for (; len; text += n, len -= (size_t)n) {
 		n = send(fd, text, len, MSG_NOSIGNAL);
 		if (n <= 0)
-			return; /* the response tells the reason */
+			return; /* the response has the reason */
 	}
 }
 
@@ -283,16 +283,16 @@
  */
 char *client_read(int fd)
 {
-	size_t len = 0, room = 4096, total = 0;
-	char *text = xmalloc(room), *end, *p;
+	size_t len = 0, capacity = 4096, total = 0;
+	char *text = xmalloc(capacity), *end, *p;
 	ssize_t n;
 
 	while (!total || len < total) {
-		if (len + 1 == room)
-			text = xrealloc(text, room *= 2, 1);
-		if (total && total >= room)
-			text = xrealloc(text, room = total + 1, 1);
-		n = recv(fd, text + len, (total ? total : room - 1) - len,
+		if (len + 1 == capacity)
+			text = xrealloc(text, capacity *= 2, 1);
+		if (total && total >= capacity)
+			text = xrealloc(text, capacity = total + 1, 1);
+		n = recv(fd, text + len, (total ? total : capacity - 1) - len,
 			 total ? 0 : MSG_PEEK);
 		if (n <= 0)
 			break;
--- a/tests/support-cloud.c
+++ b/tests/support-cloud.c
@@ -27,7 +27,7 @@
 	int fd;
 	struct worker *worker; /* NULL: to the store */
 	char *in;
-	size_t len, room;
+	size_t len, capacity;
 	struct heap_node due; /* when a long poll ends */
 	char *table;	      /* whose feed is polled, or NULL */
 	uint64_t after;
@@ -164,13 +164,14 @@
 
 /* Copies the JSON string that follows a name, truncated to fit. */
 static void text_after(const char *json, const char *member, char *out,
-		       size_t room)
+		       size_t capacity)
 {
 	const char *p = strstr(json, member);
 	size_t n = 0;
 
 	if (p)
-		for (p += strlen(member); *p && *p != '"' && n + 1 < room; p++)
+		for (p += strlen(member); *p && *p != '"' && n + 1 < capacity;
+		     p++)
 			out[n++] = *p;
 	out[n] = '\0';
 }
@@ -315,14 +316,14 @@
 
 /* Copies the decoded value of a query argument, truncated to fit. */
 static void query_arg(const char *path, const char *name, char *out,
-		      size_t room)
+		      size_t capacity)
 {
 	const char *p = strstr(path, name);
 	size_t n = 0;
 	unsigned code;
 
 	for (p = p ? p + strlen(name) : ""; *p && *p != '&' && *p != ' '; p++) {
-		if (n + 1 == room)
+		if (n + 1 == capacity)
 			break;
 		if (*p == '%' && sscanf(p + 1, "%2x", &code) == 1) {
 			out[n++] = (char)code;
@@ -465,7 +466,7 @@
 	char *text = xasprintf("{\"clock_ms\":%" PRId64 ",\"born\":%" PRId64
 			       ",\"running\":[",
 			       worker_clock(w), w->born);
-	size_t len = strlen(text), room = len + 128;
+	size_t len = strlen(text), capacity = len + 128;
 	const char *comma = "";
 	struct run *r;
 	int pass;
@@ -474,10 +475,10 @@
 		TAILQ_FOREACH(r, &w->runs, entry) {
 			if (!r->end_seq != !pass)
 				continue;
-			if (room - len < 256) {
-				room = 2 * room + 256;
+			if (capacity - len < 256) {
+				capacity = 2 * capacity + 256;
 			}
-			text = xrealloc(text, room, 1);
+			text = xrealloc(text, capacity, 1);
 			if (r->end_seq)
 				len += (size_t)sprintf(
 					text + len,
@@ -491,10 +492,10 @@
 					comma, r->task, r->number);
 			comma = ",";
 		}
-		text = xrealloc(text, room, 1);
-		if (room - len < 64) {
-			room += 64;
-			text = xrealloc(text, room, 1);
+		text = xrealloc(text, capacity, 1);
+		if (capacity - len < 64) {
+			capacity += 64;
+			text = xrealloc(text, capacity, 1);
 		}
 		len += (size_t)sprintf(text + len, "%s",
 				       pass ? "]}" : "],\"ended\":[");
@@ -524,8 +525,8 @@
 }
 
 /*
- * Handles a request to a worker; one without an own answer, such as a start,
- * gets the worker's clock.
+ * Handles a request to a worker: a hold, or a start or stop, which are answered
+ * with the worker's clock.
  */
 static void worker_answer(struct conn *c, const char *path, const char *body)
 {
@@ -611,11 +612,11 @@
 	struct conn *c = s->conn;
 	ssize_t n;
 
-	if (c->room - c->len < 65536) {
-		c->room = c->len + 131072;
-		c->in = xrealloc(c->in, c->room + 1, 1);
+	if (c->capacity - c->len < 65536) {
+		c->capacity = c->len + 131072;
+		c->in = xrealloc(c->in, c->capacity + 1, 1);
 	}
-	n = recv(c->fd, c->in + c->len, c->room - c->len, 0);
+	n = recv(c->fd, c->in + c->len, c->capacity - c->len, 0);
 	if (n < 0 && errno == EAGAIN)
 		return;
 	if (n <= 0) {
--- a/tests/support-fake.c
+++ b/tests/support-fake.c
@@ -279,7 +279,7 @@
 		connection_remove(f, c);
 }
 
-/* Accepts a connection, or resets it if its step says so. */
+/* Accepts a connection; resets it if its step is FAKE_RESET_ACCEPT. */
 static void connection_accept(struct fake *f)
 {
 	struct connection *c = &f->connections[f->connection_count];
--- a/tests/support-standin.c
+++ b/tests/support-standin.c
@@ -47,6 +47,7 @@
 	return below ? (uint32_t)(z % below) : 0;
 }
 
+/* Sets a timer, or changes its deadline. */
 void timer_set(struct timer *t, int64_t deadline)
 {
 	heap_set(&timers, &t->due, deadline);
--- a/tests/test-edge-caller.c
+++ b/tests/test-edge-caller.c
@@ -400,8 +400,8 @@
 
 /*
  * A caller disconnects, by closing the connection or only its sending side.
- * The reducer must be told once, and an answer that comes later must be dropped
- * and counted, as the connection may belong to another request by then.
+ * The reducer must get one EV_CALL_GONE, and an answer that comes later must be
+ * dropped and counted, as the connection may belong to another request by then.
  */
 Test(edge_caller, a_caller_that_leaves_is_gone_once)
 {
--- a/tests/test-edge-operator.c
+++ b/tests/test-edge-operator.c
@@ -19,12 +19,11 @@
 	struct edge_operator *edge;
 	char *address;
 	pthread_t reducer;
-	op_status answer; /* status of all of the reducer's answers */
-	size_t body; /* size of the answers' body; 0: the request's kind as JSON
-		      */
-	bool held;   /* the reducer sends its answers only when it stops */
-	struct mailbox *late; /* held answers */
-	op_key made;	      /* the last key creation that the reducer got */
+	op_status answer_status; /* status of the reducer's answers */
+	size_t body;	   /* size of the answers' body; 0: kind as JSON */
+	bool hold_answers; /* send answers only when the reducer stops */
+	struct mailbox *held_answers;
+	op_key created_key; /* last key creation at the reducer */
 	struct operator_client *other;
 };
 
@@ -35,7 +34,7 @@
 	op_reply *reply = &fx->effect_u.op_reply.reply;
 
 	fx->effect_u.op_reply.call = operate->call;
-	reply->status = h->answer;
+	reply->status = h->answer_status;
 	if (h->body) {
 		reply->body.bstr_val = xcalloc(1, h->body);
 		reply->body.bstr_len = (u_int)h->body;
@@ -44,9 +43,10 @@
 					  operate->request.kind);
 	}
 	if (operate->request.kind == OP_KEY_CREATE) {
-		xdr_free(XDR_PROC(xdr_op_key), (char *)&h->made);
-		xdr_copy(XDR_PROC(xdr_op_key), &h->made,
-			 &operate->request.op_request_u.key, sizeof(h->made));
+		xdr_free(XDR_PROC(xdr_op_key), (char *)&h->created_key);
+		xdr_copy(XDR_PROC(xdr_op_key), &h->created_key,
+			 &operate->request.op_request_u.key,
+			 sizeof(h->created_key));
 	}
 	return fx;
 }
@@ -71,13 +71,13 @@
 			break;
 		fx = host_answer(h, &ev->body.event_body_u.operate);
 		event_free(ev);
-		if (h->held)
-			mailbox_put(h->late, fx);
+		if (h->hold_answers)
+			mailbox_put(h->held_answers, fx);
 		else if (!edge_operator_send(h->edge, fx))
 			effect_free(fx);
 	}
 	event_free(ev);
-	while ((fx = mailbox_take(h->late)))
+	while ((fx = mailbox_take(h->held_answers)))
 		edge_operator_send(h->edge, fx);
 	return NULL;
 }
@@ -97,7 +97,7 @@
 	h->keys[0].name = "ana";
 	memcpy(h->keys[0].key, key, sizeof(key));
 	h->inbox = mailbox_new(inbox);
-	h->late = mailbox_new(64);
+	h->held_answers = mailbox_new(64);
 	h->edge = edge_operator_start(&h->settings, h->inbox, &e);
 	cr_assert_not_null(h->edge);
 	h->address = xasprintf("127.0.0.1:%u", edge_operator_port(h->edge));
@@ -124,8 +124,8 @@
 	while ((ev = mailbox_take(h->inbox)))
 		event_free(ev);
 	mailbox_free(h->inbox);
-	mailbox_free(h->late);
-	xdr_free(XDR_PROC(xdr_op_key), (char *)&h->made);
+	mailbox_free(h->held_answers);
+	xdr_free(XDR_PROC(xdr_op_key), (char *)&h->created_key);
 	free(h->address);
 }
 
@@ -211,10 +211,10 @@
 	cr_assert(host_call(&h, &req, &reply));
 	cr_expect(reply.secret.bstr_len > 6 &&
 		  !memcmp(reply.secret.bstr_val, "bf_k1_", 6));
-	cr_expect(h.made.salt.bstr_len && h.made.hash.bstr_len);
-	cr_expect_not(bstr_eq(h.made.hash, req.op_request_u.key.hash));
+	cr_expect(h.created_key.salt.bstr_len && h.created_key.hash.bstr_len);
+	cr_expect_not(bstr_eq(h.created_key.hash, req.op_request_u.key.hash));
 	reply_free(&reply);
-	h.answer = OP_CONFLICT;
+	h.answer_status = OP_CONFLICT;
 	cr_assert(host_call(&h, &req, &reply));
 	cr_expect_eq(reply.status, OP_CONFLICT);
 	cr_expect_eq(reply.secret.bstr_len, 0);
@@ -279,7 +279,7 @@
 		host_start_with(&h, cases[i].inbox);
 		if (cases[i].inbox == 2)
 			mailbox_put(h.inbox, event_new(EV_TICK));
-		h.held = true;
+		h.hold_answers = true;
 		memset(&req, 0, sizeof(req));
 		req.kind = cases[i].kind;
 		cr_assert(host_call(&h, &req, &reply));
@@ -532,7 +532,7 @@
 	int i, fd;
 
 	host_start(&h);
-	h.held = true;
+	h.hold_answers = true;
 	for (i = 0; i < 8; i++) {
 		target_envelope(NULL, &envelope);
 		call = fault_call(&t, 1, &envelope);
@@ -545,7 +545,7 @@
 		bstr_free(&call);
 		xdr_free(XDR_PROC(xdr_sealed), (char *)&envelope);
 	}
-	h.held = false;
+	h.hold_answers = false;
 	while (!target_bystander(&h)) /* until the edge accepts a call again */
 		cr_assert(clock_now() < deadline);
 	host_stop(&h);
--- a/tests/test-http-client.c
+++ b/tests/test-http-client.c
@@ -62,7 +62,7 @@
 }
 
 /* Blocks until the deadline of another call has passed. */
-static void call_outlast(const struct call *other)
+static void call_wait_deadline(const struct call *other)
 {
 	while (clock_now() <= other->http.deadline)
 		poll(NULL, 0, 20);
@@ -78,7 +78,7 @@
 		gate_wait(c->leave, 1);
 	}
 	if (c->outlast)
-		call_outlast(c->outlast);
+		call_wait_deadline(c->outlast);
 	return true;
 }
 
@@ -99,7 +99,7 @@
 		 */
 		first = accept(c->listener, NULL, NULL);
 		if (c->outlast)
-			call_outlast(c->outlast);
+			call_wait_deadline(c->outlast);
 		if (c->expire)
 			c->expire->http.deadline = clock_now() - 1;
 		if (first >= 0 && poll(&p, 1, WAIT_MS) == 1)
@@ -145,8 +145,8 @@
  * Guards against sending an order after its deadline, when another VM may have
  * taken over the machine that it is about.  The order is queued in libcurl and
  * the client's thread gets no processor time until the deadline has passed.
- * The order is ready before the call that blocks the thread, as both come in
- * the same round after the call that waits for the gate.
+ * The order is ready before the call that blocks the thread, as both are
+ * processed in the one round after the call that waits at the gate.
  */
 Test(http_client, nothing_leaves_after_its_deadline, .timeout = 60)
 {
@@ -195,7 +195,7 @@
 		n = fake_request_count(f);
 		for (i = 0; i < n; i++)
 			cr_expect_null(strstr(fake_wait(f, i)->head, "/order "),
-				       "kept %d: it has arrived", kept);
+				       "kept %d: the order arrived", kept);
 		fake_stop(f);
 	}
 }
@@ -204,8 +204,8 @@
  * Guards against sending an order on a connection that is established after the
  * deadline.  The order's connection hangs, and is accepted while the client's
  * thread gets no processor time and the deadline passes.  The server must not
- * receive a byte.  This includes the case that libcurl, which reads the clock
- * once per round, hasn't noticed the deadline yet ("unknown").
+ * receive a byte, even if libcurl, which reads the clock once per round, hasn't
+ * noticed yet that the deadline has passed ("unnoticed").
  */
 Test(http_client, a_late_connection_carries_nothing, .timeout = 60)
 {
@@ -215,20 +215,20 @@
 	struct fake *f;
 	uint16_t port;
 	char byte;
-	int hanging[2], unknown;
+	int hanging[2], unnoticed;
 
-	for (unknown = 0; unknown < 2; unknown++) {
+	for (unnoticed = 0; unnoticed < 2; unnoticed++) {
 		struct gate ended = GATE;
 
 		f = fake_start(steps, NELEMS(steps));
 		port = fake_hanging_port(hanging);
 		client = client_start();
 		/* The kernel repeats the SYN after a second. */
-		call_set(&order, port, "order", (unknown ? 10 : 3) * SHORT_MS,
+		call_set(&order, port, "order", (unnoticed ? 10 : 3) * SHORT_MS,
 			 &ended);
 		call_set(&hold, fake_port(f), "hold", LONG_MS, &ended);
-		hold.outlast = unknown ? NULL : &order;
-		hold.expire = unknown ? &order : NULL;
+		hold.outlast = unnoticed ? NULL : &order;
+		hold.expire = unnoticed ? &order : NULL;
 		hold.listener = hanging[0];
 		cr_assert(http_client_send(client, &order.http));
 		cr_assert(http_client_send(client, &hold.http));
@@ -239,12 +239,12 @@
 		cr_assert(fake_wait(f, 0));
 		fake_release(f, 0);
 		gate_wait(&ended, 2);
-		cr_expect_eq(order.outcome, HTTP_NOT_SENT, "unknown %d: %d",
-			     unknown, order.outcome);
-		cr_assert_geq(hold.accepted, 0, "no connection came");
+		cr_expect_eq(order.outcome, HTTP_NOT_SENT, "unnoticed %d: %d",
+			     unnoticed, order.outcome);
+		cr_assert_geq(hold.accepted, 0, "no connection arrived");
 		http_client_stop(client);
 		cr_expect_leq(recv(hold.accepted, &byte, 1, 0), 0,
-			      "unknown %d: a byte came", unknown);
+			      "unnoticed %d: a byte arrived", unnoticed);
 		close(hold.accepted);
 		close(hanging[0]);
 		close(hanging[1]);
