--- a/caller.h
+++ b/caller.h
@@ -127,13 +127,14 @@
 void caller_encode_text(uint32_t http, bstr text, struct caller_reply *r);
 
 /*
- * edge-caller.c: timeouts of the server, shortened by tests. idle_ms limits the
- * time to receive a complete request and to send a reply. margin_ms is added to
- * answer_ms; after that time the server itself reports that no answer arrived.
+ * edge-caller.c: timeouts of the server, shortened by tests. io_timeout_ms
+ * limits the time to receive a complete request and the time to send a reply.
+ * If the reducer has not answered a call answer_margin_ms after the call's time
+ * limit (answer_ms), the server itself replies that no answer arrived.
  */
 struct caller_timing {
-	uint32_t idle_ms;
-	uint32_t margin_ms;
+	uint32_t io_timeout_ms;
+	uint32_t answer_margin_ms;
 	uint32_t sweep_ms; /* interval between checks of all deadlines */
 };
 struct edge_caller *edge_caller_start_timed(const struct settings *s,
--- a/edge-caller-conn.c
+++ b/edge-caller-conn.c
@@ -79,7 +79,7 @@
 			enum conn_state state)
 {
 	cn->state = state;
-	cn->deadline = clock_now() + edge->timing.idle_ms;
+	cn->deadline = clock_now() + edge->timing.io_timeout_ms;
 	MHD_resume_connection(cn->mhd);
 }
 
@@ -141,7 +141,7 @@
 		cn->client_closed = true;
 		if (cn->state == CONN_PENDING) {
 			caller_conn_notify_gone(edge, cn);
-			caller_conn_resume(edge, cn, CONN_CLIENT_GONE);
+			caller_conn_resume(edge, cn, CONN_CLIENT_CLOSED);
 		}
 	}
 	pthread_mutex_unlock(&cn->lock);
@@ -204,7 +204,7 @@
 	cn->state = CONN_IDLE;
 	cn->client_closed = cn->got_request = false;
 	cn->over_limit = over;
-	cn->deadline = clock_now() + edge->timing.idle_ms;
+	cn->deadline = clock_now() + edge->timing.io_timeout_ms;
 	ev.data.u64 = cn->incarnation << SLOT_BITS | slot;
 	/* If this fails, the connection is served until its deadline. */
 	epoll_ctl(edge->epoll, EPOLL_CTL_ADD, cn->fd, &ev);
--- a/edge-caller-request.c
+++ b/edge-caller-request.c
@@ -50,7 +50,7 @@
 	cn->generation++;
 	call->call = caller_conn_call(edge, cn);
 	if (cn->client_closed)
-		state = CONN_CLIENT_GONE;
+		state = CONN_CLIENT_CLOSED;
 	else if (ck_pr_load_int(&edge->stopping))
 		state = CONN_STOPPED;
 	else if (!mailbox_put(edge->inbox, ev))
@@ -58,7 +58,7 @@
 	if (state == CONN_PENDING) {
 		cn->state = state;
 		cn->deadline = clock_now() + rq->call.answer_ms +
-			       edge->timing.margin_ms;
+			       edge->timing.answer_margin_ms;
 		MHD_suspend_connection(mhd);
 	}
 	pthread_mutex_unlock(&cn->lock);
@@ -67,7 +67,7 @@
 		return MHD_YES;
 	}
 	event_free(ev);
-	if (state == CONN_CLIENT_GONE)
+	if (state == CONN_CLIENT_CLOSED)
 		return MHD_NO; /* the client has disconnected */
 	return caller_reply_unavailable(edge, mhd, rq, state);
 }
@@ -171,7 +171,7 @@
 	}
 	if (!cn)
 		return caller_reply_problem(edge, mhd, rq, true);
-	caller_conn_set_deadline(cn, edge->timing.idle_ms);
+	caller_conn_set_deadline(cn, edge->timing.io_timeout_ms);
 	return MHD_YES;
 }
 
@@ -216,7 +216,7 @@
 	rq->body_capacity = 0;
 	pthread_mutex_lock(&cn->lock);
 	cn->got_request = true;
-	cn->deadline = clock_now() + edge->timing.idle_ms;
+	cn->deadline = clock_now() + edge->timing.io_timeout_ms;
 	pthread_mutex_unlock(&cn->lock);
 	if (!ok)
 		return caller_reply_problem(edge, mhd, rq, cn->over_limit);
@@ -277,7 +277,7 @@
 		cn->state = CONN_IDLE;
 		effect_free(cn->answer);
 		cn->answer = NULL;
-		cn->deadline = clock_now() + edge->timing.idle_ms;
+		cn->deadline = clock_now() + edge->timing.io_timeout_ms;
 		pthread_mutex_unlock(&cn->lock);
 	}
 	caller_call_free(&rq->call);
--- a/edge-caller.c
+++ b/edge-caller.c
@@ -14,8 +14,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define CALLER_IDLE_MS 30000
-#define CALLER_MARGIN_MS 5000
+#define CALLER_IO_TIMEOUT_MS 30000
+#define CALLER_ANSWER_MARGIN_MS 5000
 #define CALLER_SWEEP_MS 250
 #define CALLER_SPARE_SLOTS 64	/* for connections to refuse with 503 */
 #define CALLER_POOL_BYTES 32768 /* MHD's memory per connection */
@@ -214,8 +214,8 @@
 struct edge_caller *edge_caller_start(const struct settings *s,
 				      struct mailbox *inbox, struct error *e)
 {
-	const struct caller_timing t = {CALLER_IDLE_MS, CALLER_MARGIN_MS,
-					CALLER_SWEEP_MS};
+	const struct caller_timing t = {
+		CALLER_IO_TIMEOUT_MS, CALLER_ANSWER_MARGIN_MS, CALLER_SWEEP_MS};
 
 	return edge_caller_start_timed(s, &t, inbox, e);
 }
