--- a/edge-operator.c
+++ b/edge-operator.c
@@ -97,7 +97,7 @@
 	sealed envelope;
 
 	seal(&envelope, purpose, edge->settings->vm, body,
-	     clock_wall() + SEAL_LIFE_MS, p->signer->key);
+	     clock_wall() + SEAL_VALIDITY_MS, p->signer->key);
 	rpc_server_reply(edge->server, p->call, XDR_PROC(xdr_sealed),
 			 &envelope);
 	xdr_free(XDR_PROC(xdr_sealed), (char *)&envelope);
--- a/edge-peer.c
+++ b/edge-peer.c
@@ -193,7 +193,7 @@
  */
 static int64_t batch_time_left(const struct queue *q)
 {
-	int64_t time_left = SEAL_LIFE_MS, left;
+	int64_t time_left = SEAL_VALIDITY_MS, left;
 	const struct queued_message *m;
 
 	TAILQ_FOREACH(m, q, entry) {
--- a/operator-client.c
+++ b/operator-client.c
@@ -142,7 +142,7 @@
 	bool ok;
 
 	seal(&request, OPERATOR_CALL_PURPOSE, bstr_lit(c->name), body,
-	     clock_wall() + SEAL_LIFE_MS, c->key);
+	     clock_wall() + SEAL_VALIDITY_MS, c->key);
 	ok = client_exchange(c, &request, deadline, reply);
 	xdr_free(XDR_PROC(xdr_sealed), (char *)&request);
 	bstr_free(&body);
--- a/operator-client.h
+++ b/operator-client.h
@@ -12,12 +12,12 @@
 #endif
 
 /*
- * Lifetime of an envelope, longer than that of a call. A receiver accepts
- * deadlines up to twice as far ahead, so that clocks may differ by SEAL_LIFE_MS
- * in either direction.
+ * Validity period of an envelope, longer than the time limit of a call. A
+ * receiver accepts deadlines up to twice as far ahead, so that clocks may
+ * differ by SEAL_VALIDITY_MS in either direction.
  */
-#define SEAL_LIFE_MS 30000
-#define SEAL_HORIZON_MS (2 * SEAL_LIFE_MS)
+#define SEAL_VALIDITY_MS 30000
+#define SEAL_HORIZON_MS (2 * SEAL_VALIDITY_MS)
 
 /*
  * Purposes that an operator's call and its reply are sealed for. The reply's
--- a/tests/test-edge-operator.c
+++ b/tests/test-edge-operator.c
@@ -321,7 +321,7 @@
 
 	host_start(&h);
 	seal(&call, OPERATOR_CALL_PURPOSE, bstr_lit("ana"), bstr_lit("what?"),
-	     clock_wall() + SEAL_LIFE_MS, key);
+	     clock_wall() + SEAL_VALIDITY_MS, key);
 	rpc = rpc_client_open(bstr_lit(h.address), BAMBOO_OPERATOR,
 			      BAMBOO_OPERATOR_V1, clock_now() + WAIT_MS);
 	cr_assert_eq(rpc_client_call(rpc, OPERATE, &call, XDR_PROC(xdr_sealed),
@@ -416,7 +416,7 @@
 
 	(void)arg;
 	seal(out, OPERATOR_CALL_PURPOSE, bstr_lit("ana"), body,
-	     clock_wall() + SEAL_LIFE_MS, key);
+	     clock_wall() + SEAL_VALIDITY_MS, key);
 	bstr_free(&body);
 }
 
--- a/tests/test-edge-peer.c
+++ b/tests/test-edge-peer.c
@@ -523,7 +523,7 @@
 	bstr body = xdr_encode(XDR_PROC(xdr_peer_batch), &batch);
 
 	seal(out, "bamboofront peer v1 deliver to a1", batch.from, body,
-	     clock_wall() + SEAL_LIFE_MS, n->settings.peers.key);
+	     clock_wall() + SEAL_VALIDITY_MS, n->settings.peers.key);
 	bstr_free(&body);
 }
 
