--- a/entry-settings.c
+++ b/entry-settings.c
@@ -173,7 +173,7 @@
 	s->front.metrics.port = (uint16_t)number_get(j, "metrics_port", 0,
 						     65535, 0, e);
 	s->platform.store = string_get(j, "store", e);
-	s->platform.cloud = string_get(j, "machines", e);
+	s->platform.machines = string_get(j, "machines", e);
 	advice = json_string_value(member(j, "advice"));
 	s->platform.advice = advice ? advice : "";
 	s->sched.cpu_share = cpu_share_get(j, e);
