--- a/operator.x
+++ b/operator.x
@@ -45,7 +45,7 @@
 struct op_pool {
 	bstr pool;
 	bstr dcs<64>;
-	uint32_t budget;	/* VMs that may be out at once */
+	uint32_t budget;	/* VMs that may be unavailable at once */
 	bool spare;
 };
 
--- a/peer.h
+++ b/peer.h
@@ -90,7 +90,7 @@
 struct pm_forward {
 	uint64_t call;
 	bstr team;
-	uint32_t budget_ms;
+	uint32_t remaining_ms;
 	uint32_t shard;
 	caller_request request;
 };
@@ -106,7 +106,7 @@
 	cell_id cell;
 	bstr job;
 	uint32_t attempt;
-	uint32_t budget_ms;
+	uint32_t remaining_ms;
 	job_spec spec;
 };
 typedef struct pm_dispatch pm_dispatch;
--- a/peer.x
+++ b/peer.x
@@ -77,12 +77,13 @@
 
 /*
  * A caller's request, forwarded to the owner of its shard. The sender has
- * already checked the key; team is the team of that key.
+ * already checked the key; team is the team of that key. remaining_ms is the
+ * time left to answer the request.
  */
 struct pm_forward {
 	uint64_t call;
 	bstr team;
-	uint32_t budget_ms;
+	uint32_t remaining_ms;
 	uint32_t shard;
 	caller_request request;
 };
@@ -93,12 +94,15 @@
 	caller_answer answer;
 };
 
-/* Hands an attempt of a job to the owner of a cell. */
+/*
+ * Hands an attempt of a job to the owner of a cell. remaining_ms is the time
+ * left until the job's deadline.
+ */
 struct pm_dispatch {
 	cell_id cell;
 	bstr job;
 	uint32_t attempt;
-	uint32_t budget_ms;
+	uint32_t remaining_ms;
 	job_spec spec;
 };
 
--- a/peer_xdr.c
+++ b/peer_xdr.c
@@ -126,7 +126,7 @@
 		 return FALSE;
 	 if (!xdr_bstr (xdrs, &objp->team))
 		 return FALSE;
-	 if (!xdr_uint32_t (xdrs, &objp->budget_ms))
+	 if (!xdr_uint32_t (xdrs, &objp->remaining_ms))
 		 return FALSE;
 	 if (!xdr_uint32_t (xdrs, &objp->shard))
 		 return FALSE;
@@ -158,7 +158,7 @@
 		 return FALSE;
 	 if (!xdr_uint32_t (xdrs, &objp->attempt))
 		 return FALSE;
-	 if (!xdr_uint32_t (xdrs, &objp->budget_ms))
+	 if (!xdr_uint32_t (xdrs, &objp->remaining_ms))
 		 return FALSE;
 	 if (!xdr_job_spec (xdrs, &objp->spec))
 		 return FALSE;
--- a/reduce-call.c
+++ b/reduce-call.c
@@ -278,10 +278,10 @@
 	m->call = f->id;
 	m->team = f->team;
 	m->shard = f->shard;
-	m->budget_ms = f->deadline - FORWARD_MARGIN_MS > st->now
-			       ? (uint32_t)(f->deadline - FORWARD_MARGIN_MS -
-					    st->now)
-			       : 0;
+	m->remaining_ms = f->deadline - FORWARD_MARGIN_MS > st->now
+				  ? (uint32_t)(f->deadline - FORWARD_MARGIN_MS -
+					       st->now)
+				  : 0;
 	m->request = f->request;
 	m->request.key_id = m->request.key_digest = BSTR_NONE;
 	f->sent = true;
@@ -462,7 +462,7 @@
 	if (soft || (unit_is_active(st, u) && u->shard))
 		call_handle_at_home(st, from, m->call, &m->request, m->team,
 				    u ? u->shard : NULL,
-				    st->now + m->budget_ms);
+				    st->now + m->remaining_ms);
 	else
 		call_reply_unowned(st, from, m->call);
 }
--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -492,7 +492,7 @@
 	xdr_copy(XDR_PROC(xdr_job_spec), &t->spec, &m->spec, sizeof(m->spec));
 	t->phase = TASK_QUEUED;
 	t->queued_at = st->now;
-	t->deadline = st->now + m->budget_ms;
+	t->deadline = st->now + m->remaining_ms;
 	t->notify_at = INT64_MAX;
 	t->view.job = bstr_copy(m->job);
 	t->view.team = bstr_copy(m->spec.team);
@@ -527,7 +527,7 @@
 		return;
 	}
 	team = cell_team_get(st, u->cell, m->spec.team);
-	if (!m->budget_ms)
+	if (!m->remaining_ms)
 		dispatch_refuse(st, from, m, COUNT_REFUSED_DEADLINE,
 				"its deadline passed before it was queued", 0);
 	else if (u->cell->queued >= st->queue_per_cell)
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -327,8 +327,9 @@
 	d->cell = j->cell;
 	d->job = j->id;
 	d->attempt = j->attempt;
-	d->budget_ms = j->deadline > st->now ? (uint32_t)(j->deadline - st->now)
-					     : 0;
+	d->remaining_ms = j->deadline > st->now
+				  ? (uint32_t)(j->deadline - st->now)
+				  : 0;
 	d->spec = j->spec;
 	peer_send(st, owner, &msg);
 }
