--- a/caller-decode.c
+++ b/caller-decode.c
@@ -339,7 +339,7 @@
  * Parses wait=SECONDS in a Prefer field. RFC 7240 requires a server to ignore
  * preferences that it does not support, so only an invalid wait is a finding.
  */
-static void prefer_decode(bstr field, const struct caller_limits *b,
+static void prefer_decode(bstr field, const struct caller_limits *limits,
 			  struct caller_call *c)
 {
 	const char *p = field.bstr_val, *end = p + field.bstr_len, *next;
@@ -365,15 +365,16 @@
 				    "expected one wait=SECONDS, 1 to %d",
 				    CALLER_TIMEOUT_MAX / 1000);
 		else
-			c->prefer_wait_ms = seconds * 1000 < b->max_wait_ms
+			c->prefer_wait_ms = seconds * 1000 < limits->max_wait_ms
 						    ? seconds * 1000
-						    : b->max_wait_ms;
+						    : limits->max_wait_ms;
 	}
 }
 
 /* Parses the query arguments. Only ROUTE_GET has one, wait_ms. */
 static void queries_decode(const struct caller_head *h,
-			   const struct caller_limits *b, struct caller_call *c)
+			   const struct caller_limits *limits,
+			   struct caller_call *c)
 {
 	size_t i, n = h->query_count;
 	bool seen = false;
@@ -391,13 +392,13 @@
 		if (c->route == ROUTE_GET && !seen &&
 		    bstr_eq_str(f->name, "wait_ms")) {
 			seen = true;
-			if (number_read(f->value, 0, b->max_wait_ms, &ms))
+			if (number_read(f->value, 0, limits->max_wait_ms, &ms))
 				c->request.body.caller_body_u.job.wait_ms = ms;
 			else
 				finding_add(c, "query wait_ms",
 					    "expected a whole number from 0 "
 					    "to %u",
-					    b->max_wait_ms);
+					    limits->max_wait_ms);
 			continue;
 		}
 		name = bstr_cstr(bstr_ref(
@@ -418,7 +419,8 @@
  * are reported together with those of the body.
  */
 bool caller_decode_head(const struct caller_head *h,
-			const struct caller_limits *b, struct caller_call *c)
+			const struct caller_limits *limits,
+			struct caller_call *c)
 {
 	bstr fields[FIELD_COUNT] = {BSTR_NONE};
 	uint32_t length;
@@ -429,21 +431,21 @@
 	if (!fields_select(h, c, fields) || !route_find(h, c))
 		return false;
 	if (fields[FIELD_LENGTH].bstr_len &&
-	    !number_read(fields[FIELD_LENGTH], 0, b->max_body, &length)) {
+	    !number_read(fields[FIELD_LENGTH], 0, limits->max_body, &length)) {
 		caller_refuse(&c->problem, 413, "body-too-large",
 			      COUNT_REFUSED_BODY_TOO_LARGE,
-			      "a body has at most %u bytes", b->max_body);
+			      "a body has at most %u bytes", limits->max_body);
 		return false;
 	}
 	if (c->route >= ROUTE_HEALTH)
 		return true;
 	if (!authorization_decode(fields[FIELD_AUTHORIZATION], c))
 		return false;
-	queries_decode(h, b, c);
+	queries_decode(h, limits, c);
 	if (c->route != ROUTE_SUBMIT)
 		return true;
 	if (fields[FIELD_PREFER].bstr_len)
-		prefer_decode(fields[FIELD_PREFER], b, c);
+		prefer_decode(fields[FIELD_PREFER], limits, c);
 	if (caller_key_is_valid(fields[FIELD_KEY]))
 		bstr_set(&c->request.body.caller_body_u.spec.key,
 			 fields[FIELD_KEY]);
@@ -641,21 +643,21 @@
 }
 
 /* Sets wait and timeout_ms of a submission after its members were decoded. */
-static void wait_resolve(struct caller_call *c, const struct caller_limits *b,
-			 job_spec *s)
+static void wait_resolve(struct caller_call *c,
+			 const struct caller_limits *limits, job_spec *s)
 {
 	if (c->prefer_wait_ms)
 		s->wait = true;
 	if (!s->timeout_ms) {
 		s->timeout_ms = c->prefer_wait_ms ? c->prefer_wait_ms
 						  : CALLER_TIMEOUT_DEFAULT;
-		if (s->wait && s->timeout_ms > b->max_wait_ms)
-			s->timeout_ms = b->max_wait_ms;
+		if (s->wait && s->timeout_ms > limits->max_wait_ms)
+			s->timeout_ms = limits->max_wait_ms;
 	}
-	if (s->wait && s->timeout_ms > b->max_wait_ms)
+	if (s->wait && s->timeout_ms > limits->max_wait_ms)
 		finding_add(c, "/timeout_ms",
 			    "expected at most %u from a caller that waits",
-			    b->max_wait_ms);
+			    limits->max_wait_ms);
 }
 
 /*
@@ -664,16 +666,16 @@
  * become longer by that (1e9 becomes 1000000000.0), so its length is checked
  * again.
  */
-bool caller_decode_body(bstr body, const struct caller_limits *b,
+bool caller_decode_body(bstr body, const struct caller_limits *limits,
 			struct caller_call *c)
 {
 	job_spec *s = &c->request.body.caller_body_u.spec, label = {0};
 	json_t *j = NULL;
 
-	if (body.bstr_len > b->max_body) {
+	if (body.bstr_len > limits->max_body) {
 		caller_refuse(&c->problem, 413, "body-too-large",
 			      COUNT_REFUSED_BODY_TOO_LARGE,
-			      "a body has at most %u bytes", b->max_body);
+			      "a body has at most %u bytes", limits->max_body);
 		return false;
 	}
 	switch (c->route) {
@@ -682,12 +684,12 @@
 		if (!j)
 			return false;
 		members_decode(c, j, submit_members, NELEMS(submit_members), s);
-		wait_resolve(c, b, s);
-		if (s->payload.bstr_len > b->max_body)
+		wait_resolve(c, limits, s);
+		if (s->payload.bstr_len > limits->max_body)
 			caller_refuse(&c->problem, 413, "body-too-large",
 				      COUNT_REFUSED_BODY_TOO_LARGE,
 				      "a payload has at most %u bytes",
-				      b->max_body);
+				      limits->max_body);
 		c->answer_ms = s->timeout_ms;
 		break;
 	case ROUTE_CANCEL_LABEL:
--- a/caller.h
+++ b/caller.h
@@ -105,8 +105,9 @@
  * sets a problem unless one is set already.
  */
 bool caller_decode_head(const struct caller_head *h,
-			const struct caller_limits *b, struct caller_call *c);
-bool caller_decode_body(bstr body, const struct caller_limits *b,
+			const struct caller_limits *limits,
+			struct caller_call *c);
+bool caller_decode_body(bstr body, const struct caller_limits *limits,
 			struct caller_call *c);
 bool caller_key_is_valid(bstr key);
 void caller_refuse(struct caller_problem *p, uint32_t http, const char *reason,
