--- a/edge-platform.c
+++ b/edge-platform.c
@@ -366,10 +366,10 @@
 }
 
 /* Counts a page of a scan. Returns false if the scan is over its limits. */
-static bool scan_count_page(struct exchange *x, const struct http_response *a)
+static bool scan_count_page(struct exchange *x, const struct http_response *res)
 {
 	x->pages++;
-	x->scan_bytes += a->body.bstr_len;
+	x->scan_bytes += res->body.bstr_len;
 	return x->pages <= SCAN_PAGES_MAX && x->scan_bytes <= SCAN_BYTES_MAX;
 }
 
@@ -378,9 +378,9 @@
  * more if the scan has another page.
  */
 static bool json_response_parse(struct exchange *x,
-				const struct http_response *a, bool *more)
+				const struct http_response *res, bool *more)
 {
-	json_t *j = json_read(a->body), *rows = json_object_get(j, "rows");
+	json_t *j = json_read(res->body), *rows = json_object_get(j, "rows");
 	bool_t more_rows = FALSE;
 	bool ok = false;
 
@@ -391,10 +391,10 @@
 	else if (x->fx->kind == FX_READ)
 		ok = read_response_parse(x, rows);
 	else if (x->fx->kind == FX_COMMIT)
-		ok = a->status == 409 ? conflict_parse(x, rows)
-				      : committed_parse(x, rows);
+		ok = res->status == 409 ? conflict_parse(x, rows)
+					: committed_parse(x, rows);
 	else if (x->fx->kind == FX_SCAN)
-		ok = scan_count_page(x, a) &&
+		ok = scan_count_page(x, res) &&
 		     json_read_bool(j, "more", &more_rows) &&
 		     page_parse(x, rows) &&
 		     (!more_rows || json_array_size(rows) > 0);
@@ -405,53 +405,54 @@
 
 /* Parses a response and returns the outcome that it stands for. */
 static platform_outcome response_parse(struct exchange *x,
-				       const struct http_response *a,
+				       const struct http_response *res,
 				       bool *more)
 {
 	ev_platform *out = &x->ev->body.event_body_u.platform;
 	effect_kind kind = x->fx->kind;
 
 	out->retry_after_ms = 0;
-	if (a->status == 429 || a->status == 503) {
-		out->retry_after_ms = a->retry_after_ms;
+	if (res->status == 429 || res->status == 503) {
+		out->retry_after_ms = res->retry_after_ms;
 		return PLATFORM_REFUSED;
 	}
 	if (kind == FX_OBJECT_PUT) {
-		if (a->status == 409)
+		if (res->status == 409)
 			return PLATFORM_CONFLICT;
-		return a->status == 200 || a->status == 201 ? PLATFORM_OK
-							    : PLATFORM_INVALID;
+		return res->status == 200 || res->status == 201
+			       ? PLATFORM_OK
+			       : PLATFORM_INVALID;
 	}
 	if (kind == FX_OBJECT_GET) {
-		if (a->status == 404)
+		if (res->status == 404)
 			return PLATFORM_NOT_FOUND;
-		if (a->status != 200)
+		if (res->status != 200)
 			return PLATFORM_INVALID;
-		out->body = bstr_copy(a->body);
+		out->body = bstr_copy(res->body);
 		return PLATFORM_OK;
 	}
 	if (kind == FX_REBOOT) {
-		if (a->status == 404)
+		if (res->status == 404)
 			return PLATFORM_NOT_FOUND;
-		if (a->status == 409)
+		if (res->status == 409)
 			return PLATFORM_CONFLICT;
-		return a->status == 202 ? PLATFORM_OK : PLATFORM_INVALID;
+		return res->status == 202 ? PLATFORM_OK : PLATFORM_INVALID;
 	}
-	if (a->status != 200 && !(a->status == 409 && kind == FX_COMMIT))
+	if (res->status != 200 && !(res->status == 409 && kind == FX_COMMIT))
 		return PLATFORM_INVALID;
-	if (!json_response_parse(x, a, more))
+	if (!json_response_parse(x, res, more))
 		return PLATFORM_INVALID;
-	return a->status == 409 ? PLATFORM_CONFLICT : PLATFORM_OK;
+	return res->status == 409 ? PLATFORM_CONFLICT : PLATFORM_OK;
 }
 
 /* Returns the outcome of an exchange, which may have got no response. */
 static platform_outcome exchange_outcome(struct exchange *x,
-					 const struct http_response *a,
+					 const struct http_response *res,
 					 bool *more)
 {
-	switch (a->outcome) {
+	switch (res->outcome) {
 	case HTTP_OK:
-		return response_parse(x, a, more);
+		return response_parse(x, res, more);
 	case HTTP_NOT_SENT:
 		return PLATFORM_REFUSED;
 	case HTTP_NO_RESPONSE:
@@ -486,7 +487,7 @@
  * which a scan of a few thousand rows always reaches. A scan that started over
  * would reach it again, so it pauses and then continues.
  */
-static bool scan_continue(struct exchange *x, const struct http_response *a,
+static bool scan_continue(struct exchange *x, const struct http_response *res,
 			  platform_outcome outcome, bool more)
 {
 	struct http_request *r = &x->http;
@@ -494,9 +495,11 @@
 
 	if (x->fx->kind != FX_SCAN)
 		return false;
-	if (outcome == PLATFORM_REFUSED && a->outcome == HTTP_OK && x->pages) {
-		pause = a->retry_after_ms ? a->retry_after_ms : SCAN_PAUSE_MS;
-	} else if (a->too_long && x->page_size > 1) {
+	if (outcome == PLATFORM_REFUSED && res->outcome == HTTP_OK &&
+	    x->pages) {
+		pause = res->retry_after_ms ? res->retry_after_ms
+					    : SCAN_PAUSE_MS;
+	} else if (res->too_long && x->page_size > 1) {
 		/* Large rows: request fewer of them per response. */
 		x->page_size /= 2;
 	} else if (outcome != PLATFORM_OK || !more) {
@@ -513,11 +516,11 @@
 
 /* Counts and logs an invalid response. */
 static void invalid_response_count(const struct exchange *x,
-				   const struct http_response *a)
+				   const struct http_response *res)
 {
 	counter_add(COUNT_DROPPED_PLATFORM_GARBAGE, 1);
 	log_event(LOG_BAD_INPUT, "platform %s: status %ld, %u bytes",
-		  x->http.url, a->status, a->body.bstr_len);
+		  x->http.url, res->status, res->body.bstr_len);
 }
 
 /* Drops what was parsed of an invalid or partial response. */
@@ -535,20 +538,20 @@
  * the next page of a scan.
  */
 static struct http_request *exchange_done(struct http_request *r,
-					  const struct http_response *a)
+					  const struct http_response *res)
 {
 	struct exchange *x = (struct exchange *)r;
 	ev_platform *out = &x->ev->body.event_body_u.platform;
 	platform_outcome outcome;
 	bool more = false;
 
-	outcome = exchange_outcome(x, a, &more);
-	if (scan_continue(x, a, outcome, more))
+	outcome = exchange_outcome(x, res, &more);
+	if (scan_continue(x, res, outcome, more))
 		return r;
 	if (outcome == PLATFORM_OK && more)
 		outcome = PLATFORM_UNKNOWN; /* partial scan */
 	if (outcome == PLATFORM_INVALID) {
-		invalid_response_count(x, a);
+		invalid_response_count(x, res);
 		/* The write may have been executed nevertheless. */
 		if (effect_writes(x->fx))
 			outcome = PLATFORM_UNKNOWN;
--- a/edge-worker.c
+++ b/edge-worker.c
@@ -240,24 +240,24 @@
 }
 
 /* Parses a response and returns the outcome that it stands for. */
-static worker_outcome response_parse(const struct http_response *a,
+static worker_outcome response_parse(const struct http_response *res,
 				     const fx_worker *w, ev_worker *ev)
 {
 	bool ok = false;
 	json_t *j;
 
-	if (a->status == 503)
+	if (res->status == 503)
 		return WORKER_BUSY;
-	if (a->status != 200 && a->status != 409)
+	if (res->status != 200 && res->status != 409)
 		return WORKER_INVALID;
-	j = json_read(a->body);
+	j = json_read(res->body);
 	if (j)
-		ok = a->status == 200 ? report_parse(j, w, ev)
-				      : stale_parse(j, w, ev);
+		ok = res->status == 200 ? report_parse(j, w, ev)
+					: stale_parse(j, w, ev);
 	json_decref(j);
 	if (!ok)
 		return WORKER_INVALID;
-	return a->status == 200 ? WORKER_OK : WORKER_STALE;
+	return res->status == 200 ? WORKER_OK : WORKER_STALE;
 }
 
 static void exchange_free(struct exchange *x)
@@ -269,16 +269,16 @@
 
 /* Handles a response: posts the event of the effect. */
 static struct http_request *exchange_done(struct http_request *r,
-					  const struct http_response *a)
+					  const struct http_response *res)
 {
 	struct exchange *x = (struct exchange *)r;
 	const fx_worker *w = &x->fx->effect_u.worker;
 	event *ev = event_new(EV_WORKER);
 	ev_worker *out = &ev->body.event_body_u.worker;
 
-	switch (a->outcome) {
+	switch (res->outcome) {
 	case HTTP_OK:
-		out->outcome = response_parse(a, w, out);
+		out->outcome = response_parse(res, w, out);
 		break;
 	case HTTP_NOT_SENT:
 		out->outcome = WORKER_NOT_SENT;
@@ -297,7 +297,7 @@
 		out->outcome = WORKER_INVALID;
 		counter_add(COUNT_DROPPED_WORKER_GARBAGE, 1);
 		log_event(LOG_BAD_INPUT, "worker %.*s: status %ld, %u bytes",
-			  BSTR_ARG(w->vm), a->status, a->body.bstr_len);
+			  BSTR_ARG(w->vm), res->status, res->body.bstr_len);
 	}
 	out->req = w->req;
 	out->vm = bstr_copy(w->vm);
--- a/http-client.h
+++ b/http-client.h
@@ -57,7 +57,7 @@
 	int64_t deadline;    /* never sent at or after this time */
 	bool (*build)(struct http_request *r);
 	struct http_request *(*done)(struct http_request *r,
-				     const struct http_response *a);
+				     const struct http_response *res);
 };
 /* Frees the members of a request, but not the request itself. */
 void http_request_clear(struct http_request *r);
--- a/http-queue.c
+++ b/http-queue.c
@@ -128,9 +128,9 @@
  * again.
  */
 void http_request_end(struct http_client *c, struct http_request *r,
-		      const struct http_response *a)
+		      const struct http_response *res)
 {
-	struct http_request *again = r->done(r, a);
+	struct http_request *again = r->done(r, res);
 
 	if (again)
 		http_request_enqueue(c, again);
@@ -141,9 +141,9 @@
 /* Ends a request with HTTP_NOT_SENT. */
 void http_request_not_sent(struct http_client *c, struct http_request *r)
 {
-	struct http_response a = {.outcome = HTTP_NOT_SENT};
+	struct http_response res = {.outcome = HTTP_NOT_SENT};
 
-	http_request_end(c, r, &a);
+	http_request_end(c, r, &res);
 }
 
 /* Starts as many waiting requests as the queue has capacity for. */
--- a/http-state.h
+++ b/http-state.h
@@ -174,7 +174,7 @@
 void http_queue_end(struct http_client *c, struct http_queue *q);
 void http_request_enqueue(struct http_client *c, struct http_request *r);
 void http_request_end(struct http_client *c, struct http_request *r,
-		      const struct http_response *a);
+		      const struct http_response *res);
 void http_request_not_sent(struct http_client *c, struct http_request *r);
 void http_queues_start(struct http_client *c);
 void http_queues_abort(struct http_client *c);
--- a/http-transfer.c
+++ b/http-transfer.c
@@ -202,14 +202,14 @@
 static void transfer_end(struct http_transfer *t, enum http_outcome outcome)
 {
 	struct http_client *c = t->client;
-	struct http_response a = t->response;
+	struct http_response res = t->response;
 
-	a.outcome = outcome;
+	res.outcome = outcome;
 	TAILQ_REMOVE(&c->running, t, entry);
 	TAILQ_INSERT_HEAD(&c->free_transfers, t, entry);
 	http_queue_end(c, t->queue);
-	http_request_end(c, t->request, &a);
-	bstr_free(&a.body);
+	http_request_end(c, t->request, &res);
+	bstr_free(&res.body);
 }
 
 /*
