--- a/caller.h
+++ b/caller.h
@@ -101,8 +101,7 @@
  * caller-decode.c
  *
  * caller_decode_head and then caller_decode_body fill a call. They return false
- * if the request is refused; the problem of the call says why. caller_refuse
- * sets a problem unless one is set already.
+ * if the request is refused; the problem of the call says why.
  */
 bool caller_decode_head(const struct caller_head *h,
 			const struct caller_limits *limits,
--- a/edge-caller-reply.c
+++ b/edge-caller-reply.c
@@ -110,7 +110,7 @@
 	return caller_reply_problem(edge, mhd, rq, state == CONN_STOPPED);
 }
 
-/* Answers a request that does not need the reducer. */
+/* Answers a health, readiness or metrics request, without the reducer. */
 enum MHD_Result caller_reply_local(struct edge_caller *edge,
 				   struct MHD_Connection *mhd,
 				   struct request *rq)
--- a/edge-caller.h
+++ b/edge-caller.h
@@ -18,8 +18,8 @@
  * IDLE: the reducer has no call of this connection. PENDING: it has one, and
  * the connection is suspended. In the other states the connection was resumed:
  * ANSWERED with the reducer's answer, TIMED_OUT because no answer arrived in
- * time, CLIENT_GONE because the client closed the connection, STOPPED because
- * the daemon is stopping.
+ * time, CLIENT_CLOSED because the client closed its side of the connection,
+ * STOPPED because the daemon is stopping.
  */
 enum conn_state {
 	CONN_IDLE,
@@ -97,15 +97,8 @@
 };
 
 /*
- * edge-caller-conn.c
- *
- * caller_conn_call returns the ID of the current call of a connection.
- * caller_conn_notify_gone tells the reducer that nobody waits for that call any
- * more. caller_conn_resume ends the call in the given state and resumes the
- * connection. These three need the lock of the connection.
- *
- * edge_caller_watch is the watcher thread, which detects clients that leave and
- * deadlines that pass. The other two are callbacks of libmicrohttpd.
+ * edge-caller-conn.c: caller_conn_set_deadline takes the lock of the
+ * connection; the other caller_conn_* functions need it.
  */
 uint64_t caller_conn_call(const struct edge_caller *edge,
 			  const struct conn *cn);
@@ -129,14 +122,7 @@
 			   void **con_cls,
 			   enum MHD_RequestTerminationCode code);
 
-/*
- * edge-caller-reply.c
- *
- * caller_refusal_record counts a refusal and logs it at a limited rate. The
- * caller_reply_* functions send a reply: an encoded one, one for the problem of
- * the request, one for an overload, timeout or shutdown, and one for a request
- * that is answered without the reducer (health, readiness, metrics).
- */
+/* edge-caller-reply.c */
 void caller_refusal_record(struct edge_caller *edge,
 			   const struct caller_problem *p);
 enum MHD_Result caller_reply_send(struct MHD_Connection *mhd,
--- a/http-client.c
+++ b/http-client.c
@@ -244,7 +244,10 @@
 	}
 }
 
-/* Stops a client: ends its requests, joins its thread and frees it. */
+/*
+ * Stops a client: ends each remaining request with its outcome, joins the
+ * thread and frees the client.
+ */
 void http_client_stop(struct http_client *c)
 {
 	atomic_store(&c->stopping, true);
--- a/http-client.h
+++ b/http-client.h
@@ -18,7 +18,10 @@
 	HTTP_INVALID	  /* sent; the response is malformed or too long */
 };
 
-/* conn_opened_at: when the last connection tried was opened; 0: not sent. */
+/*
+ * conn_opened_at is the time at which the connection that carried the request
+ * was opened, or 0 if the request was not sent.
+ */
 struct http_response {
 	enum http_outcome outcome;
 	bool too_long; /* the reason for HTTP_INVALID */
@@ -59,7 +62,6 @@
 	struct http_request *(*done)(struct http_request *r,
 				     const struct http_response *res);
 };
-/* Frees the members of a request, but not the request itself. */
 void http_request_clear(struct http_request *r);
 
 struct http_client_options {
@@ -74,22 +76,13 @@
 struct http_client;
 struct http_client *http_client_start(const struct http_client_options *o,
 				      struct error *e);
-/*
- * Returns false if the client already has max_requests requests; the caller
- * then keeps ownership of r.
- */
+/* If this returns false, the caller keeps ownership of r. */
 bool http_client_send(struct http_client *c, struct http_request *r);
-/* Returns the CPU time that the client's thread has used. */
 int64_t http_client_cpu_ms(const struct http_client *c);
 /*
- * Posts an event to an inbox. For use in done only: it blocks the client's
- * thread while the inbox is full.
+ * For use in done only: it blocks the client's thread while the inbox is full.
  */
 void http_client_post(struct http_client *c, struct mailbox *inbox, event *ev);
-/*
- * Completes every remaining request with its outcome, joins the thread and
- * frees the client.
- */
 void http_client_stop(struct http_client *c);
 
 #endif
--- a/http-shard.c
+++ b/http-shard.c
@@ -53,7 +53,7 @@
 
 	if (!sh)
 		sh = shard_new(c);
-	if (++sh->queues == QUEUES_PER_SHARD)
+	if (++sh->queue_count == QUEUES_PER_SHARD)
 		TAILQ_REMOVE(&c->available_shards, sh, entry);
 	return sh;
 }
@@ -66,9 +66,9 @@
 {
 	struct http_client *c = sh->client;
 
-	if (sh->queues-- == QUEUES_PER_SHARD)
+	if (sh->queue_count-- == QUEUES_PER_SHARD)
 		TAILQ_INSERT_HEAD(&c->available_shards, sh, entry);
-	if (sh->queues)
+	if (sh->queue_count)
 		return;
 	TAILQ_REMOVE(&c->available_shards, sh, entry);
 	curl_multi_cleanup(sh->multi);
--- a/http-state.h
+++ b/http-state.h
@@ -23,13 +23,13 @@
  *
  * Once a second a multi handle walks its idle connections, and restarts the
  * walk after each one that it finds closed. With the connections of all hosts
- * in one handle this cost is quadratic in their number, so there are many.
+ * in one handle, the cost would be quadratic in their number.
  */
 struct http_shard {
 	TAILQ_ENTRY(http_shard) entry; /* in available_shards */
 	struct http_client *client;
 	struct heap_node timer; /* next libcurl timeout */
-	unsigned queues;	/* number of queues */
+	unsigned queue_count;
 	CURLM *multi;
 };
 TAILQ_HEAD(http_shard_list, http_shard);
@@ -131,13 +131,7 @@
 	atomic_bool stopping;
 };
 
-/*
- * http-socket.c: sockets of connections and their epoll events
- *
- * http_socket_is_reusable returns whether a connection that libcurl has chosen
- * can carry another request of a queue. http_socket_open, http_socket_close and
- * http_socket_watch are callbacks of libcurl.
- */
+/* http-socket.c: sockets of connections and their epoll events */
 struct http_socket *http_socket_get(struct http_client *c, int fd);
 curl_socket_t http_socket_open(void *arg, curlsocktype purpose,
 			       struct curl_sockaddr *a);
@@ -150,25 +144,12 @@
 void http_socket_ready(struct http_client *c, int fd, uint32_t events);
 void http_sockets_free(struct http_client *c);
 
-/*
- * http-shard.c: libcurl multi handles and their timers
- *
- * http_shard_acquire returns a shard with capacity for one more queue. When the
- * last queue of a shard releases it, its connections are closed.
- */
+/* http-shard.c: libcurl multi handles and their timers */
 struct http_shard *http_shard_acquire(struct http_client *c);
 void http_shard_release(struct http_shard *sh);
 void http_shards_run_timers(struct http_client *c, int64_t now);
 
-/*
- * http-queue.c: queues of requests
- *
- * http_queue_begin and http_queue_end count the requests in flight.
- * http_request_end reports the response to the sender and queues the request
- * again if the sender wants that. http_queues_start starts the requests that
- * their queues have capacity for, http_queues_abort ends all waiting requests
- * as not sent, and http_queues_expire frees the queues that stayed idle.
- */
+/* http-queue.c: queues of requests */
 struct http_queue *http_queue_get(struct http_client *c, const char *name);
 void http_queue_begin(struct http_queue *q);
 void http_queue_end(struct http_client *c, struct http_queue *q);
@@ -180,13 +161,7 @@
 void http_queues_abort(struct http_client *c);
 void http_queues_expire(struct http_client *c, int64_t now);
 
-/*
- * http-transfer.c: transfers with libcurl easy handles
- *
- * http_transfers_reap ends the transfers that libcurl has completed.
- * http_transfers_abort ends all running transfers: those that were sent have no
- * response.
- */
+/* http-transfer.c: transfers with libcurl easy handles */
 void http_transfer_start(struct http_client *c, struct http_queue *q,
 			 struct http_request *r);
 void http_transfers_reap(struct http_shard *sh);
--- a/rpc-client.c
+++ b/rpc-client.c
@@ -103,7 +103,7 @@
 
 /*
  * Converts a numeric IP address and a port to a socket address. Returns false
- * if host is neither an IPv4 nor an IPv6 address.
+ * if host is neither an IPv4 nor an IPv6 address; no name is resolved.
  */
 bool socket_address(const char *host, uint16_t port,
 		    struct sockaddr_storage *sa, socklen_t *len)
@@ -331,10 +331,7 @@
 	}
 }
 
-/*
- * Makes a call and waits for its reply. A connection on which a call has failed
- * must be closed.
- */
+/* Makes a call and waits for its reply until the deadline. */
 enum clnt_stat rpc_client_call(struct rpc_client *c, uint32_t procedure,
 			       const sealed *args, xdrproc_t proc, void *result,
 			       int64_t deadline)
--- a/rpc-client.h
+++ b/rpc-client.h
@@ -13,21 +13,12 @@
 extern "C" {
 #endif
 
-/*
- * Converts a numeric IP address and a port to a socket address. Returns false
- * if host is not an IP address; no name is resolved.
- */
 bool socket_address(const char *host, uint16_t port,
 		    struct sockaddr_storage *sa, socklen_t *len);
 
 /*
  * A record is one RPC message, sent as one or more fragments. A mark before
  * each fragment holds its length and whether it is the last.
- *
- * rpc_record_find checks whether the buffer starts with a complete record. If
- * so, payload is the length of the message and raw the length including marks.
- * rpc_record_join removes the marks in place. rpc_record_new creates a record
- * of one fragment from the two parts of a message.
  */
 #define RPC_RECORD_MAX (BSTR_MAX + 4096) /* an envelope and RPC headers */
 enum rpc_record_result {
@@ -43,13 +34,10 @@
 
 /*
  * A connection for calls to one RPC program, one call at a time. address is
- * "ip:port" or "[ip]:port". rpc_client_open returns NULL if the connection is
- * not established by the deadline.
+ * "ip:port" or "[ip]:port".
  *
  * If a call returns anything but RPC_SUCCESS, the state of the connection is
- * unknown: close it and open a new one. rpc_client_alive returns whether an
- * idle connection can carry another call. It cannot if the server has closed it
- * or has sent unsolicited data.
+ * unknown: close it and open a new one.
  */
 struct rpc_client;
 struct rpc_client *rpc_client_open(bstr address, uint32_t program,
--- a/rpc-server.c
+++ b/rpc-server.c
@@ -77,7 +77,10 @@
 
 enum { POLL_STOP, POLL_LISTEN, POLL_WAKE, POLL_CONNS };
 
-/* Starts a thread with all signals blocked. */
+/*
+ * Starts a thread with all signals blocked, because the main thread handles
+ * them.
+ */
 void rpc_thread_start(pthread_t *thread, void *(*run)(void *), void *arg)
 {
 	sigset_t all, old;
--- a/rpc-server.h
+++ b/rpc-server.h
@@ -26,7 +26,7 @@
  * message arrives in wake. It returns the latest time of its next call.
  */
 struct rpc_service {
-	const char *name; /* name in error messages and log lines */
+	const char *name; /* in error messages and log lines */
 	uint32_t program;
 	uint32_t version;
 	uint32_t procedure;
@@ -38,9 +38,8 @@
 };
 
 /*
- * Creates a server that is bound but not started, or returns NULL with an
- * error. service is copied; its arg must be ready to receive calls when this
- * returns.
+ * service is copied. Its arg must be ready to receive calls before
+ * rpc_server_start is called.
  */
 struct rpc_server *rpc_server_new(const struct rpc_service *service,
 				  const struct address *listen,
@@ -50,9 +49,8 @@
 void rpc_server_stop(struct rpc_server *srv);
 
 /*
- * Answer a call: with its result, with a rejected seal or with an RPC error.
- * For use in the server's thread only. Return false if the caller has
- * disconnected.
+ * Each of these answers a call. For use in the server's thread only. They
+ * return false if the client has disconnected.
  */
 bool rpc_server_reply(struct rpc_server *srv, uint64_t call, xdrproc_t proc,
 		      const void *result);
@@ -61,10 +59,6 @@
 bool rpc_server_fail(struct rpc_server *srv, uint64_t call,
 		     enum accept_stat why);
 
-/*
- * Starts a thread with all signals blocked; signals are handled by the main
- * thread.
- */
 void rpc_thread_start(pthread_t *thread, void *(*run)(void *), void *arg);
 
 /* Timeouts. Tests shorten them before they start a server. */
