--- a/bamboofront-entryd.c
+++ b/bamboofront-entryd.c
@@ -17,8 +17,9 @@
 #include <unistd.h>
 
 #define INBOX_SIZE 16384
-#define EVENTS_PER_ITERATION 256 /* before ticks and signals get their turn */
-#define TICK_MS 40		 /* interval of EVENT_TICK */
+/* Limits the events of an iteration, so that ticks and signals are handled. */
+#define EVENTS_PER_ITERATION 256
+#define TICK_MS 40 /* interval of EVENT_TICK */
 /* The settings file may change without a signal, so it is polled as well. */
 #define SETTINGS_POLL_MS 1000
 #define CPU_REPORT_MS 1000
@@ -82,7 +83,7 @@
 	signal(SIGPIPE, SIG_IGN);
 }
 
-/* Carries out one effect and frees it. */
+/* Executes an effect and frees it. */
 static void effect_execute(struct entry *d, struct sched_effect *fx)
 {
 	switch (fx->kind) {
@@ -114,7 +115,7 @@
 	sched_effect_free(fx);
 }
 
-/* Passes an event to the reducer, carries out the effects, frees the event. */
+/* Passes an event to the scheduler, executes the effects, frees the event. */
 static void entry_handle(struct entry *d, struct sched_event *ev)
 {
 	struct sched_effect *fx;
@@ -139,7 +140,7 @@
 }
 
 /*
- * Reloads the settings file if it has changed or if a signal asked for that.
+ * Reloads the settings file if it has changed or if SIGHUP was received.
  * Only the log level takes effect; changed addresses need a restart. An invalid
  * file is logged and changes nothing.
  */
@@ -170,7 +171,7 @@
 	error_free(&e);
 }
 
-/* Acts on the signals that were received since the last call. */
+/* Handles the signals that were received since the last call. */
 static void signals_handle(struct entry *d)
 {
 	uint64_t count;
@@ -239,7 +240,7 @@
 	return n <= EVENTS_PER_ITERATION;
 }
 
-/* The event loop; returns when the scheduler lets the process end. */
+/* The event loop; returns when the scheduler has emitted EFFECT_END. */
 static void entry_loop(struct entry *d)
 {
 	struct pollfd p[] = {
--- a/caller-decode.c
+++ b/caller-decode.c
@@ -427,7 +427,8 @@
 
 	memset(c, 0, sizeof(*c));
 	error_init(&c->problem.findings);
-	c->request.body.kind = CALL_CANCEL_LABEL; /* arm that can be freed */
+	/* A refused request has no kind yet, but xdr_free needs a valid one. */
+	c->request.body.kind = CALL_CANCEL_LABEL;
 	if (!fields_select(h, c, fields) || !route_find(h, c))
 		return false;
 	if (fields[FIELD_LENGTH].bstr_len &&
--- a/edge-caller-conn.c
+++ b/edge-caller-conn.c
@@ -246,13 +246,13 @@
 				   socklen_t len)
 {
 	struct edge_caller *edge = cls;
-	bool room;
+	bool has_free_slot;
 
 	(void)sa, (void)len;
 	pthread_mutex_lock(&edge->lock);
-	room = edge->free_slot_count > 0;
+	has_free_slot = edge->free_slot_count > 0;
 	pthread_mutex_unlock(&edge->lock);
-	if (room)
+	if (has_free_slot)
 		return MHD_YES;
 	counter_add(COUNT_REFUSED_CONNECTIONS, 1);
 	return MHD_NO;
