--- a/edge-caller-request.c
+++ b/edge-caller-request.c
@@ -44,6 +44,7 @@
 
 	key_ensure(&rq->call);
 	call->request = rq->call.request;
+	/* The request was moved; xdr_free needs a valid kind in its place. */
 	memset(&rq->call.request, 0, sizeof(rq->call.request));
 	rq->call.request.body.kind = CALL_CANCEL_LABEL;
 	pthread_mutex_lock(&cn->lock);
--- a/edge-caller.c
+++ b/edge-caller.c
@@ -17,9 +17,9 @@
 #define CALLER_IO_TIMEOUT_MS 30000
 #define CALLER_ANSWER_MARGIN_MS 5000
 #define CALLER_SWEEP_MS 250
-#define CALLER_SPARE_SLOTS 64	/* for connections to refuse with 503 */
-#define CALLER_POOL_BYTES 32768 /* MHD's memory per connection */
-#define CALLER_DRAIN_MS 2000	/* time limit to send answers during a stop */
+#define CALLER_SPARE_SLOTS 64	 /* for connections to refuse with 503 */
+#define CALLER_CONN_MEMORY 32768 /* bytes per connection, for MHD */
+#define CALLER_DRAIN_MS 2000	 /* time limit to send answers during a stop */
 
 /*
  * Logger callback of MHD, which counts refusals. MHD refuses requests that
@@ -111,7 +111,7 @@
 			edge, MHD_OPTION_EXTERNAL_LOGGER, mhd_log_callback,
 			edge, MHD_OPTION_SOCK_ADDR, &addr.sa,
 			MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-			(size_t)CALLER_POOL_BYTES, MHD_OPTION_CONNECTION_LIMIT,
+			(size_t)CALLER_CONN_MEMORY, MHD_OPTION_CONNECTION_LIMIT,
 			edge->slot_total * (threads ? threads : 1),
 			MHD_OPTION_STRICT_FOR_CLIENT, 1,
 			MHD_OPTION_NOTIFY_CONNECTION, edge_caller_connection,
--- a/edge-operator.c
+++ b/edge-operator.c
@@ -33,7 +33,11 @@
 	struct mailbox *replies;
 	struct replay_guard *guard;
 	struct rpc_server *server;
-	struct pending *pending[PENDING_MAX + 1]; /* sorted by deadline */
+	/*
+	 * Sorted by deadline. The last element is for a call over the limit,
+	 * which is added before it is refused.
+	 */
+	struct pending *pending[PENDING_MAX + 1];
 	size_t pending_count;
 };
 
--- a/edge-platform.c
+++ b/edge-platform.c
@@ -12,7 +12,7 @@
 
 #define REQUESTS_MAX 1024
 #define RESPONSE_MAX (16 << 20)
-#define SCAN_PAGE 500
+#define SCAN_PAGE_ROWS 500
 #define SCAN_PAGES_MAX 4096
 #define SCAN_BYTES_MAX (64 << 20) /* sum of all pages */
 #define SCAN_TIMEOUTS 8		  /* time limit of a scan, in timeout_ms */
@@ -663,7 +663,7 @@
 	x->edge = edge;
 	x->fx = fx;
 	x->ev = event_new(EV_PLATFORM);
-	x->page_size = SCAN_PAGE;
+	x->page_size = SCAN_PAGE_ROWS;
 	x->scan_deadline = clock_now() +
 			   (int64_t)SCAN_TIMEOUTS * edge->timeout_ms;
 	r->queue_name = xstrdup("platform");
--- a/http-transfer.c
+++ b/http-transfer.c
@@ -9,7 +9,7 @@
 #include <string.h>
 #include <strings.h>
 
-#define HEADERS_MAX 65536	 /* bytes of all header lines of a response */
+#define HEADER_BYTES_MAX 65536	 /* all header lines of a response */
 #define RETRY_AFTER_MAX_MS 60000 /* longer values are reduced to this */
 #define CONNECTION_IDLE_S 60	 /* before an idle connection is closed */
 
@@ -81,7 +81,7 @@
 	const char *value;
 
 	t->header_bytes += n;
-	if (t->header_bytes > HEADERS_MAX) {
+	if (t->header_bytes > HEADER_BYTES_MAX) {
 		t->response.too_long = true;
 		return 0;
 	}
