--- a/edge-operator.c
+++ b/edge-operator.c
@@ -33,7 +33,11 @@
 	struct mailbox *replies;
 	struct replay_guard *guard;
 	struct rpc_server *server;
-	struct pending *pending[PENDING_MAX + 1]; /* sorted by deadline */
+	/*
+	 * Sorted by deadline. The last element is for a call over the limit,
+	 * which is added before it is refused.
+	 */
+	struct pending *pending[PENDING_MAX + 1];
 	size_t pending_count;
 };
 
@@ -97,7 +101,7 @@
 	sealed envelope;
 
 	seal(&envelope, purpose, edge->settings->vm, body,
-	     clock_wall() + SEAL_LIFE_MS, p->signer->key);
+	     clock_wall() + SEAL_VALIDITY_MS, p->signer->key);
 	rpc_server_reply(edge->server, p->call, XDR_PROC(xdr_sealed),
 			 &envelope);
 	xdr_free(XDR_PROC(xdr_sealed), (char *)&envelope);
