--- a/bench/bench-policy.c
+++ b/bench/bench-policy.c
@@ -1,10 +1,13 @@
 /*
- * Measures the decisions that users weigh: shares, promptness, buffer and
- * moves of the queue, and roll-out time and budget of maintenance waves.  It
- * drives the reducer itself over the fakes of tests/support-sim.h on a clock
- * of its own.  Baselines run on the same seeds; what ran is told by the
- * fakes, never by the reducer.  JSON on standard output, a table on standard
- * error: bench-policy [SEEDS [SECONDS [TARGET]]].
+ * Compares the scheduling policies: shares, waiting times, idle slots and
+ * preemptions of the queue policies, and roll-out time and budget violations of
+ * the wave policies.  It runs the reducer in the simulated fleet of
+ * tests/support-sim.h on a simulated clock.  All policies, with the baselines
+ * among them, run on the same seeds.  What ran is counted by the fakes, never
+ * by the reducer itself.
+ *
+ * bench-policy [SEEDS [SECONDS [POOLS]]] prints JSON on standard output and a
+ * table on standard error.
  */
 #include "../reduce.h"
 #include "../tests/support-sim.h"
@@ -14,34 +17,36 @@
 #include <string.h>
 
 #define TEAMS 6
-#define URGENT_MS 4200
-#define TURN_MS 10000 /* how long each queue has its burst */
+#define URGENT_MS 4200 /* an urgent job that waits longer is late */
+#define TURN_MS 10000  /* length of a burst; the queues have it in turn */
 #define SAMPLE_MS 500
-#define KINDS 3
 
+enum job_kind { KIND_QUICK, KIND_LONG, KIND_URGENT, KINDS };
+
+/* The measured values, each printed under its name in figure_names. */
 enum figure {
-	SHARE_LEAST, /* of the teams, what the one worst off attains */
+	SHARE_LEAST, /* lowest part of its share that a team attains */
 	SHARE_T0,
 	SHARE_LAST = SHARE_T0 + TEAMS - 1,
 	QUICK_P50,
 	QUICK_P99,
-	QUICK_OWN_P99, /* of the teams that ask for less than their share */
+	QUICK_OWN_P99, /* of the teams that demand less than their share */
 	LONG_P99,
 	LONG_WORST,
 	URGENT_P99,
 	URGENT_WORST,
 	URGENT_LATE,
-	IDLE_WANTED, /* share of slots that idle while work waits there */
+	IDLE_WANTED, /* fraction of slots that idle while their pool has work */
 	IDLE,
 	MOVES,
 	DONE,
 	ROLLOUT_S,
 	WAVE_MOVES,
-	OVER_MOST, /* VMs out beyond the budget, at worst */
-	OVER_S,	   /* and for how long */
+	OVER_MOST, /* maximum of VMs out of service beyond the budget */
+	OVER_S,	   /* time with VMs out of service beyond the budget */
 	FIGURES
 };
-static const char *const names[FIGURES] = {
+static const char *const figure_names[FIGURES] = {
 	"share_least",	 "share_t0",	  "share_t1",	 "share_t2",
 	"share_t3",	 "share_t4",	  "share_t5",	 "quick_p50_ms",
 	"quick_p99_ms",	 "quick_own_p99", "long_p99_ms", "long_worst_ms",
@@ -52,9 +57,9 @@
 
 struct load {
 	const char *name;
-	unsigned long_percent; /* of the slots' time that is asked for */
-	double mean;	       /* of a pool's slots that its queue asks for */
-	double urgent_per_s;
+	unsigned long_percent; /* part of the demand that is long jobs */
+	double mean;	       /* demand of a queue, relative to its slots */
+	double urgent_per_s;   /* in all pools together */
 	bool bursts;
 };
 static const struct load loads[] = {
@@ -66,41 +71,42 @@
 static const char *const wave_policies[] = {"room for a rack", "rack by rack",
 					    "by name"};
 static const unsigned shares[TEAMS] = {4, 3, 1, 1, 1, 1};
-/* How much of the demand is a team's; not as the shares are. */
+/* Each team's part of the demand; deliberately not proportional to shares. */
 static const double demand[TEAMS] = {0.3, 0.15, 0.3, 0.1, 0.1, 0.05};
 
-/* What runs and waits now, by team and pool. */
-struct now {
+/* The current jobs by pool and team, and the sums over the samples. */
+struct usage {
 	int running[SIM_POOLS][TEAMS], queued[SIM_POOLS][TEAMS];
-	double attained[TEAMS];
+	double attained[TEAMS]; /* sums of parts of the share, each 0 to 1 */
 	unsigned samples[TEAMS];
 	double idle, idle_wanted, slots;
 };
-static struct now now;
+static struct usage usage;
 
-static void began(struct sim *s, unsigned job, struct sim_worker *w)
+/* Counts a job that starts; a hook of the simulated fleet. */
+static void job_began(struct sim *s, unsigned job, struct sim_worker *w)
 {
 	const struct sim_job *j = &s->jobs[job];
 
 	(void)w;
-	now.running[j->pool][j->team]++;
-	now.queued[j->pool][j->team]--;
+	usage.running[j->pool][j->team]++;
+	usage.queued[j->pool][j->team]--;
 }
 
-/* It is done, or it waits again. */
-static void ended(struct sim *s, unsigned job, struct sim_worker *w)
+/* Counts a run that ends: its job is done, or is queued again. */
+static void job_ended(struct sim *s, unsigned job, struct sim_worker *w)
 {
 	const struct sim_job *j = &s->jobs[job];
 
 	(void)w;
-	now.running[j->pool][j->team]--;
+	usage.running[j->pool][j->team]--;
 	if (j->total_run_ms < j->run_ms)
-		now.queued[j->pool][j->team]++;
+		usage.queued[j->pool][j->team]++;
 }
 
 /*
- * Sample a pool.  When it is full, a team whose work waits should have its
- * share of the slots among the teams that want any.
+ * Samples a pool.  While much work is queued, a team with queued jobs should
+ * have its share of the slots among the teams that have any jobs.
  */
 static void sample_pool(const struct sim *s, unsigned pool, unsigned slots)
 {
@@ -109,82 +115,92 @@
 
 	(void)s;
 	for (t = 0; t < TEAMS; t++) {
-		busy += now.running[pool][t];
-		waiting += now.queued[pool][t];
-		if (now.running[pool][t] + now.queued[pool][t])
+		busy += usage.running[pool][t];
+		waiting += usage.queued[pool][t];
+		if (usage.running[pool][t] + usage.queued[pool][t])
 			weight += shares[t];
 	}
-	now.slots += slots;
-	now.idle += (int)slots - busy;
+	usage.slots += slots;
+	usage.idle += (int)slots - busy;
 	if (waiting >= (int)slots - busy)
-		now.idle_wanted += (int)slots - busy;
+		usage.idle_wanted += (int)slots - busy;
 	for (t = 0; t < TEAMS && waiting > (int)slots / 4; t++) {
-		if (now.queued[pool][t] <= 2)
+		if (usage.queued[pool][t] <= 2)
 			continue;
-		now.attained[t] += fmin(1, now.running[pool][t] * 1.0 * weight /
-						   (shares[t] * slots));
-		now.samples[t]++;
+		usage.attained[t] += fmin(1, usage.running[pool][t] * 1.0 *
+						     weight /
+						     (shares[t] * slots));
+		usage.samples[t]++;
 	}
 }
 
-static double uniform(struct sim *s)
+/* Returns a random number above 0 and up to 1. */
+static double random_unit(struct sim *s)
 {
 	return (double)(sim_random(s, 1u << 30) + 1) / (1u << 30);
 }
 
-/* Submit one job of a pool's queue; kind 0 quick, 1 long, 2 urgent. */
-static void submit(struct sim *s, unsigned pool, unsigned kind)
+/* Submits a job of a random team to a pool. */
+static void submit_job(struct sim *s, unsigned pool, unsigned kind)
 {
-	struct sim_job j = {.pool = pool, .urgent = kind == 2};
-	double u = uniform(s);
+	struct sim_job j = {.pool = pool, .urgent = kind == KIND_URGENT};
+	double u = random_unit(s);
 
 	while (j.team + 1 < TEAMS && u > demand[j.team])
 		u -= demand[j.team++];
-	j.run_ms = kind == 1 ? 20000 + (int64_t)sim_random(s, 40000)
-			     : 200 + (int64_t)sim_random(s, 1300);
-	/* Declared run times are off by up to ten times either way. */
+	j.run_ms = kind == KIND_LONG ? 20000 + (int64_t)sim_random(s, 40000)
+				     : 200 + (int64_t)sim_random(s, 1300);
+	/* Declared run times are wrong by up to a factor of ten. */
 	j.declared_ms = (int64_t)((double)j.run_ms *
-				  pow(10, 2 * uniform(s) - 1));
+				  pow(10, 2 * random_unit(s) - 1));
 	j.label = kind;
 	sim_submit(s, (unsigned)sim_random(s, s->plan.entries), &j);
-	now.queued[pool][j.team]++;
+	usage.queued[pool][j.team]++;
 }
 
-/* Let a pool's queue ask for as much as its turn says, for a step. */
-static void demand_step(struct sim *s, const struct load *l, unsigned pool,
-			double ms)
+/* Submits the demand of a pool's queue for a step of ms milliseconds. */
+static void submit_demand(struct sim *s, const struct load *l, unsigned pool,
+			  double ms)
 {
 	unsigned slots = s->plan.pools[pool].workers * s->plan.slots, kind;
 	unsigned turn = (unsigned)(s->now / TURN_MS) % s->pool_count;
 	double factor = !l->bursts ? 1 : turn == pool ? 5 : 0.05, rate;
 
 	for (kind = 0; kind < KINDS; kind++) {
-		if (kind == 2)
+		if (kind == KIND_URGENT)
 			rate = l->urgent_per_s / s->pool_count / 1000;
 		else
 			rate = factor * l->mean * slots *
 			       (kind ? l->long_percent
 				     : 100 - l->long_percent) /
 			       100 / (kind ? 40000 : 850);
-		/* Poisson arrivals, by their count in the step */
-		rate = rate * ms + log(uniform(s));
+		/*
+		 * Poisson arrivals: exponential gaps, as long as they fit
+		 * into the step.
+		 */
+		rate = rate * ms + log(random_unit(s));
 		while (rate > 0) {
-			submit(s, pool, kind);
-			rate += log(uniform(s));
+			submit_job(s, pool, kind);
+			rate += log(random_unit(s));
 		}
 	}
 }
 
-static int by_size(const void *a, const void *b)
+/* Compares two doubles; for qsort(). */
+static int compare_doubles(const void *a, const void *b)
 {
 	double x = *(const double *)a, y = *(const double *)b;
 
 	return x < y ? -1 : x > y;
 }
 
-/* The waits of a kind until the first start, sorted; of the first teams. */
-static size_t waits(const struct sim *s, unsigned kind, unsigned teams,
-		    double **out)
+/*
+ * Stores the sorted waiting times of the jobs of a kind until their first start
+ * (or until now), for the given number of teams from the first; returns their
+ * number.
+ */
+static size_t waiting_times(const struct sim *s, unsigned kind, unsigned teams,
+			    double **out)
 {
 	size_t i, n = 0;
 
@@ -196,51 +212,54 @@
 		if (j->label == kind && j->team < teams)
 			(*out)[n++] = (double)(end - j->submitted_at);
 	}
-	qsort(*out, n, sizeof(double), by_size);
+	qsort(*out, n, sizeof(double), compare_doubles);
 	return n;
 }
 
+/* Returns a quantile of sorted values, or 0 if there are none. */
 static double quantile(const double *v, size_t n, double q)
 {
 	return n ? v[(size_t)((double)(n - 1) * q)] : 0;
 }
 
-static void figures_of_queue(struct sim *s, double *f)
+/* Calculates the figures of a queue policy at the end of a run. */
+static void queue_figures(struct sim *s, double *f)
 {
 	size_t n, i;
 	double *v;
 
 	f[SHARE_LEAST] = 1;
 	for (i = 0; i < TEAMS; i++) {
-		f[SHARE_T0 + i] = now.samples[i]
-					  ? now.attained[i] / now.samples[i]
+		f[SHARE_T0 + i] = usage.samples[i]
+					  ? usage.attained[i] / usage.samples[i]
 					  : 1;
 		f[SHARE_LEAST] = fmin(f[SHARE_LEAST], f[SHARE_T0 + i]);
 	}
-	n = waits(s, 0, TEAMS, &v);
+	n = waiting_times(s, KIND_QUICK, TEAMS, &v);
 	f[QUICK_P50] = quantile(v, n, 0.5);
 	f[QUICK_P99] = quantile(v, n, 0.99);
 	free(v);
-	n = waits(s, 0, 2, &v); /* t0 and t1 */
+	n = waiting_times(s, KIND_QUICK, 2, &v); /* t0 and t1 */
 	f[QUICK_OWN_P99] = quantile(v, n, 0.99);
 	free(v);
-	n = waits(s, 1, TEAMS, &v);
+	n = waiting_times(s, KIND_LONG, TEAMS, &v);
 	f[LONG_P99] = quantile(v, n, 0.99);
 	f[LONG_WORST] = quantile(v, n, 1);
 	free(v);
-	n = waits(s, 2, TEAMS, &v);
+	n = waiting_times(s, KIND_URGENT, TEAMS, &v);
 	f[URGENT_P99] = quantile(v, n, 0.99);
 	f[URGENT_WORST] = quantile(v, n, 1);
 	for (i = 0; i < n; i++)
 		f[URGENT_LATE] += v[i] > URGENT_MS;
 	free(v);
-	f[IDLE] = now.idle / now.slots;
-	f[IDLE_WANTED] = now.idle_wanted / now.slots;
+	f[IDLE] = usage.idle / usage.slots;
+	f[IDLE_WANTED] = usage.idle_wanted / usage.slots;
 	f[MOVES] = (double)s->checkpoints;
 	for (i = 0; i < s->job_count; i++)
 		f[DONE] += s->jobs[i].state == JOB_DONE;
 }
 
+/* Describes a fleet of pools of ten workers each. */
 static void plan_fleet(struct sim_plan *plan, uint64_t seed, unsigned pools)
 {
 	unsigned i;
@@ -257,7 +276,7 @@
 		plan->teams[i] = (struct sim_team){shares[i], 100000};
 }
 
-/* One run of a load under a policy. */
+/* Runs a load for ms milliseconds under a queue policy. */
 static void run_queue(const struct load *l, enum queue_policy policy,
 		      uint64_t seed, int64_t ms, unsigned pools, double *f)
 {
@@ -267,25 +286,25 @@
 	unsigned p;
 
 	plan_fleet(&plan, seed, pools);
-	memset(&now, 0, sizeof(now));
+	memset(&usage, 0, sizeof(usage));
 	s = sim_new(&plan);
 	s->entries[0]->queue_policy = policy;
-	s->hooks.began = began;
-	s->hooks.ended = ended;
+	s->hooks.began = job_began;
+	s->hooks.ended = job_ended;
 	for (from = s->now; s->now - from < ms; sim_run(s, 50)) {
 		for (p = 0; p < s->pool_count; p++) {
-			demand_step(s, l, p, 50);
+			submit_demand(s, l, p, 50);
 			if ((s->now - from) % SAMPLE_MS == 0)
 				sample_pool(s, p,
 					    plan.pools[p].workers * plan.slots);
 		}
 	}
-	figures_of_queue(s, f);
+	queue_figures(s, f);
 	sim_free(s);
 }
 
-/* VMs of the pool that are not at work beyond its budget. */
-static unsigned out_over(const struct sim *s)
+/* Returns how many VMs are out of service beyond the pool's budget. */
+static unsigned vms_over_budget(const struct sim *s)
 {
 	unsigned out = 0, i;
 
@@ -295,7 +314,8 @@
 					     : 0;
 }
 
-static bool wave_ended(struct sim *s)
+/* Returns true if the wave is finished. */
+static bool wave_is_finished(struct sim *s)
 {
 	wave_row row;
 	bool is;
@@ -308,9 +328,9 @@
 	return is;
 }
 
-/* A rack ends at a time and is back two minutes later. */
-static void rack_step(struct sim *s, struct sim_worker *w, const char *rack,
-		      int64_t lost)
+/* Kills a worker if its rack is the lost one; boots it two minutes later. */
+static void worker_apply_outage(struct sim *s, struct sim_worker *w,
+				const char *rack, int64_t lost)
 {
 	if (strcmp(w->rack, rack) != 0)
 		return;
@@ -320,7 +340,10 @@
 		sim_worker_boot(s, w);
 }
 
-/* A wave over a pool at work, with the loss of a rack for two minutes. */
+/*
+ * Runs a wave over a pool that has work, under a wave policy, while a rack
+ * fails for two minutes.
+ */
 static void run_wave(enum wave_policy policy, uint64_t seed, double *f)
 {
 	struct sim_plan plan;
@@ -331,26 +354,26 @@
 
 	plan_fleet(&plan, seed, 1);
 	plan.interleaved = true;
-	memset(&now, 0, sizeof(now));
+	memset(&usage, 0, sizeof(usage));
 	s = sim_new(&plan);
 	s->entries[0]->wave_policy = policy;
 	for (i = 0; i < 60; i++)
-		submit(s, 0, 1);
+		submit_job(s, 0, KIND_LONG);
 	sim_run(s, 3000);
 	sim_wave(s, OP_WAVE_PLAN, "w", "p0", 10000);
 	sim_wave(s, OP_WAVE_START, "w", "", 0);
 	from = s->now;
 	lost = from + 20000 + (int64_t)sim_random(s, 60000);
 	snprintf(rack, sizeof(rack), "r%u", (unsigned)sim_random(s, 3));
-	while (!wave_ended(s) && s->now - from < 3600000) {
+	while (!wave_is_finished(s) && s->now - from < 3600000) {
 		for (i = 0; i < s->worker_count; i++)
-			rack_step(s, &s->workers[i], rack, lost);
-		over = out_over(s);
+			worker_apply_outage(s, &s->workers[i], rack, lost);
+		over = vms_over_budget(s);
 		f[OVER_MOST] = fmax(f[OVER_MOST], over);
 		f[OVER_S] += over ? 0.1 : 0;
 		if (s->now % 40000 < 100)
 			for (i = 0; i < 30; i++)
-				submit(s, 0, 1);
+				submit_job(s, 0, KIND_LONG);
 		sim_run(s, 100);
 	}
 	f[ROLLOUT_S] = (double)(s->now - from) / 1000;
@@ -358,27 +381,30 @@
 	sim_free(s);
 }
 
-/* Mean, least and most over the seeds, as JSON and in the table. */
-static json_t *spread(double f[][FIGURES], unsigned seeds, unsigned from,
-		      unsigned to)
+/*
+ * Returns mean, minimum and maximum over the seeds of a range of figures as
+ * JSON, and prints them as a table.
+ */
+static json_t *figures_report(double f[][FIGURES], unsigned seeds,
+			      unsigned from, unsigned to)
 {
 	json_t *o = json_object();
-	double sum, least, most;
+	double sum, min, max;
 	unsigned i, k;
 
 	for (i = from; i <= to; i++) {
 		sum = 0;
-		least = most = f[0][i];
+		min = max = f[0][i];
 		for (k = 0; k < seeds; k++) {
 			sum += f[k][i];
-			least = fmin(least, f[k][i]);
-			most = fmax(most, f[k][i]);
+			min = fmin(min, f[k][i]);
+			max = fmax(max, f[k][i]);
 		}
 		json_object_set_new(
-			o, names[i],
-			json_pack("[f,f,f]", sum / seeds, least, most));
-		fprintf(stderr, "  %-14s %10.3f  (%.3f to %.3f)\n", names[i],
-			sum / seeds, least, most);
+			o, figure_names[i],
+			json_pack("[f,f,f]", sum / seeds, min, max));
+		fprintf(stderr, "  %-14s %10.3f  (%.3f to %.3f)\n",
+			figure_names[i], sum / seeds, min, max);
 	}
 	return o;
 }
@@ -402,7 +428,7 @@
 			fprintf(stderr, "%s: %s\n", loads[l].name,
 				queue_policies[p]);
 			json_object_set_new(o, queue_policies[p],
-					    spread(f, seeds, 0, DONE));
+					    figures_report(f, seeds, 0, DONE));
 		}
 		json_object_set_new(out, loads[l].name, o);
 	}
@@ -412,8 +438,9 @@
 		for (k = 0; k < seeds; k++)
 			run_wave(p, 100 + k, f[k]);
 		fprintf(stderr, "wave: %s\n", wave_policies[p]);
-		json_object_set_new(o, wave_policies[p],
-				    spread(f, seeds, ROLLOUT_S, OVER_S));
+		json_object_set_new(
+			o, wave_policies[p],
+			figures_report(f, seeds, ROLLOUT_S, OVER_S));
 	}
 	json_object_set_new(out, "waves with the loss of a rack", o);
 	json_dumpf(out, stdout, JSON_INDENT(1) | JSON_REAL_PRECISION(6));
