--- a/bench/bench-procs.c
+++ b/bench/bench-procs.c
@@ -1,8 +1,8 @@
 /*
- * What processes use over a span: processor time and memory out of /proc,
- * and the bytes of their TCP sockets, each by the kernel's own count, out of
- * sock_diag.  A machine shared with others has no other honest figure of the
- * bytes: interface counters mix everybody's traffic.
+ * Measures what processes use over a period: processor time and memory from
+ * /proc, and the traffic of their TCP sockets from the kernel's counters of
+ * each socket, by sock_diag.  The counters of a network interface wouldn't do:
+ * on a shared machine they include the traffic of all other processes.
  */
 #include "../bamboofront.h"
 
@@ -25,20 +25,21 @@
 #define HEADER_BYTES 52 /* IPv4 and TCP with time stamps, per segment */
 #define LISTEN_STATES ((1U << 10) | 1U)
 
-/* A socket of a process that is watched. */
+/* A socket of a measured process. */
 struct sock {
 	uint64_t inode;
 	struct proc *proc;
-	uint64_t in, out, packets; /* at the first look, then at the latest */
-	bool seen;
+	uint64_t in, out, packets; /* totals in the last sample */
+	bool seen;		   /* in any sample */
 	UT_hash_handle hh;
 };
+/* A measured process. */
 struct proc {
 	char *name;
 	int pid;
-	double cpu_s; /* at the beginning */
+	double cpu_s; /* at the start of the period */
 	long rss_kb, peak_kb;
-	uint64_t in, out, packets;
+	uint64_t in, out, packets; /* during the period */
 	unsigned sockets;
 	bool gone;
 };
@@ -46,11 +47,11 @@
 static struct sock *socks;
 static struct proc *procs;
 static size_t proc_count;
-static double seconds = 10, step_s = 0.5;
-static char *platform, *list_file;
+static double seconds = 10, interval_s = 0.5;
+static char *platform_url, *list_file;
 static int as_json;
 
-/* The processor time of a process so far, in s; negative if it is gone. */
+/* Returns a process's total processor time in s, or -1 if it is gone. */
 static double proc_cpu(const struct proc *p)
 {
 	char *path = xasprintf("/proc/%d/stat", p->pid), line[1024], *s = NULL;
@@ -69,7 +70,7 @@
 	return (double)(user + sys) / (double)sysconf(_SC_CLK_TCK);
 }
 
-/* A process's memory: now and the most it had. */
+/* Reads the current and the peak resident memory of a process. */
 static void proc_memory(struct proc *p)
 {
 	char *path = xasprintf("/proc/%d/status", p->pid), line[256];
@@ -84,8 +85,8 @@
 		fclose(f);
 }
 
-/* Note the sockets that a process has open. */
-static void proc_sockets(struct proc *p)
+/* Adds the open sockets of a process to the table. */
+static void proc_add_sockets(struct proc *p)
 {
 	char *path = xasprintf("/proc/%d/fd", p->pid), target[64];
 	DIR *d = opendir(path);
@@ -115,10 +116,11 @@
 }
 
 /*
- * Take the kernel's word on one socket.  first: what it carried so far is
- * before our span; one that opens later carries all of it within.
+ * Updates a socket from the kernel's counters.  In the first sample, the totals
+ * are traffic from before the period and aren't counted; a socket that appears
+ * later was opened during the period, so all of its traffic counts.
  */
-static void sock_take(const struct inet_diag_msg *m, size_t len, bool first)
+static void sock_update(const struct inet_diag_msg *m, size_t len, bool first)
 {
 	const struct rtattr *a = (const void *)(m + 1);
 	int left = (int)(len - sizeof(*m));
@@ -149,8 +151,11 @@
 	s->packets = (uint64_t)ti.tcpi_segs_in + ti.tcpi_segs_out;
 }
 
-/* Look at all TCP sockets of this machine over IPv4. */
-static bool socks_look(bool first)
+/*
+ * Takes a sample of all TCP sockets over IPv4 of this machine; returns false if
+ * the kernel doesn't answer.
+ */
+static bool socks_sample(bool first)
 {
 	struct {
 		struct nlmsghdr h;
@@ -170,7 +175,7 @@
 	size_t i;
 
 	for (i = 0; i < proc_count; i++)
-		proc_sockets(&procs[i]);
+		proc_add_sockets(&procs[i]);
 	if (fd < 0 || send(fd, &q, sizeof(q), 0) < 0)
 		done = true;
 	while (!done && (n = recv(fd, buf, sizeof(buf), 0)) > 0) {
@@ -180,8 +185,8 @@
 			       h->nlmsg_type == NLMSG_ERROR;
 			ok = ok || h->nlmsg_type == NLMSG_DONE;
 			if (!done)
-				sock_take(NLMSG_DATA(h),
-					  h->nlmsg_len - NLMSG_HDRLEN, first);
+				sock_update(NLMSG_DATA(h),
+					    h->nlmsg_len - NLMSG_HDRLEN, first);
 		}
 	}
 	if (fd >= 0)
@@ -189,8 +194,8 @@
 	return ok;
 }
 
-/* Gather an answer. */
-static size_t take(char *p, size_t size, size_t n, void *arg)
+/* Appends received data to an answer; called by libcurl. */
+static size_t answer_receive(char *p, size_t size, size_t n, void *arg)
 {
 	bstr *b = arg;
 
@@ -200,20 +205,20 @@
 	return size * n;
 }
 
-/* The platform stand-in's own count of reads and writes. */
+/* Returns the request counters of the platform stand-in. */
 static json_t *platform_stats(void)
 {
-	CURL *c = platform ? curl_easy_init() : NULL;
+	CURL *c = platform_url ? curl_easy_init() : NULL;
 	bstr text = BSTR_NONE;
 	json_t *j;
 	char *url;
 
 	if (!c)
 		return json_object();
-	url = xasprintf("%s/control/stats", platform);
+	url = xasprintf("%s/control/stats", platform_url);
 	curl_easy_setopt(c, CURLOPT_URL, url);
 	curl_easy_setopt(c, CURLOPT_TIMEOUT, 5L);
-	curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, take);
+	curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, answer_receive);
 	curl_easy_setopt(c, CURLOPT_WRITEDATA, &text);
 	curl_easy_perform(c);
 	j = json_loadb(text.bstr_val ? text.bstr_val : "", text.bstr_len, 0,
@@ -224,12 +229,12 @@
 	return j ? j : json_object();
 }
 
-/* Give the platform stand-in its list of VMs. */
-static bool list_put(void)
+/* Sends the list of VMs to the platform stand-in. */
+static bool vm_list_send(void)
 {
 	json_t *list = json_load_file(list_file, 0, NULL);
 	char *text = json_dumps(list, JSON_COMPACT);
-	char *url = xasprintf("%s/control/vms", platform);
+	char *url = xasprintf("%s/control/vms", platform_url);
 	CURL *c = curl_easy_init();
 	bstr answer = BSTR_NONE;
 	bool ok = text && c;
@@ -238,7 +243,7 @@
 		curl_easy_setopt(c, CURLOPT_URL, url);
 		curl_easy_setopt(c, CURLOPT_FAILONERROR, 1L);
 		curl_easy_setopt(c, CURLOPT_POSTFIELDS, text);
-		curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, take);
+		curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, answer_receive);
 		curl_easy_setopt(c, CURLOPT_WRITEDATA, &answer);
 		ok = !curl_easy_perform(c);
 	}
@@ -250,8 +255,8 @@
 	return ok;
 }
 
-/* What was counted between two looks. */
-static json_t *stats_between(const json_t *a, json_t *b)
+/* Returns the increase of each counter. */
+static json_t *stats_difference(const json_t *a, json_t *b)
 {
 	json_t *out = json_object(), *value;
 	const char *name;
@@ -265,6 +270,7 @@
 	return out;
 }
 
+/* Returns the monotonic clock in s. */
 static double clock_s(void)
 {
 	struct timespec ts;
@@ -273,7 +279,7 @@
 	return (double)ts.tv_sec + (double)ts.tv_nsec / 1e9;
 }
 
-/* One process, as JSON and as a line. */
+/* Returns a process's figures as JSON; prints them as a row of the table. */
 static json_t *proc_report(struct proc *p, double span)
 {
 	double cpu = proc_cpu(p), percent = 100 * (cpu - p->cpu_s) / span;
@@ -297,7 +303,7 @@
 			 "sockets", (int)p->sockets, "gone", p->gone);
 }
 
-/* NAME=PID, or PID. */
+/* Adds a process given as NAME=PID or PID; returns false if it is invalid. */
 static bool proc_add(const char *text)
 {
 	const char *eq = strchr(text, '=');
@@ -312,36 +318,38 @@
 	return p->pid > 0;
 }
 
-/* Watch until the span is over. */
-static double watch(void)
+/* Takes samples until the period is over; returns its actual length in s. */
+static double measure(void)
 {
 	double start = clock_s();
-	bool ok = socks_look(true);
+	bool ok = socks_sample(true);
 	size_t i;
 
 	for (i = 0; i < proc_count; i++)
 		procs[i].cpu_s = proc_cpu(&procs[i]);
 	while (clock_s() - start < seconds) {
-		usleep((useconds_t)(step_s * 1e6));
-		ok = socks_look(false) && ok;
+		usleep((useconds_t)(interval_s * 1e6));
+		ok = socks_sample(false) && ok;
 	}
 	if (!ok)
-		fprintf(stderr, "sock_diag gives no answer: bytes unknown\n");
+		fprintf(stderr, "sock_diag requests failed: bytes unknown\n");
 	return clock_s() - start;
 }
 
 int main(int argc, const char **argv)
 {
 	struct poptOption options[] = {
-		{"seconds", 0, POPT_ARG_DOUBLE, &seconds, 0, "10", "S"},
-		{"step-s", 0, POPT_ARG_DOUBLE, &step_s, 0,
-		 "between looks, 0.5; a socket that lives shorter is missed",
+		{"seconds", 0, POPT_ARG_DOUBLE, &seconds, 0,
+		 "length of the period, default 10", "S"},
+		{"step-s", 0, POPT_ARG_DOUBLE, &interval_s, 0,
+		 "time between samples, default 0.5; a socket that lives for less "
+		 "is missed",
 		 "S"},
-		{"platform", 0, POPT_ARG_STRING, &platform, 0,
-		 "the platform stand-in, for its counts", "URL"},
+		{"platform", 0, POPT_ARG_STRING, &platform_url, 0,
+		 "platform stand-in, for its counters", "URL"},
 		{"list", 0, POPT_ARG_STRING, &list_file, 0,
-		 "given to the platform as its VMs, and no more", "FILE"},
-		{"json", 'j', POPT_ARG_NONE, &as_json, 0, "", NULL},
+		 "only send this list of VMs to the platform stand-in", "FILE"},
+		{"json", 'j', POPT_ARG_NONE, &as_json, 0, "print JSON", NULL},
 		POPT_AUTOHELP POPT_TABLEEND};
 	poptContext pc = poptGetContext(NULL, argc, argv, options, 0);
 	json_t *before, *after, *list = json_array(), *result, *value;
@@ -354,14 +362,14 @@
 	while (ok && (arg = poptGetArg(pc)))
 		ok = proc_add(arg);
 	poptFreeContext(pc);
-	if (ok && list_file && platform)
-		return list_put() ? 0 : 1;
+	if (ok && list_file && platform_url)
+		return vm_list_send() ? 0 : 1;
 	if (!ok || !proc_count) {
 		fprintf(stderr, "see bench-procs --help\n");
 		return 2;
 	}
 	before = platform_stats();
-	span = watch();
+	span = measure();
 	after = platform_stats();
 	if (!as_json)
 		printf("%-12s %8s %8s %8s %10s %10s %10s %8s\n", "process",
@@ -370,7 +378,7 @@
 	for (i = 0; i < proc_count; i++)
 		json_array_append_new(list, proc_report(&procs[i], span));
 	result = json_pack("{s:f,s:o,s:o}", "seconds", span, "processes", list,
-			   "platform", stats_between(before, after));
+			   "platform", stats_difference(before, after));
 	if (as_json) {
 		json_dumpf(result, stdout,
 			   JSON_INDENT(1) | JSON_REAL_PRECISION(6));
--- a/bench/bench-starts.c
+++ b/bench/bench-starts.c
@@ -1,9 +1,10 @@
 /*
- * What a start with its end costs the owner in processor time, by the number
- * of workers.  Two real daemons run beside a platform that is played here, over
- * loopback: the first one owns the scheduling, the other takes the jobs.  The
- * same rate of tasks is asked of each number of workers, so a cost that grows
- * with it is the fleet's.
+ * Measures the processor time that the start and the end of a task cost the
+ * owner, depending on the number of workers.  Two real daemons run over
+ * loopback against a platform that this program simulates: the first daemon
+ * owns the scheduling, the other accepts the jobs.  The rate of tasks is the
+ * same for every number of workers, so a cost that grows with that number is
+ * due to the size of the fleet.
  */
 #include "../tests/support-cloud.h"
 #include "../tests/support-entry.h"
@@ -16,12 +17,12 @@
 #include <string.h>
 #include <sys/wait.h>
 
-#define SETTLE_MS 4000 /* until the owner has fenced all workers */
-#define IDLE_MS 4000   /* in which its cost without work is taken */
-#define WARM_MS 2000   /* of load before the measurement */
+#define SETTLE_MS 4000 /* for the owner to fence all workers */
+#define IDLE_MS 4000   /* measurement without load */
+#define WARM_MS 2000   /* load before the measurement with load */
 #define THREADS_MAX 16
 
-/* Processor time of a daemon's threads, by their names. */
+/* The processor time of a daemon's threads, by name. */
 struct usage {
 	struct {
 		char name[32];
@@ -34,21 +35,21 @@
 static int worker_count = 50, rate = 1000, seconds = 8;
 static char dir[] = "/tmp/bench-starts-XXXXXX";
 
-/* The name of a thread, or its number. */
-static void thread_name(char *out, size_t room, pid_t pid, const char *tid)
+/* Stores the name of a thread, or its number if it can't be read. */
+static void thread_name(char *out, size_t size, pid_t pid, const char *tid)
 {
 	char *path = xasprintf("/proc/%d/task/%s/comm", (int)pid, tid);
 	FILE *f = fopen(path, "re");
 
-	snprintf(out, room, "%.16s", tid);
-	if (f && fgets(out, (int)room, f))
+	snprintf(out, size, "%.16s", tid);
+	if (f && fgets(out, (int)size, f))
 		out[strcspn(out, "\n")] = '\0';
 	if (f)
 		fclose(f);
 	free(path);
 }
 
-/* Add a thread's use to that of its name. */
+/* Adds a thread's processor time to that of all threads of its name. */
 static void usage_add(struct usage *u, pid_t pid, const char *tid, uint64_t ns)
 {
 	char name[32];
@@ -66,7 +67,7 @@
 	u->ns += ns;
 }
 
-/* Read what the threads of a daemon have used. */
+/* Returns the processor time of a daemon's threads so far. */
 static struct usage usage_read(pid_t pid)
 {
 	char *path = xasprintf("/proc/%d/task", (int)pid), *file;
@@ -93,9 +94,12 @@
 	return u;
 }
 
-/* Tell what was measured between two readings of a daemon's usage. */
-static void tell(const char *phase, const struct usage *a,
-		 const struct usage *b, double s, double idle_ns)
+/*
+ * Prints the usage between two readings that are s seconds apart.  Under load,
+ * above_idle is the cost of a start without the idle usage.
+ */
+static void usage_print(const char *phase, const struct usage *a,
+			const struct usage *b, double s, double idle_ns)
 {
 	double ns = (double)(b->ns - a->ns) / s;
 	const struct cloud_counts *c = &cloud_counts;
@@ -126,7 +130,7 @@
 	printf("\n");
 }
 
-/* Count anew what the owner does. */
+/* Resets the counters of the owner's activity. */
 static void counts_reset(void)
 {
 	struct cloud_counts *c = &cloud_counts;
@@ -134,7 +138,7 @@
 	c->starts = c->holds = c->ends = c->listed = c->calls = 0;
 }
 
-/* Measure the owner without work, and under load. */
+/* Measures the owner first without load, then under load. */
 static void measure(pid_t owner)
 {
 	struct usage before, after;
@@ -145,13 +149,13 @@
 	cloud_serve(IDLE_MS, 0);
 	after = usage_read(owner);
 	idle = (double)(after.ns - before.ns) / (IDLE_MS / 1000.0);
-	tell("idle", &before, &after, IDLE_MS / 1000.0, 0);
+	usage_print("idle", &before, &after, IDLE_MS / 1000.0, 0);
 	cloud_serve(WARM_MS, (unsigned)rate);
 	counts_reset();
 	before = usage_read(owner);
 	cloud_serve(seconds * 1000, (unsigned)rate);
 	after = usage_read(owner);
-	tell("load", &before, &after, seconds, idle);
+	usage_print("load", &before, &after, seconds, idle);
 	printf("submitted=%" PRIu64 " accepted=%" PRIu64 " refused=%" PRIu64
 	       "\n",
 	       cloud_counts.submitted, cloud_counts.accepted,
@@ -161,14 +165,16 @@
 int main(int argc, const char **argv)
 {
 	struct poptOption options[] = {
-		{"workers", 0, POPT_ARG_INT, &worker_count, 0, "", "N"},
-		{"rate", 0, POPT_ARG_INT, &rate, 0, "starts a second", "N"},
-		{"seconds", 0, POPT_ARG_INT, &seconds, 0, "of load", "N"},
+		{"workers", 0, POPT_ARG_INT, &worker_count, 0,
+		 "number of workers", "N"},
+		{"rate", 0, POPT_ARG_INT, &rate, 0, "starts per second", "N"},
+		{"seconds", 0, POPT_ARG_INT, &seconds, 0, "length of the load",
+		 "N"},
 		POPT_AUTOHELP POPT_TABLEEND};
 	poptContext pc = poptGetContext(NULL, argc, argv, options, 0);
 	struct entry_process owner = {.name = "owner"};
 	struct entry_process other = {.name = "other"};
-	uint16_t store;
+	uint16_t port;
 
 	if (poptGetNextOpt(pc) != -1 || worker_count < 1 || rate < 1) {
 		poptPrintUsage(pc, stderr, 0);
@@ -178,9 +184,9 @@
 	signal(SIGPIPE, SIG_IGN);
 	if (!mkdtemp(dir))
 		abort();
-	store = cloud_start((unsigned)worker_count);
-	owner.store_port = other.store_port = store;
-	owner.machines_port = other.machines_port = store;
+	port = cloud_start((unsigned)worker_count);
+	owner.store_port = other.store_port = port;
+	owner.machines_port = other.machines_port = port;
 	entry_process_start(&owner, dir);
 	cloud_serve(SETTLE_MS, 0);
 	entry_process_start(&other, dir);
