--- a/bench/fleet.sh
+++ b/bench/fleet.sh
@@ -1,14 +1,15 @@
-# A fleet of real processes on loopback, for the experiments beside this file:
-# a platform stand-in, workers (one stand-in plays many), entry VMs, pools,
-# teams and keys, all set up through the client.  Sourced, with these set:
+# A fleet of real processes on loopback, for the benchmarks in this directory:
+# a platform stand-in, workers (one stand-in process simulates many), entry VMs,
+# pools, teams and keys, all set up through the client.  Set these variables
+# before sourcing it:
 #   dcs       names of data centres
 #   entries   entry VMs in each
-#   workers   in all, spread over the data centres, four to a rack
-#   standins  processes that play them, in each data centre
-#   pools     in all; the last one is the spare
-#   teams     in all
+#   workers   total number, spread over the data centres, four per rack
+#   standins  processes that simulate them, in each data centre
+#   pools     total number; the last one is the spare
+#   teams     total number
 # shellcheck shell=sh disable=SC2154,SC2034,SC2086 # the caller sets and reads
-# these; some are lists
+# variables; some are lists
 B=${B:-build/release}
 dir=$(mktemp -d) || exit 1
 pids='' standin_pids='' servers='' vms='' platform_options=${platform_options:-}
@@ -19,7 +20,7 @@
 	exit 1
 }
 
-# Whatever happens, leave no process and no file.
+# On every exit, kill all processes and remove all files.
 finish() {
 	code=$?
 	trap - EXIT INT TERM
@@ -32,7 +33,8 @@
 trap finish EXIT
 trap 'exit 1' INT TERM
 
-# until_true SECONDS WHAT COMMAND...: wait for an event, with a deadline.
+# until_true SECONDS WHAT COMMAND...: retry COMMAND until it succeeds; fail with
+# the message WHAT after SECONDS.
 until_true() {
 	left=$(($1 * 10)) what=$2
 	shift 2
@@ -51,13 +53,15 @@
 random_key() { od -An -N32 -tx1 /dev/urandom | tr -d ' \n'; }
 port() { sed 's/.*"'"$2"'": \([0-9]*\).*/\1/' "$dir/$1.ports"; }
 
-# The machine is shared: what else it does goes with every figure.
+# Print time and load average: the machine is shared, so other load can distort
+# the figures.
 machine_note() {
 	printf '%s; load %s of %s processors\n' "$(date -u '+%Y-%m-%d %H:%M:%S')" \
 		"$(cut -d' ' -f1-3 /proc/loadavg)" "$(nproc)"
 }
 
-# vm NAME DC: an entry VM.  $settings: more members for its settings.
+# vm_start NAME DC: start an entry VM.  $settings: additional members of its
+# settings file.
 vm_start() {
 	cat >"$dir/$1.json" <<SETTINGS
 {
@@ -77,7 +81,7 @@
 	callers="$callers http://127.0.0.1:$(port "$1" callers)"
 }
 
-# The configuration with all pools and teams, applied as one change.
+# Print a configuration with all pools and teams.
 config_write() {
 	list=$(printf '"%s",' $dcs)
 	printf '{"pools": {'
@@ -99,7 +103,7 @@
 	printf '}}\n'
 }
 
-# Put the workers into the pools; worker i of a data centre into pool i mod n.
+# Add the workers to the pools round robin, across all data centres.
 workers_add() {
 	n=0
 	for dc in $dcs; do
@@ -117,12 +121,13 @@
 	done
 }
 
-# Is the number of workers that answer what we have?
+# Succeed if the entry VMs' logs show that all workers have answered.
 workers_seen() {
 	test "$(cat "$dir"/e*.log | grep -c WORKER_SEEN)" -ge "$workers"
 }
 
-# Start everything; afterwards $callers, $direct, $platform, t1.key... are set.
+# Start all processes and configure the fleet.  Sets $callers and $direct (lists
+# of URLs) and $platform (a port), and writes the keys to $dir/t1.key and so on.
 fleet_start() {
 	callers='' direct=''
 	operator_key=$(random_key) peer_key=$(random_key)
@@ -131,7 +136,7 @@
 	"$B/standin-platform" $platform_options >"$dir/platform.out" \
 		2>"$dir/platform.log" &
 	standin_pids="$standin_pids $!" pid_platform=$!
-	until_true 10 platform grep -q '^port' "$dir/platform.out"
+	until_true 10 'platform does not listen' grep -q '^port' "$dir/platform.out"
 	platform=$(sed -n 's/^port //p' "$dir/platform.out")
 	count=$(echo $dcs | wc -w) togo=$workers
 	share=$((count * standins))
@@ -142,7 +147,7 @@
 			"$B/standin-worker" --workers $n --prefix "$dc-w$s" \
 				>"$dir/$dc-$s.out" 2>"$dir/$dc-$s.log" &
 			standin_pids="$standin_pids $!"
-			until_true 10 "workers $dc" grep -q '^ready' \
+			until_true 10 "workers of $dc do not start" grep -q '^ready' \
 				"$dir/$dc-$s.out"
 			togo=$((togo - n)) share=$((share - 1)) s=$((s + 1))
 		done
@@ -156,23 +161,23 @@
 		done
 	done
 	config_write >"$dir/config"
-	until_true 20 'the configuration is taken' operate config apply \
+	until_true 20 'configuration is not accepted' operate config apply \
 		"$dir/config" --expect 0
 	workers_add
 	i=1
 	while [ $i -le "${keys:-$teams}" ]; do
-		operate key create "t$i" "t$i-1" --json >"$dir/out" || fail key
+		operate key create "t$i" "t$i-1" --json >"$dir/out" || fail "no key for t$i"
 		(umask 077 && member secret "$dir/out" >"$dir/t$i.key")
 		test -s "$dir/t$i.key" || fail "no secret for t$i"
 		i=$((i + 1))
 	done
-	until_true 30 'the workers are seen' workers_seen
+	until_true 30 'workers do not answer' workers_seen
 }
 
-# name=pid of each entry VM, for bench-procs.
+# Print NAME=PID of each entry VM, the arguments of bench-procs.
 vm_pids() { for v in $vms; do eval "printf '%s=%s ' $v \$pid_$v"; done; }
 
-# Planned stop of every entry VM.
+# Shut down every entry VM, then the stand-ins, and remove their files.
 fleet_stop() {
 	for pid in $pids; do
 		kill -TERM "$pid"
@@ -187,12 +192,12 @@
 	rm -f "$dir"/*.ports "$dir"/*.out "$dir"/*.log
 }
 
-# The platform's list names all workers, as a real one would: every entry VM
-# reads the whole of it each timing.list_poll_ms.
+# Make the platform's list of VMs contain all workers, as on a real platform.
+# Every entry VM reads the whole list every timing.list_poll_ms.
 fleet_listed() {
 	for dc in $dcs; do
 		cat "$dir/$dc"-*.out | sed -n "s/^worker \([^ ]*\) port \(.*\)/{\"vm\": \"\1\", \"dc\": \"$dc\", \"rack\": \"$dc-r1\", \"address\": \"127.0.0.1:\2\", \"leaving\": false}/p"
 	done | sed '1s/^/[/; $!s/$/,/; $s/$/]/' >"$dir/vms.json"
 	"$B/bench-procs" --platform "http://127.0.0.1:$platform" \
-		--list "$dir/vms.json" || fail 'list of VMs'
+		--list "$dir/vms.json" || fail 'platform rejects the list of VMs'
 }
