--- a/Makefile
+++ b/Makefile
@@ -1,8 +1,8 @@
-# make demo    install, build, and show the whole path in real processes
-# make check   install, build, check format, lint, run every test
-# make bench   measure the sizes of today, see docs/MEASUREMENTS.md
+# make demo    install, build, and demonstrate the system in real processes
+# make check   install, build, check the format, lint, run all tests
+# make bench   benchmark a fleet of the current size, see docs/MEASUREMENTS.md
 # make         release build of the programs under build/release
-# make gen     run rpcgen again after a change to a schema file
+# make gen     regenerate the XDR code after a change to a schema file
 
 PACKAGES = libck-dev libtirpc-dev rpcsvc-proto libmicrohttpd-dev \
 	libcurl4-openssl-dev libpopt-dev libcriterion-dev libjansson-dev \
@@ -15,7 +15,8 @@
 WARN = -Wall -Wextra -Werror -Wshadow -Wpointer-arith -Wno-missing-field-initializers
 CPPFLAGS = -D_GNU_SOURCE -I. $(shell pkg-config --cflags $(PKGS) 2>/dev/null)
 LIBS = $(shell pkg-config --libs $(PKGS) 2>/dev/null) -pthread -lm
-# Messages are made by one thread and freed by another, thousands a second.
+# jemalloc, because messages are allocated by one thread and freed by another,
+# thousands of times a second.
 ALLOCATOR_release = -ljemalloc
 FLAGS_release = -O2 -g
 FLAGS_san = -O1 -g -fsanitize=address,undefined -fno-omit-frame-pointer \
@@ -26,7 +27,7 @@
 GEN = $(XDR:%=%.h) $(XDR:%=%_xdr.c) operator_clnt.c peer_clnt.c
 GEN_C = $(filter %.c,$(GEN))
 
-# Programs: each has one main file; the client has its commands beside it.
+# Each program has one main file; the client's commands are in cmd-*.c.
 MAINS = $(wildcard bamboofrontd.c bamboofront.c bamboofront-replay.c \
 	bamboofront-entryd.c)
 CMD_SRC = $(wildcard cmd-*.c)
@@ -35,12 +36,13 @@
 TOOLS = $(patsubst bench/%.c,%,$(wildcard bench/bench-*.c))
 TESTS = $(patsubst tests/%.c,%,$(wildcard tests/test-*.c))
 PROPS = $(patsubst tests/%.cc,%,$(wildcard tests/prop-*.cc))
-# Programs of their own for the thread sanitizer: Criterion maps its arena
-# where that sanitizer allows no mapping, so these print their own summary.
+# Tests for the thread sanitizer.  They don't use Criterion, because it maps its
+# arena at an address that this sanitizer forbids, and print their own summary.
 RACES = $(patsubst tests/%.c,%,$(wildcard tests/race-*.c))
-# Real processes under faults, judged by callers and workers.
+# Soak tests: real processes with injected faults; callers and workers check the
+# invariants.
 SOAKS = $(patsubst tests/%.c,%,$(wildcard tests/soak-*.c))
-# Helpers that several tests share.
+# Helpers shared by several tests.
 TEST_LIB = $(patsubst tests/%.c,%,$(wildcard tests/support-*.c))
 
 HAND = $(filter-out $(GEN),$(wildcard *.c *.h platform/*.c platform/*.h \
@@ -52,7 +54,7 @@
 V ?= san
 B = build/$(V)
 
-# One build per variant; recursive so that each has its own objects.
+# Each variant is built by a recursive make, so that it has its own objects.
 release san tsan:
 	@$(MAKE) --no-print-directory V=$@ build
 build: $(B)/libbamboofront.a $(MAINS:%.c=$(B)/%) $(STANDINS:%=$(B)/%) \
@@ -94,7 +96,7 @@
 	$(B)/libbamboofront.a
 	@echo LINK $@
 	@$(CC) $(FLAGS_$(V)) -o $@ $^ $(LIBS) -lcriterion
-# The client's commands are in no library; their test takes them as they are.
+# The client's commands are in no library, so their test links the objects.
 $(B)/test-client: $(CMD_SRC:%.c=$(B)/%.o)
 $(B)/soak-%: $(B)/tests/soak-%.o $(TEST_LIB:%=$(B)/tests/%.o) \
 	$(B)/libbamboofront.a
@@ -109,7 +111,7 @@
 	@echo LINK $@
 	@$(CXX) $(FLAGS_$(V)) -o $@ $^ $(LIBS) -lrapidcheck
 
-# What the deploy file runs: the daemon of the platform's entry VMs alone.
+# Build only the daemon of the platform's entry VMs; the deploy file runs this.
 deploy:
 	@$(MAKE) --no-print-directory V=release B=target \
 		target/bamboofront-entryd
@@ -154,8 +156,8 @@
 	@$(MAKE) --no-print-directory -j12 release
 	@./demo
 
-# The sizes of today in real processes, beside a baseline; bench/slopes gives
-# what docs/CAPACITY.md stands on.
+# Benchmark a fleet of the current size against a baseline; the figures behind
+# docs/CAPACITY.md come from bench/slopes.
 bench:
 	@$(MAKE) --no-print-directory -j6 release
 	@bench/today
