--- a/bench/bench-load.c
+++ b/bench/bench-load.c
@@ -45,7 +45,7 @@
 	struct outcome outcomes[OUTCOMES_MAX];
 	size_t outcome_count;
 	uint64_t sent, done;
-	uint64_t wrong; /* done, with the result of another job */
+	uint64_t wrong; /* done, but the result isn't the job's */
 };
 /* Where requests go: the callers' interface, or the workers themselves. */
 enum target { TARGET_SYSTEM, TARGET_DIRECT, TARGET_MAX };
@@ -65,7 +65,7 @@
 /* A request, including the polls for its result. */
 struct call {
 	CURL *easy;
-	struct curl_slist *head;
+	struct curl_slist *headers;
 	struct source *source;
 	enum target target;
 	int64_t scheduled; /* us */
@@ -217,7 +217,7 @@
 {
 	curl_multi_remove_handle(multi, c->easy);
 	curl_easy_cleanup(c->easy);
-	curl_slist_free_all(c->head);
+	curl_slist_free_all(c->headers);
 	free(c->body);
 	free(c->answer);
 	free(c);
@@ -236,7 +236,7 @@
 	curl_easy_setopt(c->easy, CURLOPT_TCP_NODELAY, 1L);
 	curl_easy_setopt(c->easy, CURLOPT_TIMEOUT_MS, 70000L);
 	curl_easy_setopt(c->easy, CURLOPT_PROXY, "");
-	curl_easy_setopt(c->easy, CURLOPT_HTTPHEADER, c->head);
+	curl_easy_setopt(c->easy, CURLOPT_HTTPHEADER, c->headers);
 }
 
 /* Adds a header field to the requests of a call. */
@@ -244,7 +244,7 @@
 {
 	char *line = xasprintf("%s: %s", name, value);
 
-	c->head = curl_slist_append(c->head, line);
+	c->headers = curl_slist_append(c->headers, line);
 	free(line);
 }
 
@@ -509,7 +509,7 @@
 }
 
 /* Returns a tally as JSON. */
-static json_t *tally_json(const struct tally *t, double span)
+static json_t *tally_json(const struct tally *t, double period_s)
 {
 	json_t *o = json_object();
 	size_t i;
@@ -521,21 +521,22 @@
 	return json_pack("{s:I,s:I,s:I,s:f,s:o,s:o,s:o}", "sent",
 			 (json_int_t)t->sent, "done", (json_int_t)t->done,
 			 "wrong", (json_int_t)t->wrong, "done_per_s",
-			 (double)t->done / span, "latency_ms",
+			 (double)t->done / period_s, "latency_ms",
 			 histogram_json(&t->latency), "send_lag_ms",
 			 histogram_json(&t->lag), "outcomes", o);
 }
 
 /* Prints a row of the table, with a line for each outcome but success. */
 static void tally_print(const char *name, const char *target,
-			const struct tally *t, double span)
+			const struct tally *t, double period_s)
 {
 	const struct histogram *h = &t->latency;
 	size_t i;
 
 	printf("%-12s %-7s %7ju %7ju %8.1f %8.2f %8.2f %8.2f %8.2f %9.2f\n",
 	       name, target, (uintmax_t)t->sent, (uintmax_t)t->done,
-	       (double)t->done / span, (double)histogram_quantile(h, .5) / 1000,
+	       (double)t->done / period_s,
+	       (double)histogram_quantile(h, .5) / 1000,
 	       (double)histogram_quantile(h, .9) / 1000,
 	       (double)histogram_quantile(h, .99) / 1000,
 	       (double)histogram_quantile(h, .999) / 1000,
@@ -559,7 +560,7 @@
 }
 
 /* Prints the table of all sources and returns it as JSON. */
-static json_t *sources_report(double span)
+static json_t *sources_report(double period_s)
 {
 	json_t *out = json_object(), *j;
 	struct tally *sum;
@@ -576,9 +577,9 @@
 			if (!bases[w].count)
 				continue;
 			json_object_set_new(j, target_names[w],
-					    tally_json(&sum[w], span));
+					    tally_json(&sum[w], period_s));
 			tally_print(sources[i].name, target_names[w], &sum[w],
-				    span);
+				    period_s);
 		}
 		if (bases[TARGET_DIRECT].count && bases[TARGET_SYSTEM].count)
 			json_object_set_new(
@@ -703,11 +704,11 @@
 		{"fixed-gaps", 0, POPT_ARG_NONE, &fixed_gaps, 0,
 		 "constant intervals instead of Poisson arrivals", NULL},
 		{"seed", 0, POPT_ARG_LONGLONG, &seed, 0,
-		 "of the arrivals, default 1", "N"},
+		 "random seed, default 1", "N"},
 		{"max-requests", 0, POPT_ARG_INT, &max_requests, 0,
-		 "in total, default 200000", "N"},
+		 "limit of requests, default 200000", "N"},
 		{"max-open", 0, POPT_ARG_INT, &max_open, 0,
-		 "concurrent requests, default 4000", "N"},
+		 "limit of concurrent requests, default 4000", "N"},
 		{"json", 0, POPT_ARG_STRING, &json_file, 0,
 		 "also write the results as JSON", "FILE"},
 		POPT_AUTOHELP POPT_TABLEEND};
--- a/bench/bench-policy.c
+++ b/bench/bench-policy.c
@@ -36,9 +36,9 @@
 	URGENT_P99,
 	URGENT_WORST,
 	URGENT_LATE,
-	IDLE_WANTED, /* fraction of slots that idle while their pool has work */
+	IDLE_WANTED, /* fraction of slots that idle while jobs for them wait */
 	IDLE,
-	MOVES,
+	MOVES, /* checkpoints, by which jobs are preempted */
 	DONE,
 	ROLLOUT_S,
 	WAVE_MOVES,
@@ -71,7 +71,7 @@
 static const char *const wave_policies[] = {"room for a rack", "rack by rack",
 					    "by name"};
 static const unsigned shares[TEAMS] = {4, 3, 1, 1, 1, 1};
-/* Each team's part of the demand; deliberately not proportional to shares. */
+/* Each team's part of the demand, not proportional to the shares. */
 static const double demand[TEAMS] = {0.3, 0.15, 0.3, 0.1, 0.1, 0.05};
 
 /* The current jobs by pool and team, and the sums over the samples. */
--- a/bench/bench-procs.c
+++ b/bench/bench-procs.c
@@ -23,7 +23,8 @@
 #include <uthash.h>
 
 #define HEADER_BYTES 52 /* IPv4 and TCP with time stamps, per segment */
-#define LISTEN_STATES ((1U << 10) | 1U)
+/* Listening sockets carry no traffic. */
+#define EXCLUDED_STATES ((1U << 10) | 1U)
 
 /* A socket of a measured process. */
 struct sock {
@@ -166,7 +167,7 @@
 	       .r = {.sdiag_family = AF_INET,
 		     .sdiag_protocol = IPPROTO_TCP,
 		     .idiag_ext = 1 << (INET_DIAG_INFO - 1),
-		     .idiag_states = ~LISTEN_STATES}};
+		     .idiag_states = ~EXCLUDED_STATES}};
 	static char buf[65536] __attribute__((aligned(8)));
 	int fd = socket(AF_NETLINK, SOCK_RAW | SOCK_CLOEXEC, NETLINK_SOCK_DIAG);
 	const struct nlmsghdr *h;
@@ -280,27 +281,28 @@
 }
 
 /* Returns a process's figures as JSON; prints them as a row of the table. */
-static json_t *proc_report(struct proc *p, double span)
+static json_t *proc_report(struct proc *p, double period_s)
 {
-	double cpu = proc_cpu(p), percent = 100 * (cpu - p->cpu_s) / span;
-	double bytes = (double)(p->in + p->out) / span;
-	double wire = bytes + (double)p->packets * HEADER_BYTES / span;
+	double cpu = proc_cpu(p), percent = 100 * (cpu - p->cpu_s) / period_s;
+	double bytes = (double)(p->in + p->out) / period_s;
+	double wire = bytes + (double)p->packets * HEADER_BYTES / period_s;
 
 	p->gone = cpu < 0 || p->cpu_s < 0;
 	proc_memory(p);
 	if (!as_json)
 		printf("%-12s %8.2f %8.1f %8.1f %10.2f %10.2f %10.2f %8u%s\n",
 		       p->name, percent, (double)p->rss_kb / 1024,
-		       (double)p->peak_kb / 1024, (double)p->in / span / 1000,
-		       (double)p->out / span / 1000, wire / 1000, p->sockets,
-		       p->gone ? " gone" : "");
-	return json_pack("{s:s,s:f,s:f,s:f,s:f,s:f,s:f,s:i,s:b}", "name",
-			 p->name, "cpu_percent", percent, "rss_mb",
-			 (double)p->rss_kb / 1024, "peak_mb",
-			 (double)p->peak_kb / 1024, "in_kb_s",
-			 (double)p->in / span / 1000, "out_kb_s",
-			 (double)p->out / span / 1000, "wire_kb_s", wire / 1000,
-			 "sockets", (int)p->sockets, "gone", p->gone);
+		       (double)p->peak_kb / 1024,
+		       (double)p->in / period_s / 1000,
+		       (double)p->out / period_s / 1000, wire / 1000,
+		       p->sockets, p->gone ? " gone" : "");
+	return json_pack(
+		"{s:s,s:f,s:f,s:f,s:f,s:f,s:f,s:i,s:b}", "name", p->name,
+		"cpu_percent", percent, "rss_mb", (double)p->rss_kb / 1024,
+		"peak_mb", (double)p->peak_kb / 1024, "in_kb_s",
+		(double)p->in / period_s / 1000, "out_kb_s",
+		(double)p->out / period_s / 1000, "wire_kb_s", wire / 1000,
+		"sockets", (int)p->sockets, "gone", p->gone);
 }
 
 /* Adds a process given as NAME=PID or PID; returns false if it is invalid. */
@@ -355,7 +357,7 @@
 	json_t *before, *after, *list = json_array(), *result, *value;
 	bool ok = poptGetNextOpt(pc) == -1;
 	const char *arg, *name;
-	double span;
+	double period_s;
 	size_t i;
 
 	poptSetOtherOptionHelp(pc, "NAME=PID...");
@@ -369,16 +371,16 @@
 		return 2;
 	}
 	before = platform_stats();
-	span = measure();
+	period_s = measure();
 	after = platform_stats();
 	if (!as_json)
 		printf("%-12s %8s %8s %8s %10s %10s %10s %8s\n", "process",
 		       "cpu %", "rss MB", "peak MB", "in KB/s", "out KB/s",
 		       "wire KB/s", "sockets");
 	for (i = 0; i < proc_count; i++)
-		json_array_append_new(list, proc_report(&procs[i], span));
-	result = json_pack("{s:f,s:o,s:o}", "seconds", span, "processes", list,
-			   "platform", stats_difference(before, after));
+		json_array_append_new(list, proc_report(&procs[i], period_s));
+	result = json_pack("{s:f,s:o,s:o}", "seconds", period_s, "processes",
+			   list, "platform", stats_difference(before, after));
 	if (as_json) {
 		json_dumpf(result, stdout,
 			   JSON_INDENT(1) | JSON_REAL_PRECISION(6));
@@ -387,7 +389,7 @@
 		json_object_foreach(json_object_get(result, "platform"), name,
 				    value)
 			printf("platform %s: %.2f/s\n", name,
-			       (double)json_integer_value(value) / span);
+			       (double)json_integer_value(value) / period_s);
 	}
 	json_decref(before);
 	json_decref(after);
