--- a/sched-call.c
+++ b/sched-call.c
@@ -77,7 +77,7 @@
 	c->tenant = t ? bstr_copy(t->name) : BSTR_NONE;
 	c->no_key = no_key;
 	c->deadline = in->deadline - REPLY_MARGIN_MS;
-	c->came_at = s->now;
+	c->received_at = s->now;
 	HASH_ADD(hh, s->calls, id, sizeof(c->id), c);
 	return c;
 }
@@ -271,7 +271,7 @@
 	switch (a->outcome) {
 	case OUT_DONE:
 		sched_count(s, COUNT_ACCEPTED, 1);
-		sched_observe(s, HISTOGRAM_ACCEPT, s->now - c->came_at);
+		sched_observe(s, HISTOGRAM_ACCEPT, s->now - c->received_at);
 		reply(s, c->id, 200, "accepted", c->job);
 		break;
 	case OUT_CONFLICT:
--- a/sched-commit.c
+++ b/sched-commit.c
@@ -176,8 +176,7 @@
 		if (!r->removing)
 			break;
 		r->removing = false;
-		/* follows[3] is the jobs table. */
-		if (a->outcome == OUT_DONE && s->follows[3].complete)
+		if (a->outcome == OUT_DONE && s->follows[FOLLOW_JOBS].complete)
 			job_unretire(s, r);
 	}
 }
--- a/sched-count.c
+++ b/sched-count.c
@@ -57,8 +57,8 @@
 	json_t *v;
 	char *route;
 
-	TAILQ_FOREACH(j, &s->order, entry) {
-		if (!job_waits(j))
+	TAILQ_FOREACH(j, &s->jobs_by_arrival, entry) {
+		if (!job_is_waiting(j))
 			continue;
 		route = bstr_cstr(j->route);
 		v = json_object_get(counts, route);
@@ -108,8 +108,8 @@
  */
 int64_t job_list_as_of(const struct sched *s)
 {
-	/* follows[3] is the jobs table. */
-	return s->own.state == OWN_OWNER ? s->follows[3].current_as_of : 0;
+	return s->own.state == OWN_OWNER ? s->follows[FOLLOW_JOBS].current_as_of
+					 : 0;
 }
 
 /*
@@ -129,8 +129,8 @@
 	}
 	k.counted_here = true;
 	k.as_of = job_list_as_of(s);
-	TAILQ_FOREACH(j, &s->order, entry)
-		k.waiting += job_waits(j) && bstr_eq(j->route, route);
+	TAILQ_FOREACH(j, &s->jobs_by_arrival, entry)
+		k.waiting += job_is_waiting(j) && bstr_eq(j->route, route);
 	return k;
 }
 
--- a/sched-follow.c
+++ b/sched-follow.c
@@ -321,7 +321,7 @@
 	for (i = 0; i < a->row_count; i++)
 		row_dispatch(s, &a->rows[i]);
 	if (f->table == TABLE_OWNER)
-		own_reset_silence(s);
+		own_count_answer(s);
 	/*
 	 * A row may have ended this VM's ownership and thereby restarted the
 	 * reading.
--- a/sched-job.c
+++ b/sched-job.c
@@ -124,7 +124,7 @@
  * counted, all jobs that wait during an overload or after a takeover would seem
  * to run, and callers would be told that none waits.
  */
-bool job_waits(const struct job *j)
+bool job_is_waiting(const struct job *j)
 {
 	return j->status <= JOB_STATUS_RUNNING && !j->run_seen;
 }
@@ -136,7 +136,7 @@
  * for the end of all leases, 6 s, for jobs that never began.  The cost is one
  * row per job, written together with others, and a few milliseconds of delay.
  */
-bool job_begin(struct sched *s, struct job *j)
+bool job_request_start(struct sched *s, struct job *j)
 {
 	if (j->start_durable)
 		return true;
@@ -164,7 +164,7 @@
  * Changes the phase of a task and updates the count of pending tasks of its
  * step.
  */
-void task_phase(struct task *t, enum run_phase phase)
+void task_set_phase(struct task *t, enum run_phase phase)
 {
 	struct pending_tasks *p = &t->occ->pending_tasks[t->step];
 
@@ -176,7 +176,7 @@
 }
 
 /* Delays the placement of a task until the given time. */
-void task_pause(struct task *t, int64_t until)
+void task_delay(struct task *t, int64_t until)
 {
 	struct pending_tasks *p = &t->occ->pending_tasks[t->step];
 
@@ -270,7 +270,7 @@
 		TAILQ_REMOVE(&s->dirty, j, dirty);
 	else if (j->commit_seq)
 		TAILQ_REMOVE(&s->committing_jobs, j, dirty);
-	TAILQ_REMOVE(&s->order, j, entry);
+	TAILQ_REMOVE(&s->jobs_by_arrival, j, entry);
 	HASH_DEL(s->jobs, j);
 	while ((o = TAILQ_FIRST(&j->occs))) {
 		TAILQ_REMOVE(&j->occs, o, entry);
@@ -286,7 +286,7 @@
 }
 
 /* Returns true if all prerequisites of a step are done. */
-bool step_ready(const struct occurrence *o, unsigned at)
+bool step_is_ready(const struct occurrence *o, unsigned at)
 {
 	const struct job_step *st = &o->job->body->steps[at];
 	size_t i;
@@ -440,7 +440,7 @@
 	j->arrived = s->now;
 	j->inherited = s->own.state == OWN_LOADING;
 	HASH_ADD(hh, s->jobs, id, JOB_ID_BYTES, j);
-	TAILQ_INSERT_TAIL(&s->order, j, entry);
+	TAILQ_INSERT_TAIL(&s->jobs_by_arrival, j, entry);
 	if (!j->inherited)
 		job_make_due_occurrences(s, j);
 }
@@ -534,7 +534,7 @@
 
 	if (t->phase == PHASE_DONE)
 		return;
-	task_phase(t, PHASE_DONE);
+	task_set_phase(t, PHASE_DONE);
 	o->unfinished_in_step[t->step]--;
 	o->unfinished--;
 	job_mark_dirty(s, j);
@@ -727,7 +727,7 @@
 
 	if (s->own.state != OWN_OWNER)
 		return;
-	for (j = TAILQ_FIRST(&s->order); j; j = next) {
+	for (j = TAILQ_FIRST(&s->jobs_by_arrival); j; j = next) {
 		next = TAILQ_NEXT(j, entry);
 		if (!j->next_occurrence || j->body->repeat_count)
 			job_make_due_occurrences(s, j);
--- a/sched-move.c
+++ b/sched-move.c
@@ -154,7 +154,7 @@
 		task_work = (double)st->need.cpu *
 			    (double)o->job->estimate.step_ms[i];
 		p->work += task_work * o->unfinished_in_step[i];
-		if (step_ready(o, i))
+		if (step_is_ready(o, i))
 			p->ready_work += task_work * o->pending_tasks[i].count;
 	}
 }
@@ -224,7 +224,7 @@
 	struct pool_load *p;
 	struct job *j;
 
-	TAILQ_FOREACH(j, &s->order, entry) {
+	TAILQ_FOREACH(j, &s->jobs_by_arrival, entry) {
 		if (j->status > JOB_STATUS_RUNNING)
 			continue;
 		p = pool_load_find(l, job_service(s, j));
--- a/sched-note.c
+++ b/sched-note.c
@@ -119,7 +119,7 @@
 			  service);
 	}
 	w->inherited = true;
-	worker_count(s, w);
+	worker_update_unknown(s, w);
 }
 
 /*
--- a/sched-order.c
+++ b/sched-order.c
@@ -116,7 +116,7 @@
 	t->worker = NULL;
 	t->start_in_flight = t->stopping = false;
 	if (t->phase != PHASE_DONE)
-		task_phase(t, PHASE_PENDING);
+		task_set_phase(t, PHASE_PENDING);
 	t->ready_at = s->now;
 	t->occ->job->placed--;
 	s->place_due = true;
@@ -161,7 +161,7 @@
 	struct order *o;
 
 	task_place(s, t, w, run);
-	task_phase(t, PHASE_STARTING);
+	task_set_phase(t, PHASE_STARTING);
 	t->start_in_flight = true;
 	t->connected_at = 0;
 	t->awaited_worker = 0;
@@ -200,7 +200,7 @@
 	task_place(s, t, w, run);
 	if (!s->settled)
 		usage_add_found(s, t);
-	task_phase(t, PHASE_RUNNING);
+	task_set_phase(t, PHASE_RUNNING);
 	t->occ->job->run_seen = true;
 	sched_log(s, LOG_TASK_ADOPTED, "task=%s.%u.%u.%u run=%llu worker=%.*s",
 		  t->occ->job->id, t->occ->number, t->step, t->index,
@@ -292,7 +292,7 @@
 		[REFUSAL_TICKET] = "ticket",
 		[REFUSAL_BUSY] = "busy",
 		[REFUSAL_WAVE] = "wave",
-		[REFUSAL_OTHER_LIFE] = "other-life",
+		[REFUSAL_OTHER_PROCESS] = "other-life",
 		[REFUSAL_UNHEALTHY] = "unwell",
 		[REFUSAL_INVALID] = "invalid",
 		[REFUSAL_NOT_SENT] = "not-sent",
@@ -318,9 +318,9 @@
 			t->occ->advice[t->step].valid_until = 0;
 		break;
 	case REFUSAL_INVALID:
-		task_pause(t, s->now + REFUSED_PAUSE_MS);
+		task_delay(t, s->now + REFUSED_PAUSE_MS);
 		break;
-	case REFUSAL_OTHER_LIFE:
+	case REFUSAL_OTHER_PROCESS:
 	case REFUSAL_UNHEALTHY:
 	case REFUSAL_NOT_SENT:
 		w->unhealthy_until = s->now + REFUSED_PAUSE_MS;
@@ -364,7 +364,7 @@
 		return;
 	/* A reset clock belongs to a later process of the worker. */
 	if (clock_was_reset(w, a))
-		worker_expect_later_life(s, w);
+		worker_expect_later_process(s, w);
 	else if (a->outcome == OUT_UNKNOWN || a->refusal == REFUSAL_NOT_SENT)
 		worker_suspect_restart(s, w);
 	sched_observe(s, HISTOGRAM_START_CALL, s->now - a->sent_at);
@@ -376,7 +376,7 @@
 	case OUT_DONE:
 		t->occ->job->run_seen = true;
 		if (t->phase == PHASE_STARTING) {
-			task_phase(t, PHASE_RUNNING);
+			task_set_phase(t, PHASE_RUNNING);
 			t->started_at_worker = a->clock;
 		}
 		break;
--- a/sched-own.c
+++ b/sched-own.c
@@ -114,7 +114,7 @@
 	struct retired *r;
 	struct job *j;
 
-	while ((j = TAILQ_FIRST(&s->order)))
+	while ((j = TAILQ_FIRST(&s->jobs_by_arrival)))
 		sched_job_free(s, j);
 	while ((r = TAILQ_FIRST(&s->retired_order)))
 		job_unretire(s, r);
@@ -127,13 +127,14 @@
 	s->commit_in_flight = false;
 	s->advice_calls_in_flight = 0;
 	s->settled = false;
-	s->follows[2].wanted = s->follows[3].wanted = false;
+	s->follows[FOLLOW_WORKERS].wanted = s->follows[FOLLOW_JOBS].wanted =
+		false;
 	s->progress.wanted = s->notes.wanted = false;
-	follow_restart(&s->follows[2]);
-	follow_restart(&s->follows[3]);
+	follow_restart(&s->follows[FOLLOW_WORKERS]);
+	follow_restart(&s->follows[FOLLOW_JOBS]);
 	follow_restart(&s->progress);
 	follow_restart(&s->notes);
-	s->follows[3].current_as_of = 0;
+	s->follows[FOLLOW_JOBS].current_as_of = 0;
 }
 
 /* Ends this VM's ownership. */
@@ -147,7 +148,7 @@
 	s->own.state = OWN_NONE;
 	s->own.check_required = false;
 	s->own.silent_since = s->now;
-	s->own.answers_without_beat = 0;
+	s->own.answers_without_heartbeat = 0;
 	/* The row that named this process is not the newest any more. */
 	s->own.holder_seed = 0;
 	own_reset_state(s);
@@ -157,7 +158,7 @@
 void own_require_check(struct sched *s, const char *why)
 {
 	s->own.silent_since = s->now;
-	s->own.answers_without_beat = 0;
+	s->own.answers_without_heartbeat = 0;
 	if (s->own.state == OWN_NONE || s->own.check_required)
 		return;
 	s->own.check_required = true;
@@ -171,10 +172,10 @@
  * because the feed's history was discarded, is none: it would be read again and
  * again, and nobody would replace an owner that is dead.
  */
-static void own_record_sign(struct sched *s)
+static void own_record_activity(struct sched *s)
 {
-	s->own.silent_since = s->own.last_sign_at = s->now;
-	s->own.answers_without_beat = 0;
+	s->own.silent_since = s->own.last_activity_at = s->now;
+	s->own.answers_without_heartbeat = 0;
 }
 
 /* Applies the owner row, which may name another VM or none. */
@@ -185,7 +186,7 @@
 	if (r->revision < s->own.revision || !owner_row_read(r->value, &s->own))
 		return;
 	if (r->revision > s->own.revision || !s->own.known)
-		own_record_sign(s);
+		own_record_activity(s);
 	s->own.revision = r->revision;
 	s->own.known = true;
 	if (s->own.epoch != epoch || !s->own.holder.bstr_len)
@@ -217,7 +218,7 @@
 	if (s->own.state != OWN_OWNER &&
 	    heartbeat_row_read(s, r->value, &epoch) &&
 	    r->revision > s->own.heartbeat_revision)
-		own_record_sign(s);
+		own_record_activity(s);
 	if (r->revision > s->own.heartbeat_revision)
 		s->own.heartbeat_revision = r->revision;
 }
@@ -249,10 +250,10 @@
  * Counts an answer about the ownership towards the owner's timeout, if the
  * owner has been silent for longer than the feed of its table waits.
  */
-void own_reset_silence(struct sched *s)
+void own_count_answer(struct sched *s)
 {
 	if (s->now - s->own.silent_since >= OWNER_FEED_WAIT_MS)
-		s->own.answers_without_beat++;
+		s->own.answers_without_heartbeat++;
 }
 
 /*
@@ -262,7 +263,7 @@
 void own_store_recovered(struct sched *s)
 {
 	s->own.silent_since = s->now;
-	s->own.answers_without_beat = 0;
+	s->own.answers_without_heartbeat = 0;
 	s->place_due = true;
 }
 
@@ -275,7 +276,7 @@
 void own_enable_claim(struct sched *s)
 {
 	s->own.silent_since = s->now;
-	s->own.answers_without_beat = 0;
+	s->own.answers_without_heartbeat = 0;
 }
 
 /* Returns true if this VM lets larger ones claim first. */
@@ -329,7 +330,7 @@
 	    s->own.holder_seed != s->options.seed && !own_defers_claim(s))
 		return true;
 	return s->now - s->own.silent_since >= OWNER_TIMEOUT_MS + delay &&
-	       s->own.answers_without_beat >= 2;
+	       s->own.answers_without_heartbeat >= 2;
 }
 
 /*
@@ -359,7 +360,7 @@
 	tx_write(t, TABLE_OWNER, key, owner_row_write(&next, false));
 	rq->number = next.epoch;
 	s->own.claimed_at = s->now;
-	s->own.previous_sign_at = s->own.last_sign_at;
+	s->own.previous_activity_at = s->own.last_activity_at;
 	/*
 	 * An owner that released before it was settled had not heard of leases
 	 * that an owner before it may go on renewing, out of reach of this VM.
@@ -381,17 +382,18 @@
 	bstr_set(&s->own.holder, s->options.vm);
 	s->own.confirmed_at = s->own.claimed_at;
 	s->own.owned_at = s->own.load_progress_at = s->now;
-	s->own.settle_by = s->own.previous_sign_at +
+	s->own.settle_by = s->own.previous_activity_at +
 			   (s->own.previous_released ? LEASE_MS
 						     : UNCONFIRMED_LEASE_MS);
 	s->own.heartbeat_at = s->now;
 	s->own.heartbeat_in_flight = false;
 	s->own.check_required = false;
 	own_reset_state(s);
-	s->follows[2].wanted = s->follows[3].wanted = true;
+	s->follows[FOLLOW_WORKERS].wanted = s->follows[FOLLOW_JOBS].wanted =
+		true;
 	s->notes.wanted = true;
 	/* The feed may not have brought the old owner's latest writes yet. */
-	follow_restart(&s->follows[1]);
+	follow_restart(&s->follows[FOLLOW_OWNER]);
 	follow_tick(s);
 	sched_count(s, COUNT_TAKEOVERS, 1);
 	sched_log(s, LOG_OWNER_GAINED, "epoch=%llu revision=%llu",
@@ -407,9 +409,10 @@
 	if (s->own.state != OWN_LOADING)
 		return;
 	/* Rows of progress refer to jobs, so they are read after these. */
-	s->progress.wanted = s->follows[3].complete;
-	if (!s->follows[1].complete || !s->follows[2].complete ||
-	    !s->follows[3].complete || !s->progress.complete ||
+	s->progress.wanted = s->follows[FOLLOW_JOBS].complete;
+	if (!s->follows[FOLLOW_OWNER].complete ||
+	    !s->follows[FOLLOW_WORKERS].complete ||
+	    !s->follows[FOLLOW_JOBS].complete || !s->progress.complete ||
 	    !s->notes.complete)
 		return;
 	workers_inherit(s);
@@ -444,7 +447,7 @@
 	 */
 	s->own.state = OWN_NONE;
 	s->own.silent_since = s->now;
-	s->own.answers_without_beat = 0;
+	s->own.answers_without_heartbeat = 0;
 }
 
 /* Handles the outcome of a heartbeat. */
@@ -552,9 +555,10 @@
  * to read the old owner's heartbeat first; otherwise it would overwrite the
  * ceilings in it, and upper limits could be exceeded.
  */
-static bool own_may_beat_loading(const struct sched *s)
+static bool own_may_send_heartbeat_loading(const struct sched *s)
 {
-	return s->own.state == OWN_LOADING && s->follows[1].complete &&
+	return s->own.state == OWN_LOADING &&
+	       s->follows[FOLLOW_OWNER].complete &&
 	       s->now - s->own.owned_at >= HEARTBEAT_MS;
 }
 
@@ -566,7 +570,7 @@
  */
 void own_heartbeat_if_due(struct sched *s)
 {
-	if ((s->own.state == OWN_OWNER || own_may_beat_loading(s)) &&
+	if ((s->own.state == OWN_OWNER || own_may_send_heartbeat_loading(s)) &&
 	    !s->own.heartbeat_in_flight && s->now >= s->own.heartbeat_at)
 		own_write_heartbeat(s);
 }
--- a/sched-place.c
+++ b/sched-place.c
@@ -73,7 +73,7 @@
 	bool placeable = false;
 	unsigned i;
 
-	if (!pending->count || !step_ready(o, at))
+	if (!pending->count || !step_is_ready(o, at))
 		return false;
 	if (!pending->ready_at)
 		pending->ready_at = s->now;
@@ -168,7 +168,7 @@
 {
 	struct job *j;
 
-	TAILQ_FOREACH(j, &s->order, entry) {
+	TAILQ_FOREACH(j, &s->jobs_by_arrival, entry) {
 		if (j->status > JOB_STATUS_RUNNING)
 			continue;
 		p->open_jobs++;
@@ -480,8 +480,8 @@
  * behind those of thousands of others, and a successor would have to assume
  * that all of them are running somewhere.
  */
-static enum pending_reason candidate_begin_job(struct sched *s,
-					       const struct candidate *c)
+static enum pending_reason candidate_request_start(struct sched *s,
+						   const struct candidate *c)
 {
 	const struct job_step *st = &c->job->body->steps[c->step];
 	struct resources need = step_need(st);
@@ -492,7 +492,7 @@
 		return PENDING_CAPACITY;
 	for (i = 0; i < c->occ->unfinished_in_step[c->step]; i++)
 		c->pool->promised = resources_add(c->pool->promised, need);
-	return job_begin(s, c->job) ? PENDING_NONE : PENDING_STORE;
+	return job_request_start(s, c->job) ? PENDING_NONE : PENDING_STORE;
 }
 
 /*
@@ -509,7 +509,7 @@
 	if (limit)
 		return limit;
 	if (!c->job->start_durable)
-		return candidate_begin_job(s, c);
+		return candidate_request_start(s, c);
 	if (c->needs_tickets &&
 	    !advice_ready(s, c->occ, c->step, c->pool->workers, c->pool->count))
 		return PENDING_TICKET;
--- a/sched-pool.c
+++ b/sched-pool.c
@@ -36,11 +36,11 @@
 static bool worker_runs_are_known(const struct worker *w)
 {
 	return !w->inherited || w->gone ||
-	       (w->fenced && !w->ends_truncated && !w->ends_held);
+	       (w->fenced && !w->ends_truncated && !w->ends_deferred);
 }
 
 /* Removes a worker from the counts of unknown workers. */
-void worker_uncount(struct sched *s, struct worker *w)
+void worker_clear_unknown(struct sched *s, struct worker *w)
 {
 	if (!w->unknown)
 		return;
@@ -55,9 +55,9 @@
  * count is used for each job and worker, and iterating over the workers each
  * time would take all of the owner's time.
  */
-void worker_count(struct sched *s, struct worker *w)
+void worker_update_unknown(struct sched *s, struct worker *w)
 {
-	worker_uncount(s, w);
+	worker_clear_unknown(s, w);
 	w->pool = pool_of(s, w->row.service);
 	if (worker_runs_are_known(w))
 		return;
--- a/sched-row.c
+++ b/sched-row.c
@@ -313,7 +313,7 @@
 		t->checkpoint = bstr_from_json(v);
 		if (!(bits[i / 8] >> (i % 8) & 1) || t->phase == PHASE_DONE)
 			continue;
-		task_phase(t, PHASE_DONE);
+		task_set_phase(t, PHASE_DONE);
 		o->unfinished_in_step[t->step]--;
 		o->unfinished--;
 	}
--- a/sched-state.h
+++ b/sched-state.h
@@ -107,7 +107,8 @@
  */
 #define SUSPECT_FAILURES 2
 #define SUSPECT_MS 4000
-/* Delay before a failed or lapsed task is retried; prevents a busy loop. */
+/* Delay before a failed task, or one whose lease expired, is retried; prevents
+ * a busy loop. */
 #define TASK_RETRY_DELAY_MS 50
 /*
  * The longest time after which an unanswered order can still be carried out.
@@ -284,8 +285,7 @@
 
 /*
  * A worker as the owner knows it.  A worker process that restarts under the
- * same id is a new life of the worker: its clock and its list of ends begin
- * anew.
+ * same id is a new process: its clock and its list of ends begin anew.
  */
 struct worker {
 	bstr id;
@@ -295,7 +295,7 @@
 	bool listed;	       /* it has a row in the store */
 	unsigned last_reading; /* serial of the last reading that had its row */
 	bool gone;	       /* nothing runs on it any more */
-	int64_t started_at;    /* start of the known life */
+	int64_t started_at;    /* start of the known process */
 	int64_t clock;	       /* its clock when it last answered */
 	int64_t clock_at;      /* this VM's clock at that time */
 	int64_t lease_end;     /* latest lease granted, on its clock */
@@ -307,11 +307,11 @@
 	int64_t poll_at;
 	int64_t answered_at;
 	int64_t poll_due_by; /* deadline of the long poll in flight; 0: none */
-	int64_t alive_at;    /* the known life existed at this time or later */
-	bool late_starts_possible; /* tasks wait because a later life may still
-				    * carry out their starts */
-	int64_t later_life_until; /* a later life may hold a lease until then */
-	int64_t stray_at;	  /* when stray runs may be stopped next */
+	int64_t alive_at;    /* the known process existed then or later */
+	bool late_starts_possible;   /* tasks wait because a later process may
+				      * still carry out their starts */
+	int64_t later_process_until; /* a later process may hold a lease */
+	int64_t stray_at;	     /* when stray runs may be stopped next */
 	bool strays_due;
 	int64_t unhealthy_until;
 	uint64_t last_end;	     /* highest end number received */
@@ -321,9 +321,9 @@
 	TAILQ_ENTRY(worker) unacked; /* if last_end > durable_end */
 	struct pool *pool;	     /* of its service */
 	bool unknown;		     /* counted in the pool's unknown workers */
-	bool ends_held;		 /* some of its ends can't be processed yet */
+	bool ends_deferred;	 /* some of its ends can't be processed yet */
 	bool ends_truncated;	 /* its last list did not hold all ends */
-	bool same_life;		 /* the end numbers are known to be current */
+	bool same_process;	 /* the end numbers are known to be current */
 	unsigned failure_streak; /* consecutive failures of different jobs */
 	char failure_streak_job[JOB_ID_BYTES + 1];
 	int64_t suspect_until;
@@ -409,7 +409,7 @@
 	bstr tenant;
 	bool no_key; /* the route accepts requests without a key */
 	int64_t deadline;
-	int64_t came_at;
+	int64_t received_at;
 	bool uncertain;		/* an attempt may have taken effect */
 	bstr row;		/* of a submitted job, kept for retries */
 	uint32_t retry_after_s; /* if the queue is full; 0: it is not */
@@ -465,6 +465,15 @@
 	int64_t retry_at;
 };
 
+/* The followed tables, by index in struct sched's follows. */
+enum follow_index {
+	FOLLOW_OPERATOR,
+	FOLLOW_OWNER,
+	FOLLOW_WORKERS, /* owner only */
+	FOLLOW_JOBS,	/* owner only */
+	FOLLOW_MAX
+};
+
 enum own_state {
 	OWN_NONE,
 	OWN_CLAIMING,
@@ -481,20 +490,21 @@
 	bstr holder;	      /* empty: nobody */
 	uint64_t holder_seed; /* identifies the holder's process */
 	int64_t silent_since; /* the owner's timeout counts from here */
-	unsigned answers_without_beat; /* store answers since then */
-	int64_t heartbeat_at;	       /* next, if this VM is the owner */
+	unsigned answers_without_heartbeat; /* store answers since then */
+	int64_t heartbeat_at;		    /* next, if this VM is the owner */
 	bool heartbeat_in_flight;
 	uint64_t heartbeat_seq;
 	uint64_t heartbeat_revision; /* of the heartbeat row */
 	int64_t heartbeat_sent_at;   /* of the one in flight */
 	int64_t confirmed_at; /* when the last successful heartbeat was sent */
 	int64_t claimed_at;
-	int64_t last_sign_at;	  /* last heartbeat or change of owner seen */
-	int64_t previous_sign_at; /* last_sign_at at the time of the claim */
-	bool settled;		  /* the releasing owner knew of all runs */
-	bool previous_released;	  /* settled, and released by a planned stop */
-	json_t *workers;	  /* that earlier owners may have given leases,
-				   * or NULL */
+	int64_t last_activity_at; /* last heartbeat or change of owner seen */
+	int64_t previous_activity_at; /* last_activity_at when it claimed
+				       */
+	bool settled;		      /* the releasing owner knew of all runs */
+	bool previous_released; /* settled, and released by a planned stop */
+	json_t *workers;	/* that earlier owners may have given leases,
+				 * or NULL */
 	json_t *ceilings; /* on what earlier owners may have running, or NULL */
 	int64_t settle_by; /* end of the last lease of earlier owners */
 	int64_t owned_at;
@@ -527,13 +537,13 @@
 /* A machine of a maintenance wave. */
 struct wave_machine {
 	bstr id;
-	bstr worker; /* its life when it was chosen; empty: not chosen yet */
+	bstr worker; /* its id when it was chosen; empty: not chosen yet */
 	bool noted;  /* the store records that it was chosen */
 	bool done;
 	bool call_in_flight;
-	bool call_is_for_noted_life; /* that call takes the life in the note */
-	bool call_outcome_unknown;   /* an earlier call may have succeeded */
-	bool draining;		     /* its worker gets no new tasks */
+	bool call_is_for_noted_process; /* it takes the worker in the note */
+	bool call_outcome_unknown;	/* an earlier call may have succeeded */
+	bool draining;			/* its worker gets no new tasks */
 	int64_t draining_since;
 	int64_t retry_at;
 	int64_t down_until; /* in maintenance */
@@ -625,7 +635,7 @@
 
 	struct fleet_config *config;
 	unsigned config_serial; /* counts the configurations adopted */
-	struct follow follows[4];
+	struct follow follows[FOLLOW_MAX];
 	struct ownership own;
 	struct waiting_count *waiting_counts; /* from the owner's heartbeat */
 	int64_t waiting_as_of; /* time of these counts, by the store's
@@ -647,7 +657,7 @@
 	struct follow progress; /* read once, at a takeover */
 	struct follow notes;	/* read once, at a takeover */
 	struct job *jobs;
-	struct job_queue order;
+	struct job_queue jobs_by_arrival;
 	struct job_queue dirty;
 	struct job_queue committing_jobs;
 	uint64_t dirty_seq;
@@ -734,9 +744,9 @@
 struct job *job_row_read(const char *id, bstr row);
 bstr progress_write(const struct job *j);
 bool progress_apply(struct job *j, bstr row);
-bool progress_peek(bstr row, bstr *tenant, enum job_status *fate,
+bool progress_peek(bstr row, bstr *tenant, enum job_status *status,
 		   int64_t *ended);
-const char *job_status_name(enum job_status f);
+const char *job_status_name(enum job_status status);
 bstr owner_row_write(const struct ownership *o, bool release);
 bool owner_row_read(bstr row, struct ownership *o);
 bool job_row_tenant(bstr row, bstr *tenant);
@@ -745,7 +755,7 @@
 
 /* sched-count.c: numbers of waiting jobs, and the store's clock */
 json_t *counts_write(const struct sched *s);
-void counts_read(struct sched *s, const json_t *counts, int64_t told_at);
+void counts_read(struct sched *s, const json_t *counts, int64_t as_of);
 void counts_free(struct sched *s);
 int64_t counts_age_ms(const struct sched *s);
 int64_t job_list_as_of(const struct sched *s);
@@ -775,7 +785,7 @@
 /* sched-own.c: ownership of the scheduling */
 void own_row_apply(struct sched *s, struct row *r);
 void note_row_apply(struct sched *s, struct row *r);
-void own_reset_silence(struct sched *s);
+void own_count_answer(struct sched *s);
 void own_store_recovered(struct sched *s);
 void own_enable_claim(struct sched *s);
 bool own_defers_claim(const struct sched *s);
@@ -786,10 +796,10 @@
 void own_lose(struct sched *s, const char *why);
 void own_require_check(struct sched *s, const char *why);
 void own_release(struct sched *s);
-bool own_is_exclusive(const struct sched *s); /* may order machine actions */
+bool own_is_exclusive(const struct sched *s);
 int64_t own_exclusive_until(const struct sched *s, int64_t deadline);
-bool own_may_order(const struct sched *s); /* may send orders */
-bool own_may_start(const struct sched *s); /* may also start tasks */
+bool own_may_order(const struct sched *s);
+bool own_may_start(const struct sched *s);
 
 /* sched-job.c: jobs, occurrences and tasks */
 struct job *sched_job_find(struct sched *s, const char *id);
@@ -804,19 +814,19 @@
 void job_task_failed(struct sched *s, struct task *t, uint64_t run);
 void job_unretire(struct sched *s, struct retired *r);
 void job_retire_if_done(struct sched *s, struct job *j);
-bool job_waits(const struct job *j);
+bool job_is_waiting(const struct job *j);
 bool job_is_settled(struct sched *s, struct job *j);
-bool job_begin(struct sched *s, struct job *j);
+bool job_request_start(struct sched *s, struct job *j);
 void job_mark_durable(struct sched *s, struct job *j);
-bool step_ready(const struct occurrence *o, unsigned at);
+bool step_is_ready(const struct occurrence *o, unsigned at);
 struct task *task_find(struct sched *s, bstr name, struct job **job);
 bstr task_name(const struct task *t);
 const struct job_step *task_step(const struct task *t);
 const struct route *job_route(const struct sched *s, struct job *j);
 const struct tenant *job_tenant(const struct sched *s, struct job *j);
 bstr job_service(const struct sched *s, struct job *j);
-void task_phase(struct task *t, enum run_phase phase);
-void task_pause(struct task *t, int64_t until);
+void task_set_phase(struct task *t, enum run_phase phase);
+void task_delay(struct task *t, int64_t until);
 int64_t task_ready_at(const struct task *t);
 
 /* sched-commit.c: writing progress, removing rows of final jobs */
@@ -838,7 +848,7 @@
 void worker_row_apply(struct sched *s, struct row *r);
 void workers_unlist_missing(struct sched *s); /* after a complete reading */
 void worker_suspect_restart(struct sched *s, struct worker *w);
-void worker_expect_later_life(struct sched *s, struct worker *w);
+void worker_expect_later_process(struct sched *s, struct worker *w);
 struct worker *worker_find(struct sched *s, bstr id);
 void worker_tick(struct sched *s);
 void worker_answer(struct sched *s, struct request *rq, struct answer *a);
@@ -848,8 +858,8 @@
 void worker_set_gone(struct sched *s, struct worker *w);
 void sched_worker_free(struct sched *s, struct worker *w);
 int64_t worker_clock(const struct sched *s, const struct worker *w);
-bool worker_is_quiet(const struct sched *s, const struct worker *w);
-void worker_set_quiet(struct sched *s, struct worker *w);
+bool worker_is_overdue(const struct sched *s, const struct worker *w);
+void worker_set_overdue(struct sched *s, struct worker *w);
 bool worker_is_healthy(const struct sched *s, const struct worker *w);
 bool worker_is_eligible(const struct sched *s, const struct worker *w);
 void sched_workers_free(struct sched *s);
@@ -857,8 +867,8 @@
 /* sched-pool.c: pools and their free resources */
 struct pool *pool_of(struct sched *s, bstr service);
 struct pool *job_pool(struct sched *s, struct job *j);
-void worker_count(struct sched *s, struct worker *w);
-void worker_uncount(struct sched *s, struct worker *w);
+void worker_update_unknown(struct sched *s, struct worker *w);
+void worker_clear_unknown(struct sched *s, struct worker *w);
 bool pool_is_settled(struct sched *s, bstr service);
 void pools_refresh(struct sched *s);
 void pool_measure(struct pool *p);
--- a/sched-wave.c
+++ b/sched-wave.c
@@ -355,7 +355,7 @@
 	ask->order.holder = bstr_copy(s->options.vm);
 	ask->order.epoch = s->own.epoch;
 	wm->call_in_flight = true;
-	wm->call_is_for_noted_life = m && bstr_eq(m->worker, wm->worker);
+	wm->call_is_for_noted_process = m && bstr_eq(m->worker, wm->worker);
 	wm->down_until = s->now + PLATFORM_TIMEOUT_MS;
 	sched_log(s, LOG_WAVE_MACHINE, "wave=%" PRIu64 " machine=%.*s step=ask",
 		  v->number, BSTR_ARG(wm->id));
@@ -480,8 +480,8 @@
  * carried out earlier.  A successor that doesn't know of the earlier call would
  * consider the new worker process gone, and start its tasks twice.
  */
-static bool member_is_noted(struct sched *s, struct wave *v,
-			    struct wave_machine *wm)
+static bool member_request_note(struct sched *s, struct wave *v,
+				struct wave_machine *wm)
 {
 	struct worker *w;
 	struct machine *m = member_machine(s, wm->id, &w);
@@ -537,7 +537,7 @@
 		worker_stop_excess_task(s, w);
 		return MEMBER_LONG_RUNNING;
 	}
-	if (!member_is_noted(s, v, wm))
+	if (!member_request_note(s, v, wm))
 		return MEMBER_NOTE_WRITE;
 	if (w && !worker_ends_durable(w))
 		return MEMBER_DURABLE_ENDS;
@@ -774,14 +774,14 @@
 	wm->down_until = s->now + s->options.maintenance_ms + DOWN_MARGIN_MS;
 	v->dirty = true;
 	member_machine(s, wm->id, &w);
-	if (w && !wm->call_is_for_noted_life) {
+	if (w && !wm->call_is_for_noted_process) {
 		/*
 		 * Its tasks count as unavailable until it answers again.  If
 		 * they counted as in service, others of their steps could be
 		 * taken down at the same time.
 		 */
 		w->takedown_pending = w->takedown_in_flight = false;
-		worker_set_quiet(s, w);
+		worker_set_overdue(s, w);
 	} else if (w) {
 		worker_lost(s, w, "maintenance");
 		worker_set_gone(s, w);
--- a/sched-worker.c
+++ b/sched-worker.c
@@ -19,7 +19,7 @@
  * A task with a held end is not started again for this time.  The worker lists
  * the end again sooner than that.
  */
-#define HELD_END_DELAY_MS 1500
+#define DEFERRED_END_DELAY_MS 1500
 /* Interval of the log line about the workers that a new owner waits for. */
 #define SETTLE_LOG_INTERVAL_MS 500
 
@@ -59,14 +59,14 @@
 }
 
 /* Returns true if an answer of a worker is overdue. */
-bool worker_is_quiet(const struct sched *s, const struct worker *w)
+bool worker_is_overdue(const struct sched *s, const struct worker *w)
 {
 	return s->now - w->answered_at >= WORKER_TIMEOUT_MS &&
 	       s->now >= w->poll_due_by;
 }
 
 /* Marks the next answer of a worker as overdue. */
-void worker_set_quiet(struct sched *s, struct worker *w)
+void worker_set_overdue(struct sched *s, struct worker *w)
 {
 	w->answered_at = s->now - WORKER_TIMEOUT_MS;
 	w->poll_due_by = 0;
@@ -76,7 +76,7 @@
 bool worker_is_healthy(const struct sched *s, const struct worker *w)
 {
 	return w->listed && !w->gone && !w->row.draining &&
-	       !w->takedown_pending && w->fenced && !worker_is_quiet(s, w) &&
+	       !w->takedown_pending && w->fenced && !worker_is_overdue(s, w) &&
 	       s->now >= w->unhealthy_until;
 }
 
@@ -93,7 +93,7 @@
 void worker_set_gone(struct sched *s, struct worker *w)
 {
 	w->gone = true;
-	worker_count(s, w);
+	worker_update_unknown(s, w);
 }
 
 /* Marks a worker as one without ends to acknowledge. */
@@ -125,7 +125,7 @@
 	w->serial = ++s->last_worker;
 	TAILQ_INIT(&w->tasks);
 	HASH_ADD_BSTR(s->workers, id, w);
-	worker_count(s, w);
+	worker_update_unknown(s, w);
 	return w;
 }
 
@@ -133,7 +133,7 @@
 void sched_worker_free(struct sched *s, struct worker *w)
 {
 	worker_clear_unacked(s, w);
-	worker_uncount(s, w);
+	worker_clear_unknown(s, w);
 	s->note_has_gone_worker = s->note_has_gone_worker || w->noted;
 	HASH_DEL(s->workers, w);
 	worker_row_free(&w->row);
@@ -164,7 +164,7 @@
  * worker than the known one.  A connection opened before the latest sign of the
  * known process can't lead to a later one.
  */
-static bool start_may_reach_later_life(const struct task *t)
+static bool start_may_reach_later_process(const struct task *t)
 {
 	return t->phase == PHASE_STARTING &&
 	       (!t->connected_at || t->connected_at > t->worker->alive_at);
@@ -182,11 +182,11 @@
 	struct task *t;
 
 	TAILQ_FOREACH(t, &w->tasks, worker_entry) {
-		if (!start_may_reach_later_life(t))
+		if (!start_may_reach_later_process(t))
 			continue;
 		t->awaited_worker = w->serial;
 		w->late_starts_possible = true;
-		task_pause(t, t->started_at + ORDER_LIFETIME_MAX_MS);
+		task_delay(t, t->started_at + ORDER_LIFETIME_MAX_MS);
 		sched_log(s, LOG_START_AWAITED,
 			  "task=%s.%u.%u.%u run=%llu worker=%.*s wait_ms=%lld",
 			  t->occ->job->id, t->occ->number, t->step, t->index,
@@ -207,7 +207,7 @@
 	struct task *t;
 	unsigned i;
 
-	TAILQ_FOREACH(j, &s->order, entry) {
+	TAILQ_FOREACH(j, &s->jobs_by_arrival, entry) {
 		TAILQ_FOREACH(o, &j->occs, entry) {
 			for (i = 0; i < o->task_count; i++) {
 				t = &o->tasks[i];
@@ -269,20 +269,20 @@
 	TAILQ_FOREACH(t, &w->tasks, worker_entry)
 		if (t->phase == PHASE_STARTING &&
 		    t->started_at >= earliest_start)
-			task_pause(t, t->started_at + ORDER_LIFETIME_MAX_MS);
+			task_delay(t, t->started_at + ORDER_LIFETIME_MAX_MS);
 	if (w->started_at)
 		worker_lost(s, w, "restarted");
 	w->started_at = started_at;
 	worker_clear_unacked(s, w);
 	w->last_end = w->durable_end = 0;
 	w->last_end_seq = 0;
-	w->ends_held = false;
+	w->ends_deferred = false;
 	w->fenced = false;
-	worker_count(s, w);
+	worker_update_unknown(s, w);
 	/* A run ordered from the old process has the longest lease. */
 	w->lease_end = a->running_count ? a->clock + s->options.lease_max_ms
 					: 0;
-	w->later_life_until = 0;
+	w->later_process_until = 0;
 	w->alive_at = 0;
 	w->late_starts_possible = false;
 	w->clock = 0; /* it was reset as well */
@@ -300,7 +300,7 @@
  */
 void worker_suspect_restart(struct sched *s, struct worker *w)
 {
-	w->same_life = false;
+	w->same_process = false;
 	if (!w->polling)
 		w->poll_at = s->now;
 }
@@ -312,12 +312,12 @@
  * old process's lease ends, the task would run elsewhere at the same time, or
  * once more after it is done.
  */
-void worker_expect_later_life(struct sched *s, struct worker *w)
+void worker_expect_later_process(struct sched *s, struct worker *w)
 {
 	worker_suspect_restart(s, w);
-	w->later_life_until = s->now +
-			      (int64_t)((double)s->options.lease_max_ms *
-					CLOCK_DRIFT_FACTOR);
+	w->later_process_until = s->now +
+				 (int64_t)((double)s->options.lease_max_ms *
+					   CLOCK_DRIFT_FACTOR);
 }
 
 /* Handles the removal of a worker's row. */
@@ -344,12 +344,12 @@
 	bstr_free(&w->rack);
 	if (w->row.label_count)
 		w->rack = bstr_copy(w->row.labels[w->row.label_count - 1]);
-	w->last_reading = s->follows[2].reading_serial;
+	w->last_reading = s->follows[FOLLOW_WORKERS].reading_serial;
 	if (!w->listed)
 		w->poll_at = s->now;
 	w->listed = true;
 	w->gone = false;
-	worker_count(s, w);
+	worker_update_unknown(s, w);
 	if (address_changed)
 		w->poll_at = s->now;
 	if (w->row.draining && !was_draining)
@@ -397,7 +397,8 @@
 	struct worker *w, *next;
 
 	HASH_ITER(hh, s->workers, w, next)
-		if (w->last_reading != s->follows[2].reading_serial)
+		if (w->last_reading !=
+		    s->follows[FOLLOW_WORKERS].reading_serial)
 			worker_unlist(s, w);
 }
 
@@ -418,8 +419,8 @@
 /* Returns how long a poll may wait for an end of a run. */
 static uint32_t poll_wait(const struct sched *s, const struct worker *w)
 {
-	if (!w->fenced || !w->clock || !w->same_life ||
-	    w->durable_end < w->last_end || w->ends_held)
+	if (!w->fenced || !w->clock || !w->same_process ||
+	    w->durable_end < w->last_end || w->ends_deferred)
 		return 0;
 	return TAILQ_EMPTY(&w->tasks) ? poll_idle_wait(s) : POLL_WAIT_MAX_MS;
 }
@@ -440,14 +441,14 @@
 	o->worker = bstr_copy(w->id);
 	o->address = bstr_copy(w->row.address);
 	o->epoch = s->own.epoch;
-	o->ack_through = w->same_life ? w->durable_end : 0;
+	o->ack_through = w->same_process ? w->durable_end : 0;
 	rq->number = o->ack_through;
 	o->wait_ms = wait;
 	/*
 	 * The lease of a silent worker is not renewed, so that it expires and
 	 * the tasks can start elsewhere sooner.
 	 */
-	if (w->clock && !worker_is_quiet(s, w)) {
+	if (w->clock && !worker_is_overdue(s, w)) {
 		o->deadline = worker_clock(s, w) + next_lease_end(s) - s->now;
 		if (o->deadline > w->lease_end)
 			w->lease_end = o->deadline;
@@ -475,7 +476,7 @@
 				  (int64_t)(UNCONFIRMED_LEASE_MS *
 					    (CLOCK_DRIFT_FACTOR - 1));
 
-	if (!worker_is_quiet(s, w) || s->now < w->later_life_until)
+	if (!worker_is_overdue(s, w) || s->now < w->later_process_until)
 		return false;
 	if (w->fenced && w->clock)
 		return lease_had_expired(w, s->own.confirmed_at);
@@ -537,7 +538,7 @@
 		  BSTR_ARG(longest->id), longest->listed, longest->fenced,
 		  longest->ends_truncated,
 		  (long long)(s->now - longest->answered_at),
-		  (long long)(longest->later_life_until - s->now),
+		  (long long)(longest->later_process_until - s->now),
 		  (long long)(s->own.settle_by - s->now),
 		  (long long)(s->now - s->own.confirmed_at));
 }
@@ -583,7 +584,7 @@
 bool worker_ends_durable(const struct worker *w)
 {
 	return w->durable_end == w->last_end && !w->ends_truncated &&
-	       !w->ends_held;
+	       !w->ends_deferred;
 }
 
 /* Acknowledges the ends that became durable, with the workers' next polls. */
@@ -637,14 +638,14 @@
 		return;
 	case END_FAILED:
 		t->avoided_worker = w->serial;
-		task_pause(t, s->now + TASK_RETRY_DELAY_MS);
+		task_delay(t, s->now + TASK_RETRY_DELAY_MS);
 		worker_count_failure(s, w, t);
 		job_task_failed(s, t, n->run);
 		return;
 	case END_LAPSED:
 	case END_GANG_INCOMPLETE:
 	case END_GANG_BROKEN:
-		task_pause(t, s->now + TASK_RETRY_DELAY_MS);
+		task_delay(t, s->now + TASK_RETRY_DELAY_MS);
 		return;
 	case END_STOPPED:
 		return;
@@ -695,9 +696,9 @@
  * acknowledged now, that start could be carried out afterwards, and the task
  * would run again although it is done.
  */
-static struct task *end_find_holding_task(struct sched *s,
-					  const struct worker *w,
-					  const struct ended *n)
+static struct task *end_find_deferring_task(struct sched *s,
+					    const struct worker *w,
+					    const struct ended *n)
 {
 	struct job *j;
 	struct task *t = task_find(s, n->task, &j);
@@ -713,24 +714,24 @@
  * is not started again until the end and the outcome of the start have been
  * processed.
  */
-static uint64_t ends_find_held(struct sched *s, const struct worker *w,
-			       const struct answer *a)
+static uint64_t ends_find_deferred(struct sched *s, const struct worker *w,
+				   const struct answer *a)
 {
-	uint64_t first_held = UINT64_MAX;
+	uint64_t first_deferred = UINT64_MAX;
 	struct task *t;
 	size_t i;
 
 	for (i = 0; i < a->ended_count; i++) {
 		if (a->ended[i].number <= w->last_end ||
-		    a->ended[i].number >= first_held)
+		    a->ended[i].number >= first_deferred)
 			continue;
-		t = end_find_holding_task(s, w, &a->ended[i]);
+		t = end_find_deferring_task(s, w, &a->ended[i]);
 		if (!t)
 			continue;
-		task_pause(t, s->now + HELD_END_DELAY_MS);
-		first_held = a->ended[i].number;
+		task_delay(t, s->now + DEFERRED_END_DELAY_MS);
+		first_deferred = a->ended[i].number;
 	}
-	return first_held;
+	return first_deferred;
 }
 
 /*
@@ -742,13 +743,14 @@
 static void ends_process(struct sched *s, struct worker *w,
 			 const struct answer *a)
 {
-	uint64_t known = w->last_end, first_held = ends_find_held(s, w, a);
+	uint64_t known = w->last_end,
+		 first_deferred = ends_find_deferred(s, w, a);
 	size_t i;
 
-	w->ends_held = first_held != UINT64_MAX;
+	w->ends_deferred = first_deferred != UINT64_MAX;
 	for (i = 0; i < a->ended_count; i++) {
 		if (a->ended[i].number <= known ||
-		    a->ended[i].number >= first_held)
+		    a->ended[i].number >= first_deferred)
 			continue;
 		end_process(s, w, &a->ended[i]);
 		worker_record_end(s, w, a->ended[i].number);
@@ -780,7 +782,7 @@
 	t->last_list = w->list_count;
 	j->run_seen = true;
 	if (t->phase == PHASE_STARTING)
-		task_phase(t, PHASE_RUNNING);
+		task_set_phase(t, PHASE_RUNNING);
 	t->percent = r->percent;
 	t->load_figure = r->load_figure;
 	t->started_at_worker = CLOCK_NONE; /* seen in a list */
@@ -800,7 +802,7 @@
 {
 	struct task *t, *next;
 
-	if (w->ends_truncated || w->ends_held)
+	if (w->ends_truncated || w->ends_deferred)
 		return;
 	for (t = TAILQ_FIRST(&w->tasks); t; t = next) {
 		next = TAILQ_NEXT(t, worker_entry);
@@ -818,7 +820,7 @@
 			  (unsigned long long)t->run, BSTR_ARG(w->id),
 			  t->phase);
 		task_unplace(s, t);
-		task_pause(t, s->now + TASK_RETRY_DELAY_MS);
+		task_delay(t, s->now + TASK_RETRY_DELAY_MS);
 		s->place_due = true;
 	}
 }
@@ -830,9 +832,9 @@
  * done would run again, and their ends would be acknowledged without having
  * been seen.  The worker is polled again, without that number.
  */
-static bool poll_was_for_old_life(const struct worker *w,
-				  const struct request *rq,
-				  const struct answer *a)
+static bool poll_was_for_old_process(const struct worker *w,
+				     const struct request *rq,
+				     const struct answer *a)
 {
 	return rq->number && a->worker_started_at && w->started_at &&
 	       a->worker_started_at != w->started_at;
@@ -844,9 +846,9 @@
 {
 	size_t i;
 
-	if (poll_was_for_old_life(w, rq, a)) {
+	if (poll_was_for_old_process(w, rq, a)) {
 		w->answered_at = s->now;
-		w->same_life = false;
+		w->same_process = false;
 		return;
 	}
 	if (a->worker_started_at && a->worker_started_at != w->started_at)
@@ -872,7 +874,7 @@
 	if (w->gone && !w->noted)
 		s->own.heartbeat_at = s->now; /* to note it */
 	w->gone = false;
-	w->same_life = true;
+	w->same_process = true;
 	if (!w->fenced) {
 		w->fenced = true;
 		s->place_due = true;
@@ -886,7 +888,7 @@
 		running_process(s, w, &a->running[i]);
 	missing_process(s, w, a);
 	pace_worker_tasks(s, w);
-	worker_count(s, w);
+	worker_update_unknown(s, w);
 }
 
 /* Handles the outcome of a poll. */
@@ -900,7 +902,7 @@
 	if (a->outcome == OUT_DONE) {
 		poll_process(s, w, rq, a);
 		w->poll_at = s->now;
-		if (w->durable_end < w->last_end || w->ends_held)
+		if (w->durable_end < w->last_end || w->ends_deferred)
 			w->poll_at += POLL_RETRY_MS;
 		worker_acknowledge(s);
 		if (!w->polling && s->now >= w->poll_at && own_may_order(s))
@@ -908,14 +910,14 @@
 		settle_check(s);
 		return;
 	}
-	w->same_life = false;
+	w->same_process = false;
 	w->poll_at = s->now + POLL_RETRY_MS;
 	if (a->refusal == REFUSAL_STALE_EPOCH) {
 		own_require_check(s, "fenced");
-	} else if (a->refusal == REFUSAL_OTHER_LIFE) {
+	} else if (a->refusal == REFUSAL_OTHER_PROCESS) {
 		/* Another process answers here: the known one ended. */
 		worker_set_gone(s, w);
-		worker_set_quiet(s, w);
+		worker_set_overdue(s, w);
 		if (!TAILQ_EMPTY(&w->tasks))
 			worker_lost(s, w, "replaced");
 	} else if (a->outcome == OUT_REFUSED) {
--- a/sched.c
+++ b/sched.c
@@ -377,21 +377,25 @@
 	s->options = *o;
 	s->options.vm = bstr_copy(o->vm);
 	s->options.zone = bstr_copy(o->zone);
-	s->follows[0] = follow_make(TABLE_OPERATOR, FOR_OPERATOR_GET,
-				    FOR_OPERATOR_FEED, FEED_WAIT_MS, true);
-	s->follows[1] = follow_make(TABLE_OWNER, FOR_OWNER_GET, FOR_OWNER_FEED,
-				    OWNER_FEED_WAIT_MS, true);
-	s->follows[2] = follow_make(TABLE_WORKERS, FOR_WORKERS_GET,
-				    FOR_WORKERS_FEED, FEED_WAIT_MS, false);
-	s->follows[3] = follow_make(TABLE_JOBS, FOR_JOBS_GET, FOR_JOBS_FEED,
-				    JOBS_FEED_WAIT_MS, false);
-	s->follows[3].parts = JOB_PARTS;
+	s->follows[FOLLOW_OPERATOR] = follow_make(
+		TABLE_OPERATOR, FOR_OPERATOR_GET, FOR_OPERATOR_FEED,
+		FEED_WAIT_MS, true);
+	s->follows[FOLLOW_OWNER] = follow_make(TABLE_OWNER, FOR_OWNER_GET,
+					       FOR_OWNER_FEED,
+					       OWNER_FEED_WAIT_MS, true);
+	s->follows[FOLLOW_WORKERS] = follow_make(TABLE_WORKERS, FOR_WORKERS_GET,
+						 FOR_WORKERS_FEED, FEED_WAIT_MS,
+						 false);
+	s->follows[FOLLOW_JOBS] = follow_make(TABLE_JOBS, FOR_JOBS_GET,
+					      FOR_JOBS_FEED, JOBS_FEED_WAIT_MS,
+					      false);
+	s->follows[FOLLOW_JOBS].parts = JOB_PARTS;
 	s->progress = follow_make(TABLE_PROGRESS, FOR_PROGRESS_GET, PURPOSE_MAX,
 				  0, false);
 	s->notes = follow_make(TABLE_NOTES, FOR_NOTES_GET, PURPOSE_MAX, 0,
 			       false);
 	s->start_window = START_WINDOW_INITIAL;
-	TAILQ_INIT(&s->order);
+	TAILQ_INIT(&s->jobs_by_arrival);
 	TAILQ_INIT(&s->dirty);
 	TAILQ_INIT(&s->committing_jobs);
 	TAILQ_INIT(&s->retired_order);
--- a/scheduler.h
+++ b/scheduler.h
@@ -212,15 +212,16 @@
 /* Why a worker or the platform refused an order. */
 enum refusal {
 	REFUSAL_NONE,
-	REFUSAL_STALE_EPOCH, /* a later owner has sent orders there */
-	REFUSAL_STALE_RUN,   /* run number is not above the highest known */
-	REFUSAL_LATE,	     /* the start deadline has passed */
-	REFUSAL_CAPACITY,    /* not enough free resources */
-	REFUSAL_TICKET,	     /* the placement ticket is not valid */
-	REFUSAL_BUSY,	     /* the machine is not up, or is being moved */
-	REFUSAL_WAVE,	     /* the machine is not part of this wave */
-	REFUSAL_OTHER_LIFE,  /* another worker process answers at the address */
-	REFUSAL_UNHEALTHY,   /* worker overloaded or unhealthy */
+	REFUSAL_STALE_EPOCH,   /* a later owner has sent orders there */
+	REFUSAL_STALE_RUN,     /* run number is not above the highest known */
+	REFUSAL_LATE,	       /* the start deadline has passed */
+	REFUSAL_CAPACITY,      /* not enough free resources */
+	REFUSAL_TICKET,	       /* the placement ticket is not valid */
+	REFUSAL_BUSY,	       /* the machine is not up, or is being moved */
+	REFUSAL_WAVE,	       /* the machine is not part of this wave */
+	REFUSAL_OTHER_PROCESS, /* another worker process answers at the address
+				*/
+	REFUSAL_UNHEALTHY,     /* worker overloaded or unhealthy */
 	REFUSAL_INVALID,
 	REFUSAL_NOT_SENT
 };
--- a/tests/support-world-worker.c
+++ b/tests/support-world-worker.c
@@ -339,7 +339,7 @@
 
 	bstr_free(&id);
 	if (other)
-		return REFUSAL_OTHER_LIFE;
+		return REFUSAL_OTHER_PROCESS;
 	world_worker_step(w, n);
 	if (o->epoch < k->fence)
 		return REFUSAL_STALE_EPOCH;
--- a/tests/support-world.c
+++ b/tests/support-world.c
@@ -197,7 +197,7 @@
 	const struct job *j;
 	unsigned i, k, n;
 
-	TAILQ_FOREACH(j, &s->order, entry) {
+	TAILQ_FOREACH(j, &s->jobs_by_arrival, entry) {
 		TAILQ_FOREACH(o, &j->occs, entry) {
 			for (i = 0; i < j->body->step_count; i++) {
 				for (k = n = 0; k < j->body->steps[i].count;
--- a/tests/test-load.c
+++ b/tests/test-load.c
@@ -469,7 +469,7 @@
 	unsigned n = 0;
 
 	for (k = s->workers; k; k = k->hh.next)
-		n += k->ends_held;
+		n += k->ends_deferred;
 	return n;
 }
 
--- a/tests/test-order.c
+++ b/tests/test-order.c
@@ -28,7 +28,7 @@
 				  .effects = &out,
 				  .options.lease_max_ms = 6000};
 		struct worker w = {
-			.clock = 5100, .clock_at = 9000, .same_life = true};
+			.clock = 5100, .clock_at = 9000, .same_process = true};
 		struct request rq = {.purpose = FOR_START, .worker = &w};
 		struct answer a = {.outcome = OUT_DONE,
 				   .sent_at = 9050,
@@ -36,9 +36,9 @@
 
 		TAILQ_INIT(&out);
 		order_answer(&s, &rq, &a);
-		cr_expect_eq(w.later_life_until > 0, clock_rows[row].other,
+		cr_expect_eq(w.later_process_until > 0, clock_rows[row].other,
 			     "%s", clock_rows[row].name);
-		cr_expect_eq(w.same_life, !clock_rows[row].other, "%s",
+		cr_expect_eq(w.same_process, !clock_rows[row].other, "%s",
 			     clock_rows[row].name);
 		while ((fx = TAILQ_FIRST(&out))) {
 			TAILQ_REMOVE(&out, fx, entry);
