--- a/reduce-ask.c
+++ b/reduce-ask.c
@@ -82,7 +82,7 @@
 	struct unit *u = unit_of_shard(st, job_shard(id));
 	bool elsewhere;
 
-	if (!job_id_soft(id, &vm) && u && !unit_is_active(st, u))
+	if (!job_id_is_soft(id, &vm) && u && !unit_is_active(st, u))
 		vm = bstr_copy(unit_choose(st, u));
 	elsewhere = vm.bstr_len && !bstr_eq(vm, st->vm) && member_find(st, vm);
 	if (elsewhere)
--- a/reduce-boot.c
+++ b/reduce-boot.c
@@ -151,7 +151,7 @@
 	c->boots_loaded = true;
 	c->dirty = true;
 	if (row->history_lost && !before)
-		c->forgotten_at = st->now;
+		c->history_lost_at = st->now;
 }
 
 /* Handles the outcome of reading the row. */
@@ -216,9 +216,9 @@
 	}
 	changed = boots_compute(st, c, &row);
 	if (changed) {
-		c->forgotten_at = st->now;
+		c->history_lost_at = st->now;
 	} else if (row.history_lost &&
-		   st->now - c->forgotten_at >= HISTORY_LOST_MS) {
+		   st->now - c->history_lost_at >= HISTORY_LOST_MS) {
 		row.history_lost = FALSE;
 		changed = true;
 	}
--- a/reduce-call.c
+++ b/reduce-call.c
@@ -410,7 +410,7 @@
 		vm = soft ? bstr_copy(st->vm) : BSTR_NONE;
 	} else {
 		id = bstr_copy(rq->body.caller_body_u.job.job);
-		soft = job_id_soft(id, &vm);
+		soft = job_id_is_soft(id, &vm);
 	}
 	shard = job_shard(id);
 	u = soft ? NULL : unit_of_shard(st, shard);
@@ -455,7 +455,7 @@
 		return;
 	}
 	soft = b->kind != CALL_SUBMIT &&
-	       job_id_soft(b->caller_body_u.job.job, &vm);
+	       job_id_is_soft(b->caller_body_u.job.job, &vm);
 	if (soft)
 		bstr_free(&vm);
 	u = soft ? NULL : unit_of_shard(st, m->shard);
--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -144,7 +144,7 @@
 	struct unit *u;
 	bstr vm;
 
-	if (job_id_soft(t->job, &vm))
+	if (job_id_is_soft(t->job, &vm))
 		return vm;
 	u = unit_of_shard(st, job_shard(t->job));
 	return u ? bstr_copy(unit_choose(st, u)) : BSTR_NONE;
@@ -167,7 +167,7 @@
 	m->started = t->may_have_started;
 	m->view = t->view;
 	if (t->phase == TASK_QUEUED) {
-		m->view.reason = bstr_lit(task_hold_reason(st, c, t, &detail));
+		m->view.reason = bstr_lit(task_wait_reason(st, c, t, &detail));
 		m->view.detail = detail;
 		m->view.queued_ms = (uint32_t)(st->now - t->queued_at);
 	}
@@ -658,7 +658,7 @@
 		next = TAILQ_NEXT(t, entry);
 		if (st->now < t->notify_at)
 			continue;
-		orphan = job_id_soft(t->job, &vm);
+		orphan = job_id_is_soft(t->job, &vm);
 		m = orphan ? member_find(st, vm) : NULL;
 		orphan = orphan && !bstr_eq(vm, st->vm) &&
 			 (!m || !member_alive(m)) &&
--- a/reduce-claim.c
+++ b/reduce-claim.c
@@ -36,7 +36,7 @@
 
 static void entry_free(struct journal_entry *e)
 {
-	xdr_free(XDR_PROC(xdr_record), (char *)&e->rec);
+	xdr_free(XDR_PROC(xdr_journal_record), (char *)&e->rec);
 	bstr_free(&e->job);
 	free(e);
 }
@@ -71,15 +71,15 @@
 	free(s);
 }
 
-static bstr record_job(const record *rec)
+static bstr record_job(const journal_record *rec)
 {
 	switch (rec->kind) {
 	case JOURNAL_CLAIM:
-		return rec->record_u.claim.job;
+		return rec->journal_record_u.claim.job;
 	case JOURNAL_MOVE:
-		return rec->record_u.move.job;
+		return rec->journal_record_u.move.job;
 	case JOURNAL_FINAL:
-		return rec->record_u.final.job;
+		return rec->journal_record_u.final.job;
 	}
 	return BSTR_NONE;
 }
@@ -154,15 +154,15 @@
 }
 
 /* Queues a record for the next commit. */
-void shard_append(struct state *st, struct shard *s, const record *rec)
+void shard_append(struct state *st, struct shard *s, const journal_record *rec)
 {
 	struct journal_entry *e = xcalloc(1, sizeof(*e));
 	int64_t due = s->flushed_at + st->commit_window_ms;
 
-	xdr_copy(XDR_PROC(xdr_record), &e->rec, rec, sizeof(*rec));
+	xdr_copy(XDR_PROC(xdr_journal_record), &e->rec, rec, sizeof(*rec));
 	e->job = bstr_copy(record_job(rec));
 	if (rec->kind == JOURNAL_FINAL &&
-	    rec->record_u.final.state != JOB_NOT_RUN &&
+	    rec->journal_record_u.final.state != JOB_NOT_RUN &&
 	    due < st->now + FINAL_FLUSH_DELAY_MS)
 		due = st->now + FINAL_FLUSH_DELAY_MS;
 	if (TAILQ_EMPTY(&s->pending) || due < s->flush_at)
@@ -193,11 +193,11 @@
 	TAILQ_FOREACH(e, list, entry)
 		n++;
 	row->records.records_val = xrealloc(row->records.records_val, n,
-					    sizeof(record));
+					    sizeof(journal_record));
 	TAILQ_FOREACH(e, list, entry)
-		xdr_copy(XDR_PROC(xdr_record),
+		xdr_copy(XDR_PROC(xdr_journal_record),
 			 &row->records.records_val[row->records.records_len++],
-			 &e->rec, sizeof(record));
+			 &e->rec, sizeof(journal_record));
 }
 
 /* Commits pending records, unless a commit is outstanding. */
@@ -322,14 +322,14 @@
 /* Appends a full record of a job, so that older records can be removed. */
 static void job_append_record(struct state *st, struct shard *s, struct job *j)
 {
-	record rec = {.kind = JOURNAL_CLAIM};
+	journal_record rec = {.kind = JOURNAL_CLAIM};
 
 	if (j->phase == PHASE_FINAL) {
 		rec.kind = JOURNAL_FINAL;
-		rec.record_u.final = j->view;
+		rec.journal_record_u.final = j->view;
 	} else {
-		rec.record_u.claim = (journal_claim){j->id, j->spec, j->digest,
-						     j->cell, j->attempt};
+		rec.journal_record_u.claim = (journal_claim){
+			j->id, j->spec, j->digest, j->cell, j->attempt};
 	}
 	shard_append(st, s, &rec);
 }
--- a/reduce-home.c
+++ b/reduce-home.c
@@ -58,19 +58,19 @@
 }
 
 /* Replays a record of the journal, from the segment added last. */
-void job_replay(struct state *st, struct shard *s, const record *rec)
+void job_replay(struct state *st, struct shard *s, const journal_record *rec)
 {
 	struct job *j = NULL;
 
 	switch (rec->kind) {
 	case JOURNAL_CLAIM:
-		j = replay_claim(st, s, &rec->record_u.claim);
+		j = replay_claim(st, s, &rec->journal_record_u.claim);
 		break;
 	case JOURNAL_MOVE:
-		replay_move(st, &rec->record_u.move);
+		replay_move(st, &rec->journal_record_u.move);
 		break;
 	case JOURNAL_FINAL:
-		j = replay_final(st, s, &rec->record_u.final);
+		j = replay_final(st, s, &rec->journal_record_u.final);
 		break;
 	}
 	if (j)
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -33,7 +33,7 @@
  * Returns true if the id is that of a soft job, and sets *vm to a copy of the
  * VM that it names, which the caller frees.
  */
-bool job_id_soft(bstr id, bstr *vm)
+bool job_id_is_soft(bstr id, bstr *vm)
 {
 	*vm = BSTR_NONE;
 	if (id.bstr_len <= JOB_ID_LEN + 1 || id.bstr_val[JOB_ID_LEN] != '.')
@@ -196,7 +196,7 @@
  */
 static void job_finish(struct state *st, struct job *j)
 {
-	record rec = {.kind = JOURNAL_FINAL};
+	journal_record rec = {.kind = JOURNAL_FINAL};
 
 	/* The last attempt did not run, but an earlier one may have. */
 	if (j->may_have_run && j->view.state == JOB_NOT_RUN) {
@@ -213,7 +213,7 @@
 		job_final_durable(st, j);
 		return;
 	}
-	rec.record_u.final = j->view;
+	rec.journal_record_u.final = j->view;
 	shard_append(st, j->shard, &rec);
 }
 
@@ -341,7 +341,7 @@
 static void job_place(struct state *st, struct job *j)
 {
 	struct unit *u = job_choose_cell(st, &j->spec);
-	record rec = {.kind = JOURNAL_MOVE};
+	journal_record rec = {.kind = JOURNAL_MOVE};
 
 	if (!u) {
 		j->phase = PHASE_UNDISPATCHED;
@@ -355,7 +355,7 @@
 	}
 	j->phase = PHASE_CLAIMING;
 	j->check_at = INT64_MAX;
-	rec.record_u.move = (journal_move){j->id, j->cell, j->attempt};
+	rec.journal_record_u.move = (journal_move){j->id, j->cell, j->attempt};
 	shard_append(st, j->shard, &rec);
 }
 
@@ -363,15 +363,15 @@
 static void job_claim(struct state *st, struct job *j)
 {
 	struct unit *u = job_choose_cell(st, &j->spec);
-	record rec = {.kind = JOURNAL_CLAIM};
+	journal_record rec = {.kind = JOURNAL_CLAIM};
 
 	if (u)
 		xdr_copy(XDR_PROC(xdr_cell_id), &j->cell, &u->id,
 			 sizeof(u->id));
 	j->phase = PHASE_CLAIMING;
 	j->check_at = st->now + CLAIM_TIMEOUT_MS;
-	rec.record_u.claim = (journal_claim){j->id, j->spec, j->digest, j->cell,
-					     j->attempt};
+	rec.journal_record_u.claim = (journal_claim){j->id, j->spec, j->digest,
+						     j->cell, j->attempt};
 	shard_append(st, j->shard, &rec);
 }
 
@@ -590,7 +590,7 @@
 	struct unit *u = unit_of_shard(st, job_shard(m->job));
 	bstr vm;
 
-	if (job_id_soft(m->job, &vm)) {
+	if (job_id_is_soft(m->job, &vm)) {
 		bstr_free(&vm);
 		return true;
 	}
--- a/reduce-limit.c
+++ b/reduce-limit.c
@@ -33,13 +33,13 @@
 }
 
 /* Returns a cell's hold in a row, NULL if it has none. */
-static allowance_hold *allowance_find_hold(const allowance_row *row,
-					   const cell_id *cell)
+static cell_allowance *allowance_find(const allowance_row *row,
+				      const cell_id *cell)
 {
 	u_int i;
 
-	for (i = 0; i < row->holds.holds_len; i++) {
-		allowance_hold *h = &row->holds.holds_val[i];
+	for (i = 0; i < row->allowances.allowances_len; i++) {
+		cell_allowance *h = &row->allowances.allowances_val[i];
 
 		if (bstr_eq(h->cell.pool, cell->pool) &&
 		    bstr_eq(h->cell.dc, cell->dc))
@@ -53,8 +53,8 @@
 	uint32_t sum = 0;
 	u_int i;
 
-	for (i = 0; i < row->holds.holds_len; i++)
-		sum += row->holds.holds_val[i].amount;
+	for (i = 0; i < row->allowances.allowances_len; i++)
+		sum += row->allowances.allowances_val[i].amount;
 	return sum;
 }
 
@@ -80,7 +80,7 @@
 		held = (uint32_t)(held * limit / sum);
 	if (!t->return_requested)
 		return held;
-	fair = (uint32_t)(limit / (t->row.holds.holds_len + 1));
+	fair = (uint32_t)(limit / (t->row.allowances.allowances_len + 1));
 	if (held <= fair)
 		return held;
 	return held - t->return_requested > fair && held > t->return_requested
@@ -126,7 +126,7 @@
 static void allowance_apply_row(struct cell *c, struct cell_team *t,
 				const table_row *r)
 {
-	allowance_hold *h;
+	cell_allowance *h;
 
 	xdr_free(XDR_PROC(xdr_allowance_row), (char *)&t->row);
 	memset(&t->row, 0, sizeof(t->row));
@@ -137,7 +137,7 @@
 				       &t->row, sizeof(t->row));
 	else
 		t->loaded = true;
-	h = allowance_find_hold(&t->row, &c->unit->id);
+	h = allowance_find(&t->row, &c->unit->id);
 	t->allowance = h ? h->amount : 0;
 	/*
 	 * A write that returned a part of the allowance went unanswered.  It
@@ -199,17 +199,18 @@
 {
 	uint32_t limit = team_limit(st, t->team), sum;
 	bstr key = allowance_key(t->team), name;
-	allowance_hold *h;
+	cell_allowance *h;
 	allowance_row row;
 	fx_commit k = {0};
 
 	xdr_copy(XDR_PROC(xdr_allowance_row), &row, &t->row, sizeof(row));
-	h = allowance_find_hold(&row, &c->unit->id);
+	h = allowance_find(&row, &c->unit->id);
 	if (!h) {
-		row.holds.holds_val = xrealloc(row.holds.holds_val,
-					       row.holds.holds_len + 1,
-					       sizeof(*h));
-		h = &row.holds.holds_val[row.holds.holds_len++];
+		row.allowances.allowances_val = xrealloc(
+			row.allowances.allowances_val,
+			row.allowances.allowances_len + 1, sizeof(*h));
+		h = &row.allowances
+			     .allowances_val[row.allowances.allowances_len++];
 		xdr_copy(XDR_PROC(xdr_cell_id), &h->cell, &c->unit->id,
 			 sizeof(h->cell));
 	}
@@ -264,7 +265,7 @@
 {
 	struct cell *c = NULL;
 	struct cell_team *t = allowance_find_team(st, rq->name, &c);
-	allowance_hold *h;
+	cell_allowance *h;
 	u_int i;
 
 	if (!t || t->request != rq->id)
@@ -289,7 +290,7 @@
 		t->revision = row_version(ev,
 					  rq->commit.writes.writes_val[i].key);
 	}
-	h = allowance_find_hold(&t->row, &c->unit->id);
+	h = allowance_find(&t->row, &c->unit->id);
 	t->allowance = h ? h->amount : 0;
 	t->capped = false; /* that write can't take effect any more */
 	t->retry_at = st->now + ALLOWANCE_RETRY_MS / 3;
@@ -309,8 +310,8 @@
 		return;
 	t->request_more_at = st->now + ALLOWANCE_RETRY_MS * 2;
 	t->stale = true; /* they will change the row */
-	for (i = 0; i < t->row.holds.holds_len; i++) {
-		allowance_hold *h = &t->row.holds.holds_val[i];
+	for (i = 0; i < t->row.allowances.allowances_len; i++) {
+		cell_allowance *h = &t->row.allowances.allowances_val[i];
 
 		u = unit_of_cell(st, &h->cell);
 		if (!h->amount || !u || u == c->unit)
--- a/reduce-member.c
+++ b/reduce-member.c
@@ -117,8 +117,9 @@
 }
 
 /*
- * Choose the owner of a unit by rendezvous hashing: all VMs with the same list
- * of members choose the same, and if one leaves, only its units move.
+ * Returns the VM that should own a unit, or empty if there is none.  It is
+ * chosen by rendezvous hashing: all VMs with the same list of members choose
+ * the same, and if one leaves, only its units move.
  */
 bstr unit_choose(struct state *st, const struct unit *u)
 {
--- a/reduce-op.c
+++ b/reduce-op.c
@@ -45,8 +45,8 @@
 		     retry_after_ms, body);
 }
 
-/* Answers a request with its result. */
-void op_show(struct state *st, uint64_t call, json_t *body)
+/* Answers a request with OP_OK and a body. */
+void op_answer_ok(struct state *st, uint64_t call, json_t *body)
 {
 	op_answer(st, call, OP_OK, "", "", 0, body);
 }
@@ -132,7 +132,7 @@
 		op_not_found(st, call, "VM", o->vm);
 		return;
 	}
-	op_show(st, call, list);
+	op_answer_ok(st, call, list);
 }
 
 static json_t *pool_json(struct state *st, const struct pool *p)
@@ -177,7 +177,7 @@
 		op_not_found(st, call, "pool", name);
 		return;
 	}
-	op_show(st, call, list);
+	op_answer_ok(st, call, list);
 }
 
 /*
@@ -228,7 +228,7 @@
 		op_not_found(st, call, "team", name);
 		return;
 	}
-	op_show(st, call, list);
+	op_answer_ok(st, call, list);
 }
 
 /* Shows the keys of a team, or all; never their hashes. */
@@ -247,7 +247,7 @@
 		json_object_set_new(o, "withdrawn", json_boolean(k->withdrawn));
 		json_array_append_new(list, o);
 	}
-	op_show(st, call, list);
+	op_answer_ok(st, call, list);
 }
 
 /*
@@ -288,7 +288,8 @@
 	bstr object, name;
 
 	if (!revision || revision == st->config->revision) {
-		op_show(st, call,
+		op_answer_ok(
+			st, call,
 			config_body(st->config->revision, st->config->doc));
 		return;
 	}
@@ -325,7 +326,7 @@
 			  RETRY_AFTER_MS, NULL);
 		return;
 	}
-	op_show(st, call, config_body(revision, doc));
+	op_answer_ok(st, call, config_body(revision, doc));
 	json_decref(doc);
 }
 
@@ -341,7 +342,7 @@
 	error_init(&e);
 	c = config_parse(oc->body, 0, &e);
 	if (c) {
-		op_show(st, call, config_diff(st->config->doc, c->doc));
+		op_answer_ok(st, call, config_diff(st->config->doc, c->doc));
 		config_free(c);
 		return;
 	}
@@ -356,7 +357,7 @@
 			      const op_request *rq)
 {
 	(void)rq;
-	op_show(st, call, config_history(st));
+	op_answer_ok(st, call, config_history(st));
 }
 
 static json_t *member_json(bstr vm, bstr dc, const char *state,
@@ -424,7 +425,7 @@
 	json_set_int(o, "jobs_open", HASH_COUNT(st->jobs) - st->finished_count);
 	json_object_set_new(o, "entry_vms", members);
 	json_object_set_new(o, "owned", units_json(st));
-	op_show(st, call, o);
+	op_answer_ok(st, call, o);
 }
 
 /*
@@ -488,7 +489,7 @@
 		if (e->kind == EDIT_OPERATOR)
 			return true;
 	return !TAILQ_EMPTY(&st->changes) || !TAILQ_EMPTY(&st->wave_changes) ||
-	       !TAILQ_EMPTY(&st->questions) || !TAILQ_EMPTY(&st->asks);
+	       !TAILQ_EMPTY(&st->why_requests) || !TAILQ_EMPTY(&st->asks);
 }
 
 /* Answers a request that may have taken effect when the process stops. */
@@ -504,7 +505,7 @@
 void ops_stop(struct state *st)
 {
 	struct wave_change *w;
-	struct question *q;
+	struct why_request *q;
 	struct change *c;
 	struct edit *e;
 	struct ask *a;
@@ -518,7 +519,7 @@
 			op_answer_stopping(st, e->call);
 	TAILQ_FOREACH(a, &st->asks, entry)
 		op_answer_stopping(st, a->call);
-	TAILQ_FOREACH(q, &st->questions, entry)
+	TAILQ_FOREACH(q, &st->why_requests, entry)
 		if (!q->forwarded_by.bstr_len)
 			op_answer_stopping(st, q->call);
 }
--- a/reduce-queue.c
+++ b/reduce-queue.c
@@ -552,7 +552,7 @@
  * Returns the reason why a queued task is not started.  Sets detail to the
  * numbers behind it and what would let the task start.
  */
-const char *task_hold_reason(struct state *st, struct cell *c, struct task *t,
+const char *task_wait_reason(struct state *st, struct cell *c, struct task *t,
 			     bstr *detail)
 {
 	const struct team *team = config_find_team(st->config, t->team->team);
--- a/reduce-wave.c
+++ b/reduce-wave.c
@@ -650,5 +650,5 @@
 		op_not_found(st, call, "wave", name);
 		return;
 	}
-	op_show(st, call, list);
+	op_answer_ok(st, call, list);
 }
--- a/reduce-why.c
+++ b/reduce-why.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 
 /* How long to wait for the cell's answer before replying without it. */
-#define QUESTION_TIMEOUT_MS 2000
+#define WHY_TIMEOUT_MS 2000
 
 static const char *const state_names[] = {"queued", "running", "done",
 					  "failed", "not-run", "unknown"};
@@ -37,57 +37,57 @@
 	op_answer_to(st, asker, call, OP_OK, "", "", 0, o);
 }
 
-/* Add a question about a job, and have its cell queried for the state. */
-static void question_add(struct state *st, uint64_t call, struct job *j)
+/* Adds a request about a job, and has its cell queried for the state. */
+static void why_request_add(struct state *st, uint64_t call, struct job *j)
 {
-	struct question *q = xcalloc(1, sizeof(*q));
+	struct why_request *q = xcalloc(1, sizeof(*q));
 
 	q->call = call;
 	q->forwarded_by = bstr_copy(st->forwarded_by);
 	q->job = bstr_copy(j->id);
-	q->deadline = st->now + QUESTION_TIMEOUT_MS;
-	TAILQ_INSERT_TAIL(&st->questions, q, entry);
+	q->deadline = st->now + WHY_TIMEOUT_MS;
+	TAILQ_INSERT_TAIL(&st->why_requests, q, entry);
 	j->check_at = st->now; /* queries the cell at the next tick */
 	effect_wake(st, st->now);
 }
 
-static void question_free(struct state *st, struct question *q)
+static void why_request_free(struct state *st, struct why_request *q)
 {
-	TAILQ_REMOVE(&st->questions, q, entry);
+	TAILQ_REMOVE(&st->why_requests, q, entry);
 	bstr_free(&q->forwarded_by);
 	bstr_free(&q->job);
 	free(q);
 }
 
-void questions_free(struct state *st)
+void why_requests_free(struct state *st)
 {
-	struct question *q;
+	struct why_request *q;
 
-	while ((q = TAILQ_FIRST(&st->questions)))
-		question_free(st, q);
+	while ((q = TAILQ_FIRST(&st->why_requests)))
+		why_request_free(st, q);
 }
 
-/* Answer the questions about a job whose cell has reported its state. */
+/* Answers the requests about a job whose cell has reported its state. */
 void op_why_job_answer(struct state *st, const struct job *j)
 {
-	struct question *q, *next;
+	struct why_request *q, *next;
 
-	for (q = TAILQ_FIRST(&st->questions); q; q = next) {
+	for (q = TAILQ_FIRST(&st->why_requests); q; q = next) {
 		next = TAILQ_NEXT(q, entry);
 		if (!bstr_eq(q->job, j->id))
 			continue;
 		why_answer(st, q->forwarded_by, q->call, j);
-		question_free(st, q);
+		why_request_free(st, q);
 	}
 }
 
-/* Answer the questions whose cell did not answer in time with what is known. */
-void questions_tick(struct state *st)
+/* Answers the requests whose cell did not reply in time with what is known. */
+void why_requests_tick(struct state *st)
 {
-	struct question *q, *next;
+	struct why_request *q, *next;
 	struct job *j;
 
-	for (q = TAILQ_FIRST(&st->questions); q; q = next) {
+	for (q = TAILQ_FIRST(&st->why_requests); q; q = next) {
 		next = TAILQ_NEXT(q, entry);
 		if (st->now < q->deadline)
 			continue;
@@ -98,7 +98,7 @@
 			op_answer_to(st, q->forwarded_by, q->call, OP_NOT_FOUND,
 				     "job-unknown",
 				     "its home has moved: ask again", 0, NULL);
-		question_free(st, q);
+		why_request_free(st, q);
 	}
 }
 
@@ -116,7 +116,7 @@
 			  "its answer is no longer kept",
 			  0, NULL);
 	else if (j->phase == PHASE_DISPATCHED)
-		question_add(st, call, j);
+		why_request_add(st, call, j);
 	else
 		why_answer(st, st->forwarded_by, call, j);
 }
@@ -133,7 +133,7 @@
 	for (i = 0; i < CLASS_MAX && !first; i++)
 		first = TAILQ_FIRST(&t->queue[i]);
 	if (first)
-		gate = task_hold_reason(st, c, first, &detail);
+		gate = task_wait_reason(st, c, first, &detail);
 	json_set_str(o, "pool", c->unit->id.pool);
 	json_set_str(o, "dc", c->unit->id.dc);
 	json_set_int(o, "running", team_used(t));
@@ -165,5 +165,5 @@
 		if (t)
 			json_array_append_new(list, why_cell(st, u->cell, t));
 	}
-	op_show(st, call, list);
+	op_answer_ok(st, call, list);
 }
--- a/reduce-worker.c
+++ b/reduce-worker.c
@@ -676,7 +676,7 @@
 	bool gone;
 	bstr vm;
 
-	if (!job_id_soft(t->job, &vm))
+	if (!job_id_is_soft(t->job, &vm))
 		return false;
 	m = member_find(st, vm);
 	gone = !bstr_eq(vm, st->vm) && (!m || !member_alive(m));
--- a/reduce.c
+++ b/reduce.c
@@ -145,7 +145,7 @@
 	TAILQ_INIT(&st->active);
 	TAILQ_INIT(&st->finished);
 	TAILQ_INIT(&st->forwards);
-	TAILQ_INIT(&st->questions);
+	TAILQ_INIT(&st->why_requests);
 	TAILQ_INIT(&st->asks);
 	/*
 	 * No event, proof, answer or lease yet.  Half of INT64_MIN lies far in
@@ -181,7 +181,7 @@
 	while ((c = TAILQ_FIRST(&st->changes)))
 		change_free(st, c);
 	forwards_free(st);
-	questions_free(st);
+	why_requests_free(st);
 	asks_free(st);
 	edits_free(st);
 	waves_free(st);
@@ -358,7 +358,7 @@
 	calls_tick(st);
 	edits_tick(st);
 	waves_tick(st);
-	questions_tick(st);
+	why_requests_tick(st);
 	asks_tick(st);
 }
 
--- a/reduce.h
+++ b/reduce.h
@@ -229,7 +229,7 @@
 /* A record that is not durable yet. */
 struct journal_entry {
 	TAILQ_ENTRY(journal_entry) entry;
-	record rec;
+	journal_record rec;
 	bstr job;
 };
 TAILQ_HEAD(journal_list, journal_entry);
@@ -405,7 +405,8 @@
 	bool boots_loaded;
 	uint64_t boots_request; /* outstanding read or commit */
 	int64_t boots_retry_at;
-	int64_t forgotten_at; /* when boots.forgotten was set or found set */
+	int64_t history_lost_at; /* when boots.history_lost was set or found set
+				  */
 	struct worker *workers;
 	struct task *tasks;
 	struct cell_team *teams;
@@ -522,14 +523,14 @@
 TAILQ_HEAD(wave_change_list, wave_change);
 
 /* An operator's request for why a job waits; needs the answer of its cell. */
-struct question {
-	TAILQ_ENTRY(question) entry;
+struct why_request {
+	TAILQ_ENTRY(why_request) entry;
 	uint64_t call;
 	bstr forwarded_by; /* entry VM that forwarded it; empty: this one */
 	bstr job;
 	int64_t deadline;
 };
-TAILQ_HEAD(question_list, question);
+TAILQ_HEAD(why_request_list, why_request);
 
 /* An operator's request that all entry VMs answer, or another one does. */
 struct ask {
@@ -646,7 +647,7 @@
 	struct job_list finished;
 	unsigned finished_count;
 	struct forward_list forwards;
-	struct question_list questions;
+	struct why_request_list why_requests;
 	struct ask_list asks;
 	bstr forwarded_by; /* of the current operator request; not owned */
 	struct run_time *run_times;
@@ -708,7 +709,6 @@
 void member_free_all(struct state *st);
 void members_paused(struct state *st);
 bool lease_valid(const struct state *st);
-/* Returns the VM that should own a unit, empty if there is none. */
 bstr unit_choose(struct state *st, const struct unit *u);
 bool unit_is_fallback_owner(struct state *st, const struct unit *u);
 bstr unit_choose_next(struct state *st, const struct unit *u, unsigned skipped);
@@ -749,12 +749,11 @@
 /* reduce-claim.c: a shard's journal. */
 void shard_load(struct state *st, struct unit *u);
 void shard_scanned(struct state *st, struct unit *u, const ev_platform *ev);
-void shard_append(struct state *st, struct shard *s, const record *rec);
+void shard_append(struct state *st, struct shard *s, const journal_record *rec);
 void shard_committed(struct state *st, struct unit *u, struct request *rq,
 		     const ev_platform *ev);
 void shard_trimmed(struct state *st, struct unit *u, const ev_platform *ev);
 void shards_tick(struct state *st);
-/* Withdraws a job's claim if it has certainly not been written. */
 bool shard_withdraw(struct state *st, struct shard *s, bstr job);
 bool shard_is_flushed(const struct shard *s);
 void shard_free(struct state *st, struct shard *s);
@@ -778,7 +777,7 @@
 
 /* reduce-job.c: a job at its home. */
 uint32_t job_shard(bstr id);
-bool job_id_soft(bstr id, bstr *vm);
+bool job_id_is_soft(bstr id, bstr *vm);
 struct job *job_find(struct state *st, bstr id);
 struct job *job_new(struct state *st, bstr id, const job_spec *spec,
 		    struct shard *shard);
@@ -808,7 +807,7 @@
 void waiters_free(struct job *j);
 
 /* reduce-home.c: jobs of a shard that is taken over or given up. */
-void job_replay(struct state *st, struct shard *s, const record *rec);
+void job_replay(struct state *st, struct shard *s, const journal_record *rec);
 void jobs_resume(struct state *st, struct shard *s);
 void jobs_drop(struct state *st, struct shard *s);
 
@@ -838,7 +837,7 @@
 void queue_add(struct state *st, struct cell *c, struct task *t);
 void queue_remove(struct cell *c, struct task *t);
 void cell_schedule(struct state *st, struct cell *c);
-const char *task_hold_reason(struct state *st, struct cell *c, struct task *t,
+const char *task_wait_reason(struct state *st, struct cell *c, struct task *t,
 			     bstr *detail);
 void run_time_observe(struct state *st, const struct task *t, uint32_t ran_ms);
 
@@ -851,7 +850,6 @@
 bool worker_usable(const struct state *st, const struct worker *w);
 void worker_free(struct cell *c, struct worker *w);
 void worker_confirm_ended(struct worker *w, bstr task);
-/* Returns false also if this VM does not own the worker's cell. */
 bool worker_is_empty(struct state *st, bstr vm);
 void worker_health_recorded(struct state *st, bstr vm, bool failed);
 void worker_add_unconfirmed(struct worker *w, bstr task,
@@ -890,7 +888,6 @@
 void vms_listed(struct state *st, const ev_platform *ev);
 void vms_tick(struct state *st);
 bool vm_leaving(struct state *st, bstr name);
-/* Returns true if a VM is absent for long enough to count as dead. */
 bool vm_absent(struct state *st, bstr name);
 struct vm *vm_find(struct state *st, bstr name);
 void vms_free(struct state *st);
@@ -931,7 +928,7 @@
 void op_answer_to(struct state *st, bstr asker, uint64_t call, op_status status,
 		  const char *reason, const char *detail,
 		  uint32_t retry_after_ms, json_t *body);
-void op_show(struct state *st, uint64_t call, json_t *body);
+void op_answer_ok(struct state *st, uint64_t call, json_t *body);
 void op_not_found(struct state *st, uint64_t call, const char *what, bstr name);
 void op_object_got(struct state *st, struct request *rq, const ev_platform *ev);
 void json_set_str(json_t *o, const char *name, bstr value);
@@ -941,8 +938,8 @@
 void op_why_job(struct state *st, uint64_t call, const op_request *rq);
 void op_why_team(struct state *st, uint64_t call, const op_request *rq);
 void op_why_job_answer(struct state *st, const struct job *j);
-void questions_tick(struct state *st);
-void questions_free(struct state *st);
+void why_requests_tick(struct state *st);
+void why_requests_free(struct state *st);
 
 /* reduce-ask.c: operators' requests that other entry VMs answer. */
 void ask_all(struct state *st, uint64_t call, const op_request *rq);
--- a/rows.h
+++ b/rows.h
@@ -55,36 +55,36 @@
 };
 typedef struct journal_move journal_move;
 
-struct record {
+struct journal_record {
 	journal_kind kind;
 	union {
 		journal_claim claim;
 		journal_move move;
 		job_view final;
-	} record_u;
+	} journal_record_u;
 };
-typedef struct record record;
+typedef struct journal_record journal_record;
 
 struct journal_row {
 	struct {
 		u_int records_len;
-		record *records_val;
+		journal_record *records_val;
 	} records;
 };
 typedef struct journal_row journal_row;
 
-struct allowance_hold {
+struct cell_allowance {
 	cell_id cell;
 	uint32_t amount;
 };
-typedef struct allowance_hold allowance_hold;
+typedef struct cell_allowance cell_allowance;
 
 struct allowance_row {
 	uint32_t limit;
 	struct {
-		u_int holds_len;
-		allowance_hold *holds_val;
-	} holds;
+		u_int allowances_len;
+		cell_allowance *allowances_val;
+	} allowances;
 };
 typedef struct allowance_row allowance_row;
 
@@ -209,9 +209,9 @@
 extern  bool_t xdr_journal_kind (XDR *, journal_kind*);
 extern  bool_t xdr_journal_claim (XDR *, journal_claim*);
 extern  bool_t xdr_journal_move (XDR *, journal_move*);
-extern  bool_t xdr_record (XDR *, record*);
+extern  bool_t xdr_journal_record (XDR *, journal_record*);
 extern  bool_t xdr_journal_row (XDR *, journal_row*);
-extern  bool_t xdr_allowance_hold (XDR *, allowance_hold*);
+extern  bool_t xdr_cell_allowance (XDR *, cell_allowance*);
 extern  bool_t xdr_allowance_row (XDR *, allowance_row*);
 extern  bool_t xdr_worker_boot (XDR *, worker_boot*);
 extern  bool_t xdr_boots_row (XDR *, boots_row*);
@@ -233,9 +233,9 @@
 extern bool_t xdr_journal_kind ();
 extern bool_t xdr_journal_claim ();
 extern bool_t xdr_journal_move ();
-extern bool_t xdr_record ();
+extern bool_t xdr_journal_record ();
 extern bool_t xdr_journal_row ();
-extern bool_t xdr_allowance_hold ();
+extern bool_t xdr_cell_allowance ();
 extern bool_t xdr_allowance_row ();
 extern bool_t xdr_worker_boot ();
 extern bool_t xdr_boots_row ();
--- a/rows.x
+++ b/rows.x
@@ -52,7 +52,7 @@
 	uint32_t attempt;
 };
 
-union record switch (journal_kind kind) {
+union journal_record switch (journal_kind kind) {
 case JOURNAL_CLAIM:
 	journal_claim claim;
 case JOURNAL_MOVE:
@@ -62,21 +62,21 @@
 };
 
 struct journal_row {
-	record records<LIST_MAX>;
+	journal_record records<LIST_MAX>;
 };
 
 /*
  * allow/<team>: how a team's upper limit is divided among cells.  The sum of
  * holds never exceeds limit in any version of the row.
  */
-struct allowance_hold {
+struct cell_allowance {
 	cell_id cell;
 	uint32_t amount;
 };
 
 struct allowance_row {
 	uint32_t limit;
-	allowance_hold holds<LIST_MAX>;
+	cell_allowance allowances<LIST_MAX>;
 };
 
 /*
--- a/rows_xdr.c
+++ b/rows_xdr.c
@@ -81,7 +81,7 @@
 }
 
 bool_t
-xdr_record (XDR *xdrs, record *objp)
+xdr_journal_record (XDR *xdrs, journal_record *objp)
 {
 	register int32_t *buf;
 
@@ -89,15 +89,15 @@
 		 return FALSE;
 	switch (objp->kind) {
 	case JOURNAL_CLAIM:
-		 if (!xdr_journal_claim (xdrs, &objp->record_u.claim))
+		 if (!xdr_journal_claim (xdrs, &objp->journal_record_u.claim))
 			 return FALSE;
 		break;
 	case JOURNAL_MOVE:
-		 if (!xdr_journal_move (xdrs, &objp->record_u.move))
+		 if (!xdr_journal_move (xdrs, &objp->journal_record_u.move))
 			 return FALSE;
 		break;
 	case JOURNAL_FINAL:
-		 if (!xdr_job_view (xdrs, &objp->record_u.final))
+		 if (!xdr_job_view (xdrs, &objp->journal_record_u.final))
 			 return FALSE;
 		break;
 	default:
@@ -112,13 +112,13 @@
 	register int32_t *buf;
 
 	 if (!xdr_array (xdrs, (char **)&objp->records.records_val, (u_int *) &objp->records.records_len, LIST_MAX,
-		sizeof (record), (xdrproc_t) xdr_record))
+		sizeof (journal_record), (xdrproc_t) xdr_journal_record))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_allowance_hold (XDR *xdrs, allowance_hold *objp)
+xdr_cell_allowance (XDR *xdrs, cell_allowance *objp)
 {
 	register int32_t *buf;
 
@@ -136,8 +136,8 @@
 
 	 if (!xdr_uint32_t (xdrs, &objp->limit))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->holds.holds_val, (u_int *) &objp->holds.holds_len, LIST_MAX,
-		sizeof (allowance_hold), (xdrproc_t) xdr_allowance_hold))
+	 if (!xdr_array (xdrs, (char **)&objp->allowances.allowances_val, (u_int *) &objp->allowances.allowances_len, LIST_MAX,
+		sizeof (cell_allowance), (xdrproc_t) xdr_cell_allowance))
 		 return FALSE;
 	return TRUE;
 }
