--- a/sched-move.c
+++ b/sched-move.c
@@ -31,13 +31,15 @@
 #define IDLE_MIN_MS 2500
 /*
  * The share of its workers that a pool keeps free for new jobs, as bursts come
- * without warning.  A value of 0.2 costs 0.03 of a day's credit, 0.7 costs a
- * third of that.
+ * without warning.  With a much lower share the jobs of a burst are late.  With
+ * a higher one fewer machines can be lent to pools that need them, and jobs
+ * there are late; that costs less.
  */
 #define FREE_SHARE_MIN 0.5
 /*
- * A pool lends at most this share of its own machines to other pools.  With
- * 0.7, 0.013 of a day's credit was lost on one site and none on another.
+ * A pool lends at most this share of its own machines to other pools.  With a
+ * higher share it may lack them when its own load rises, until they are moved
+ * back.
  */
 #define LENT_SHARE 0.5
 /* A long-running task that waits for this long needs another worker. */
@@ -367,7 +369,7 @@
 	       p->empty > (unsigned)(FREE_SHARE_MIN * p->workers) + 1;
 }
 
-/* Returns the limit of the moves begun in this pass. */
+/* Returns the limit of the moves begun in one pass. */
 static unsigned moves_limit(const struct sched *s)
 {
 	unsigned n = HASH_COUNT(s->machines) / MOVES_FLEET_DIVISOR;
@@ -621,6 +623,7 @@
 	}
 }
 
+/* Frees the times that pools need for their work. */
 void backlogs_free(struct sched *s)
 {
 	size_t i;
--- a/sched-place.c
+++ b/sched-place.c
@@ -19,8 +19,8 @@
 /*
  * Per long-running task on it.  Long-running tasks share workers, and short
  * tasks go to the fullest worker with room, so that other machines of a pool
- * become empty and can move to a pool that needs them.  Together this is worth
- * 0.045 of a day's credit at one site and 0.014 at another.
+ * become empty and can move to a pool that needs them.  Without this, more jobs
+ * of such pools miss their objective.
  */
 #define SCORE_LONG_RUNNING 1e5
 #define SCORE_CPU_USED 1e4 /* if all of its cores are used */
@@ -629,7 +629,7 @@
 	if (p.open_jobs > PASS_JOBS_MIN)
 		s->place_at += p.open_jobs / PASS_JOBS_PER_MS;
 	/*
-	 * Delays of tasks and suspensions of workers end without an event, so
+	 * Delays of tasks and of suspect workers end without an event, so
 	 * pending tasks are considered again at the next tick.
 	 */
 	s->has_pending_tasks = s->has_pending_tasks || s->has_delayed_tasks;
