--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -150,7 +150,7 @@
 	return u ? bstr_copy(unit_choose(st, u)) : BSTR_NONE;
 }
 
-/* Sends the state of a task to a VM.  serial: query answered, or 0. */
+/* Sends a task's state to a VM; serial is that of the query answered, or 0. */
 static void task_send_update(struct state *st, struct cell *c, struct task *t,
 			     bstr to, uint64_t serial)
 {
@@ -517,7 +517,7 @@
 	}
 	HASH_FIND_BSTR(u->cell->tasks, m->job, t);
 	if (t) {
-		/* A duplicate, or the home gave up the attempt held here. */
+		/* A duplicate, or the home has given up the attempt here. */
 		effect_count(st, COUNT_DROPPED_DUPLICATE, 1);
 		if (t->attempt != m->attempt)
 			effect_log(st, LOG_PEER_CONFUSED,
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -12,7 +12,7 @@
 #define CLAIM_TIMEOUT_MS 1500
 /* Interval between queries to a cell about a dispatched job. */
 #define CHECK_INTERVAL_MS 15000
-/* The same while the job is cancelled, in doubt or its cell changes owner. */
+/* The same while it is cancelled, uncertain or its cell changes owner. */
 #define CHECK_RETRY_MS 500
 /* Interval between attempts to find a cell for a job. */
 #define DISPATCH_RETRY_MS 200
@@ -640,7 +640,7 @@
 		job_finish(st, j);
 }
 
-/* The VM that a message was sent to does not own the cell and ignored it. */
+/* Handles the reply that a VM does not own the cell and ignored a message. */
 void job_unowned(struct state *st, const pm_unowned *m)
 {
 	struct job *j = job_find(st, m->job);
@@ -658,7 +658,7 @@
 	j->check_at = st->now + DISPATCH_RETRY_MS;
 }
 
-/* Messages to a VM may be lost: queries it soon for the jobs that it has. */
+/* Has the jobs of a VM queried soon, as messages to it may have been lost. */
 void jobs_peer_lost(struct state *st, bstr vm)
 {
 	struct job *j;
--- a/reduce-limit.c
+++ b/reduce-limit.c
@@ -32,7 +32,7 @@
 	return bstr_printf("allow/%.*s", BSTR_ARG(team));
 }
 
-/* Returns a cell's hold in a row, NULL if it has none. */
+/* Returns a cell's allowance in a row, NULL if it has none. */
 static cell_allowance *allowance_find(const allowance_row *row,
 				      const cell_id *cell)
 {
@@ -255,10 +255,10 @@
  * Handles the outcome of writing a team's row.  After a conflict or an unknown
  * outcome, the row is read before it is written again.  Until then the lesser
  * of the old and the new amount is in force, so a cell goes on with that while
- * the platform is down.  Only the owner of this cell changes the cell's hold:
- * after a conflict, the other writer has changed the hold of another cell, or
- * is the next owner of this one, which leaves room for the tasks that may run
- * here until the workers answer to it.
+ * the platform is down.  Only the owner of this cell changes the cell's
+ * allowance: after a conflict, the other writer has changed that of another
+ * cell, or is the next owner of this one, which leaves room for the tasks that
+ * may run here until the workers answer to it.
  */
 void allowance_committed(struct state *st, struct request *rq,
 			 const ev_platform *ev)
@@ -333,7 +333,7 @@
 
 	if (!unit_is_active(st, u) || !u->cell)
 		return;
-	/* The row may have a hold that an earlier owner left: read it first. */
+	/* An earlier owner may have left an allowance: read the row first. */
 	t = cell_team_get(st, u->cell, m->team);
 	t->return_requested = m->amount;
 	t->loaded = t->loaded && t->allowance;
--- a/reduce.h
+++ b/reduce.h
@@ -416,7 +416,7 @@
 	unsigned long_running;
 	unsigned slots;	       /* of usable workers, in the current pass */
 	int64_t rebalance_at;  /* no preemption between teams before this */
-	int64_t last_quick_at; /* when short or urgent work last came */
+	int64_t last_quick_at; /* when short or urgent work was last queued */
 	bool dirty;	       /* needs a scheduling pass */
 };
 
--- a/rows.x
+++ b/rows.x
@@ -67,7 +67,7 @@
 
 /*
  * allow/<team>: how a team's upper limit is divided among cells.  The sum of
- * holds never exceeds limit in any version of the row.
+ * amounts never exceeds limit in any version of the row.
  */
 struct cell_allowance {
 	cell_id cell;
--- a/sched-job.c
+++ b/sched-job.c
@@ -130,11 +130,12 @@
 }
 
 /*
- * Returns true if tasks of a job may be started.  The store has to record that
- * before the first start.  A successor can then start jobs without that record
- * at once, even if it can't reach some workers; otherwise it would have to wait
- * for the end of all leases, 6 s, for jobs that never began.  The cost is one
- * row per job, written together with others, and a few milliseconds of delay.
+ * Returns true if tasks of a job may be started.  If not, has the start of the
+ * job recorded in the store first.  A successor can start jobs without that
+ * record at once, even if it can't reach some workers; otherwise it would have
+ * to wait for the end of all leases, 6 s, for jobs that never began.  The cost
+ * is one row per job, written together with others, and a few milliseconds of
+ * delay.
  */
 bool job_request_start(struct sched *s, struct job *j)
 {
@@ -314,7 +315,7 @@
 	TAILQ_INSERT_TAIL(&s->dirty, j, dirty);
 }
 
-/* Remembers a final job until its rows may be removed. */
+/* Adds a job to the final ones, whose rows are removed later. */
 static void job_retire(struct sched *s, const char *id, int64_t ended)
 {
 	struct retired *r;
@@ -329,7 +330,7 @@
 	TAILQ_INSERT_TAIL(&s->retired_order, r, entry);
 }
 
-/* Forgets a final job. */
+/* Removes a job from the final ones. */
 void job_unretire(struct sched *s, struct retired *r)
 {
 	TAILQ_REMOVE(&s->retired_order, r, entry);
--- a/sched-limit.c
+++ b/sched-limit.c
@@ -203,7 +203,7 @@
 	return !maximum || used + need <= maximum;
 }
 
-/* Returns true if this holds for all resources. */
+/* Returns true if limit_fits_one is true of every resource. */
 static bool limit_fits(struct resources used, struct resources need,
 		       struct resources maximum)
 {
--- a/sched-note.c
+++ b/sched-note.c
@@ -27,9 +27,9 @@
  * it.
  *
  * Workers that may hold leases of this owner are noted in the store before they
- * get tasks.  A worker's own row may lapse while the worker is cut off but
+ * get tasks.  A worker's own row may expire while the worker is cut off but
  * running; a successor that doesn't know of the worker would start its tasks
- * elsewhere.  Workers that hold nothing any more are dropped from the note in
+ * elsewhere.  Workers without leases are dropped from the note in
  * time, because a successor waits for every process in it until no lease can be
  * valid, also for each earlier process of a machine that moved.
  *
--- a/sched-order.c
+++ b/sched-order.c
@@ -44,12 +44,12 @@
 #define START_WINDOW_CUT_INTERVAL_MS 150
 
 /*
- * Returns true if as many starts are in flight as the owner can process the
- * answers of in time.  An owner short of processor time that sent more would
- * process the answers after their timeouts: tasks would run but count as
- * uncertain, and connections would be replaced as suspect, which takes more
- * processor time, so that the owner would never recover.  With the window the
- * owner sends what it can handle, and the other starts wait.
+ * Returns true if no more starts may be in flight, as the owner could not
+ * process their answers in time.  An owner short of processor time that sent
+ * more would process the answers after their timeouts: tasks would run but
+ * count as uncertain, and connections would be replaced as suspect, which takes
+ * more processor time, so that the owner would never recover.  With the window
+ * the owner sends what it can handle, and the other starts wait.
  */
 bool start_window_is_full(const struct sched *s)
 {
--- a/sched-own.c
+++ b/sched-own.c
@@ -168,9 +168,10 @@
 }
 
 /*
- * Records a new sign of life of the owner.  A row that is only read once more,
- * because the feed's history was discarded, is none: it would be read again and
- * again, and nobody would replace an owner that is dead.
+ * Restarts the owner's timeout after a heartbeat or a change of owner.  A row
+ * that is only read once more, because the feed's history was discarded, must
+ * not: it would be read again and again, and nobody would replace an owner that
+ * has failed.
  */
 static void own_record_activity(struct sched *s)
 {
--- a/sched-pool.c
+++ b/sched-pool.c
@@ -51,9 +51,10 @@
 
 /*
  * Assigns a worker to the pool of its service, and counts it there if its runs
- * are unknown.  To be called when one of both changes.  During a takeover the
- * count is used for each job and worker, and iterating over the workers each
- * time would take all of the owner's time.
+ * are unknown.  Must be called when its service changes or its runs become
+ * known or unknown.  During a takeover the count is used for each job and
+ * worker, and iterating over the workers each time would take all of the
+ * owner's time.
  */
 void worker_update_unknown(struct sched *s, struct worker *w)
 {
--- a/sched-state.h
+++ b/sched-state.h
@@ -469,8 +469,8 @@
 enum follow_index {
 	FOLLOW_OPERATOR,
 	FOLLOW_OWNER,
-	FOLLOW_WORKERS, /* owner only */
-	FOLLOW_JOBS,	/* owner only */
+	FOLLOW_WORKERS, /* by the owner only */
+	FOLLOW_JOBS,	/* by the owner only */
 	FOLLOW_MAX
 };
 
--- a/sched-worker.c
+++ b/sched-worker.c
@@ -16,8 +16,8 @@
 /* Minimum interval between stops of stray runs on one worker. */
 #define STRAY_STOP_INTERVAL_MS 300
 /*
- * A task with a held end is not started again for this time.  The worker lists
- * the end again sooner than that.
+ * A task whose end is deferred is not started again for this time.  The worker
+ * lists the end again sooner than that.
  */
 #define DEFERRED_END_DELAY_MS 1500
 /* Interval of the log line about the workers that a new owner waits for. */
@@ -161,8 +161,8 @@
 
 /*
  * Returns true if an unanswered start may have reached a later process of its
- * worker than the known one.  A connection opened before the latest sign of the
- * known process can't lead to a later one.
+ * worker than the known one.  A connection opened before the known process was
+ * last known to exist can't lead to a later one.
  */
 static bool start_may_reach_later_process(const struct task *t)
 {
@@ -513,8 +513,8 @@
 }
 
 /*
- * Logs at intervals which worker the owner has waited for longest, with the
- * state that explains why.
+ * Logs at intervals the worker that the owner has waited for longest, with the
+ * state that explains the wait.
  */
 static void settle_log(struct sched *s)
 {
@@ -564,7 +564,7 @@
 		  (long long)(s->now - s->own.owned_at));
 }
 
-/* Checks all workers. */
+/* Checks the timeouts of all workers. */
 void worker_tick(struct sched *s)
 {
 	struct worker *w, *next;
@@ -691,8 +691,8 @@
 }
 
 /*
- * Returns the task that requires an end to be held, or NULL.  The task's run
- * was given up as lost, and its next start is in flight.  If the end were
+ * Returns the task that requires an end to be deferred, or NULL.  The task's
+ * run was given up as lost, and its next start is in flight.  If the end were
  * acknowledged now, that start could be carried out afterwards, and the task
  * would run again although it is done.
  */
@@ -710,9 +710,9 @@
 }
 
 /*
- * Returns the number of the first end in a list that has to be held.  Its task
- * is not started again until the end and the outcome of the start have been
- * processed.
+ * Returns the number of the first end in a list that has to be deferred, or
+ * UINT64_MAX if there is none.  Its task is not started again until the end and
+ * the outcome of the start have been processed.
  */
 static uint64_t ends_find_deferred(struct sched *s, const struct worker *w,
 				   const struct answer *a)
@@ -738,7 +738,7 @@
  * Processes all new ends of a list, in any order.  The acknowledgement covers
  * all numbers up to the highest processed, so an end that was skipped would be
  * lost, and its task would start again although it is done.  For the same
- * reason no end after a held one is processed.
+ * reason no end after a deferred one is processed.
  */
 static void ends_process(struct sched *s, struct worker *w,
 			 const struct answer *a)
