--- a/reduce-member.c
+++ b/reduce-member.c
@@ -11,7 +11,7 @@
 /* Added to a lease for differences in clock speed and for late scans. */
 #define LEASE_MARGIN_MS 1000
 
-/* Find a member; NULL if there is none, or it is this VM itself. */
+/* Returns a member, or NULL if there is none, or it is this VM itself. */
 struct member *member_find(struct state *st, bstr vm)
 {
 	struct member *m;
@@ -55,7 +55,7 @@
 	return st->now < st->lease_until;
 }
 
-/* Send a message to a peer, or deliver it locally if it is for this VM. */
+/* Sends a message to a peer, or delivers it locally if it is for this VM. */
 void peer_send(struct state *st, bstr to, const peer_message *m)
 {
 	struct local_message *lm;
@@ -155,7 +155,7 @@
 	return bstr_eq(unit_best_below(st, u, true, &bound), st->vm);
 }
 
-/* Renew our lease: write our own member row with the next seq. */
+/* Renews this VM's lease: writes its own member row with the next seq. */
 static void member_renew(struct state *st)
 {
 	member_row row = {st->vm,	   st->dc,	     st->address,
@@ -174,11 +174,11 @@
 }
 
 /*
- * Handle a renewal that failed because its row had another revision.  Before
- * our first renewal, the row is that of an earlier process of this VM:
- * replace it.  Later, a missing row was removed while we were paused: join
- * again.  Another incarnation in the row means that a newer process runs
- * under our name: exit.
+ * Handles a renewal that failed because its row had another revision.  Before
+ * the first renewal, the row is that of an earlier process of this VM, and is
+ * replaced.  Later, a missing row was removed while this VM was paused, which
+ * then joins again.  Another incarnation in the row means that a newer process
+ * runs under the same name, and this one exits.
  */
 static void member_conflict(struct state *st, const ev_platform *ev)
 {
@@ -206,7 +206,7 @@
 	st->renew_at = st->now;
 }
 
-/* Handle the outcome of a renewal. */
+/* Handles the outcome of a renewal. */
 void member_renewed(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	int64_t until = rq->sent_at + st->member_lease_ms;
@@ -233,7 +233,7 @@
 		st->lease_until = until;
 }
 
-/* Handle the read of our own row after an uncertain renewal. */
+/* Handles the read of this VM's own row after an uncertain renewal. */
 void member_read(struct state *st, const ev_platform *ev)
 {
 	st->renew_at = st->now;
@@ -243,7 +243,7 @@
 }
 
 /*
- * Restart the expiry of all members' leases after this process was paused or
+ * Restarts the expiry of all members' leases after this process was paused or
  * its clock jumped.  Counted across the gap, the lease of a live owner would
  * seem to have expired, and its units would be taken from it.
  */
@@ -255,7 +255,7 @@
 		m->seen_at = st->now;
 }
 
-/* Add or update a member from its row, as read by a scan sent at sent_at. */
+/* Adds or updates a member from its row, as read by a scan sent at sent_at. */
 static void member_row_apply(struct state *st, const table_row *r,
 			     int64_t sent_at)
 {
@@ -322,7 +322,7 @@
 }
 
 /*
- * Remove the row of a member whose lease expired long ago.  Until then the row
+ * Removes the row of a member whose lease expired long ago.  Until then the row
  * must stay, because without the platform the VMs prove to each other that the
  * configuration is fresh, and need to hear from every VM that has a row.  Each
  * VM attempts the removal in one of 32 scans on average.
@@ -343,7 +343,7 @@
 	bstr_free(&key);
 }
 
-/* Handle a scan of all member rows; a member without a row is removed. */
+/* Handles a scan of all member rows; a member without a row is removed. */
 void member_scanned(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct member *m, *next;
@@ -382,7 +382,7 @@
 	return p;
 }
 
-/* Ping every member, also those with an expired lease: they may be back. */
+/* Pings every member, also those with an expired lease: they may be back. */
 void member_ping_all(struct state *st)
 {
 	peer_message msg = {.kind = PM_PING};
@@ -397,7 +397,7 @@
 	st->ping_at = st->now + st->ping_ms;
 }
 
-/* Handle a peer's ping, or its answer (pong) to ours. */
+/* Handles a peer's ping, or its answer (pong) to one of this VM. */
 void member_ping(struct state *st, bstr from, const pm_ping *p, bool pong)
 {
 	struct member *m = member_find(st, from);
@@ -426,7 +426,7 @@
 }
 
 /*
- * Handle a peer's announcement of its planned stop: other VMs are chosen for
+ * Handles a peer's announcement of its planned stop: other VMs are chosen for
  * its units without waiting for its lease to expire.
  */
 void member_leaving(struct state *st, bstr from)
@@ -437,7 +437,9 @@
 		m->leaving = true;
 }
 
-/* Renew our lease, scan the member rows and ping the peers when due. */
+/*
+ * Renews this VM's lease, scans the member rows and pings the peers when due.
+ */
 void member_tick(struct state *st)
 {
 	if (!st->member_request && st->now >= st->renew_at)
--- a/reduce-own.c
+++ b/reduce-own.c
@@ -12,7 +12,7 @@
 /* Hand a unit over once another VM has been its better owner for this long. */
 #define UNIT_HANDOVER_MS 1000
 
-/* Find a unit by the key of its row. */
+/* Returns the unit with a row's key, or NULL. */
 struct unit *unit_find(struct state *st, bstr name)
 {
 	struct unit *u;
@@ -21,7 +21,7 @@
 	return u;
 }
 
-/* Find the unit of a cell; NULL if no configuration has named it. */
+/* Returns the unit of a cell, or NULL if no configuration has named it. */
 struct unit *unit_of_cell(struct state *st, const cell_id *id)
 {
 	bstr name = bstr_printf("cell/%.*s/%.*s", BSTR_ARG(id->pool),
@@ -32,7 +32,7 @@
 	return u;
 }
 
-/* Find the unit of a shard; NULL before there is a configuration. */
+/* Finds the unit of a shard; NULL before there is a configuration. */
 struct unit *unit_of_shard(struct state *st, uint32_t index)
 {
 	bstr name = bstr_printf("shard/%u", index);
@@ -52,7 +52,7 @@
 	return u && u->state == UNIT_OWNED && !u->unverified;
 }
 
-/* Allocate an idle unit.  Takes ownership of name. */
+/* Allocates an idle unit.  Takes ownership of name. */
 static struct unit *unit_new(struct state *st, enum unit_kind kind, bstr name)
 {
 	struct unit *u = xcalloc(1, sizeof(*u));
@@ -64,7 +64,7 @@
 	return u;
 }
 
-/* Free the cell or shard state that a unit's owner keeps. */
+/* Frees the cell or shard state that a unit's owner keeps. */
 static void unit_free_content(struct state *st, struct unit *u)
 {
 	if (u->cell)
@@ -91,7 +91,7 @@
 }
 
 /*
- * Give up a unit without writing its row, and read the row again after a
+ * Gives up a unit without writing its row, and reads the row again after a
  * random delay.
  */
 void unit_drop(struct state *st, struct unit *u, const char *why)
@@ -113,7 +113,7 @@
 }
 
 /*
- * Have the rows of all units read before this VM acts on them again, because
+ * Has the rows of all units read before this VM acts on them again, because
  * other VMs may have taken them over.
  */
 void units_mark_unverified(struct state *st)
@@ -124,16 +124,16 @@
 		u->unverified = u->state != UNIT_IDLE;
 }
 
-/* Request a unit's row. */
+/* Requests a unit's row. */
 static void unit_request_row(struct state *st, struct unit *u)
 {
 	table_read(st, REQ_UNIT_READ, u->name, &u->name, 1);
 }
 
 /*
- * Let a commit fail if the owner that is replaced has renewed its lease.  An
- * owner that was cut off may be back since our last scan: it has found its
- * name in its units' rows and acts on them again, so they must not be taken
+ * Lets a commit fail if the owner that is replaced has renewed its lease.  An
+ * owner that was cut off may be back since this VM's last scan: it has found
+ * its name in its units' rows and acts on them again, so they must not be taken
  * from it.
  */
 static void unit_check_owner(struct state *st, fx_commit *c, bstr owner)
@@ -148,7 +148,7 @@
 	bstr_free(&key);
 }
 
-/* Replace a unit's row, whose owner is from, at the revision last read. */
+/* Replaces a unit's row, whose owner is from, at the revision last read. */
 static void unit_write(struct state *st, struct unit *u, enum request_kind kind,
 		       bstr from, bstr owner, uint64_t epoch)
 {
@@ -184,7 +184,7 @@
 	return false;
 }
 
-/* Verify that a unit is still ours from its row; drop it if it is not. */
+/* Drops a unit if its row shows that this VM no longer owns it. */
 static void unit_verify(struct state *st, struct unit *u, const table_row *r,
 			const unit_row *row)
 {
@@ -197,10 +197,10 @@
 }
 
 /*
- * Handle the row of a unit that this VM does not own: claim the unit if this
+ * Handles the row of a unit that this VM does not own: claims the unit if this
  * VM should own it.  The row may still name this VM, if it dropped the unit or
- * its release got no answer.  As its lease is valid, no other VM would take
- * the unit over, and it would remain unserved; so release it.
+ * its release got no answer.  As its lease is valid, no other VM would take the
+ * unit over, and it would remain unserved; so it is released.
  */
 static void unit_claim_or_release(struct state *st, struct unit *u, bstr owner)
 {
@@ -217,7 +217,7 @@
 	}
 }
 
-/* Handle the read of a unit's row. */
+/* Handles the read of a unit's row. */
 void unit_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct unit *u = unit_find(st, rq->name);
@@ -247,7 +247,7 @@
 	xdr_free(XDR_PROC(xdr_unit_row), (char *)&row);
 }
 
-/* Become the owner of a unit: its journal is loaded, or it is a cell. */
+/* Becomes the owner of a unit: a cell, or a shard whose journal is loaded. */
 void unit_loaded(struct state *st, struct unit *u)
 {
 	u->state = UNIT_OWNED;
@@ -258,7 +258,7 @@
 	effect_count(st, COUNT_TAKEOVERS, 1);
 }
 
-/* Handle the outcome of a claim. */
+/* Handles the outcome of a claim. */
 void unit_claimed(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct unit *u = unit_find(st, rq->name);
@@ -281,7 +281,7 @@
 	}
 }
 
-/* Handle the outcome of a release: drop the unit whatever it is. */
+/* Handles the outcome of a release: drops the unit whatever it is. */
 void unit_released(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct unit *u = unit_find(st, rq->name);
@@ -292,9 +292,9 @@
 }
 
 /*
- * Release a unit.  A shard's records must be durable first.  The next owner of
- * a cell learns of started tasks from the workers, and the homes of queued
- * ones query it.
+ * Releases a unit.  A shard's records must be durable first.  The next owner of
+ * a cell learns of started tasks from the workers, and the homes of queued ones
+ * query it.
  */
 static void unit_release(struct state *st, struct unit *u)
 {
@@ -325,7 +325,7 @@
 	return st->now - u->handover_wanted_at >= UNIT_HANDOVER_MS;
 }
 
-/* Start the next step of a unit that is idle or owned, if one is due. */
+/* Starts the next step of a unit that is idle or owned, if one is due. */
 static void unit_advance(struct state *st, struct unit *u)
 {
 	switch (u->state) {
@@ -357,7 +357,7 @@
 	}
 }
 
-/* Create the configured units, and mark those that no longer are. */
+/* Creates the configured units, and marks those that no longer are. */
 static void units_configure(struct state *st)
 {
 	struct unit *u, *un;
@@ -393,7 +393,7 @@
 	}
 }
 
-/* Acquire, verify and hand over units, and report how many are owned. */
+/* Acquires, verifies and hands over units, and reports how many are owned. */
 void units_tick(struct state *st)
 {
 	uint64_t cells = 0, shards = 0;
--- a/reduce-pool.c
+++ b/reduce-pool.c
@@ -57,7 +57,7 @@
 	edit_free(st, e);
 }
 
-/* Read the rows that an edit depends on.  edit_read goes on from there. */
+/* Reads the rows that an edit depends on.  edit_read goes on from there. */
 static void edit_start(struct state *st, struct edit *e)
 {
 	const op_vm *o = &e->request.op_request_u.vm;
@@ -79,7 +79,7 @@
 	bstr_free(&name);
 }
 
-/* Allocate an edit of a VM's row. */
+/* Allocates an edit of a VM's row. */
 static struct edit *edit_new(struct state *st, enum edit_kind kind, bstr vm)
 {
 	struct edit *e = xcalloc(1, sizeof(*e));
@@ -92,7 +92,7 @@
 	return e;
 }
 
-/* Start an operator's change of a VM, or refuse it without the platform. */
+/* Starts an operator's change of a VM, or refuses it without the platform. */
 void edit_add(struct state *st, uint64_t call, const op_request *rq)
 {
 	struct edit *e;
@@ -121,7 +121,7 @@
 }
 
 /*
- * Record what the owner of a VM's cell has observed, unless an edit of this
+ * Records what the owner of a VM's cell has observed, unless an edit of this
  * kind is in progress.
  */
 void edit_vm(struct state *st, enum edit_kind kind, bstr vm, bstr boot)
@@ -138,7 +138,7 @@
 }
 
 /*
- * Drain a VM for a wave or return it from the wave, unless an edit of this
+ * Drains a VM for a wave or returns it from the wave, unless an edit of this
  * kind is in progress.
  */
 void edit_wave(struct state *st, enum edit_kind kind, bstr vm, bstr wave,
@@ -168,7 +168,7 @@
 };
 
 /*
- * Decode the rows of an edit; a missing row is empty.  Returns false if they
+ * Decodes the rows of an edit; a missing row is empty.  Returns false if they
  * could not be read or decoded.
  */
 static bool edit_rows_decode(struct edit_rows *r, const ev_platform *ev)
@@ -208,7 +208,7 @@
 	return -1;
 }
 
-/* Add a VM to its pool's out VMs; if it is listed, update the reason. */
+/* Adds a VM to its pool's out VMs; if it is listed, updates the reason. */
 static void out_add(struct edit_rows *r, bstr vm, out_reason reason)
 {
 	pool_row *p = &r->pool;
@@ -236,7 +236,7 @@
 	return i >= 0 && p->out_vms.out_vms_val[i].reason == OUT_FAILED;
 }
 
-/* Remove a VM from its pool's out VMs. */
+/* Removes a VM from its pool's out VMs. */
 static void out_remove(struct edit_rows *r, bstr vm)
 {
 	pool_row *p = &r->pool;
@@ -250,7 +250,7 @@
 	r->pool_write = true;
 }
 
-/* Set the result of a refused edit.  Takes ownership of detail. */
+/* Sets the result of a refused edit.  Takes ownership of detail. */
 static op_status edit_refuse(struct edit_rows *r, op_status status,
 			     const char *reason, char *detail)
 {
@@ -270,7 +270,7 @@
 	return false;
 }
 
-/* Add a VM to a pool. */
+/* Adds a VM to a pool. */
 static op_status edit_add_vm(struct state *st, const op_vm *o,
 			     struct edit_rows *r)
 {
@@ -306,9 +306,9 @@
 }
 
 /*
- * Begin to drain a VM, to take it out or to move it to another pool.  The VM
- * must fit into its pool's availability budget, unless it counts as out
- * already because it has failed.
+ * Begins to drain a VM, to take it out or to move it to another pool.  The VM
+ * must fit into its pool's availability budget, unless it counts as out already
+ * because it has failed.
  */
 static op_status edit_drain(struct state *st, const op_vm *o, bool move,
 			    struct edit_rows *r)
@@ -358,7 +358,7 @@
 }
 
 /*
- * Make a VM active again.  One that has failed stays counted as out until its
+ * Makes a VM active again.  One that has failed stays counted as out until its
  * worker answers; otherwise another VM could use its part of the budget while
  * it is still down.
  */
@@ -377,9 +377,9 @@
 }
 
 /*
- * Return a VM for an operator.  While a wave has it out, the platform may
- * already have been asked to reboot it, which would kill the tasks that it is
- * given on its return.  It has to be taken out of the wave first.
+ * Returns a VM to work for an operator.  While a wave has it out, the platform
+ * may already have been asked to reboot it, which would kill the tasks that it
+ * is given on its return.  It has to be taken out of the wave first.
  */
 static op_status edit_operator_return(struct edit_rows *r)
 {
@@ -393,7 +393,7 @@
 	return edit_return(r);
 }
 
-/* Apply that a worker which was counted as failed answers again. */
+/* Handles that a worker which was counted as failed answers again. */
 static op_status edit_recovered(struct edit_rows *r)
 {
 	r->reason = "recovered";
@@ -441,11 +441,11 @@
 }
 
 /*
- * Drain a VM for a wave.  While its VMs are out, a wave keeps enough of the
- * budget free for the loss of the largest rack.  If the budget is too small
- * for the loss of a rack at all, the wave drains one VM at a time, and only
- * while no other VM is out.  A failed VM can't be drained, so it waits until
- * it has recovered.
+ * Drains a VM for a wave.  While its VMs are out, a wave keeps enough of the
+ * budget free for the loss of the largest rack.  If the budget is too small for
+ * the loss of a rack at all, the wave drains one VM at a time, and only while
+ * no other VM is out.  A failed VM can't be drained, so it waits until it has
+ * recovered.
  */
 static op_status edit_wave_drain(struct state *st, struct edit *e,
 				 struct edit_rows *r)
@@ -487,9 +487,8 @@
 }
 
 /*
- * Return a VM to work after its reboot by a wave.  Its row continues to name
- * the wave, so that the entry VM that runs the wave next knows that it is
- * done.
+ * Returns a VM to work after its reboot by a wave.  Its row continues to name
+ * the wave, so that the entry VM that runs the wave next knows that it is done.
  */
 static op_status edit_rebooted(struct edit *e, struct edit_rows *r)
 {
@@ -501,7 +500,7 @@
 }
 
 /*
- * Return a VM that a cancelled wave was still draining.  One that is drained
+ * Returns to work a VM that a cancelled wave was draining.  One that is drained
  * already may be rebooting; it returns after the reboot.
  */
 static op_status edit_wave_return(struct edit *e, struct edit_rows *r)
@@ -512,7 +511,7 @@
 	return edit_return(r);
 }
 
-/* Remove a VM from the fleet.  It must be out, or have failed. */
+/* Removes a VM from the fleet.  It must be out, or have failed. */
 static op_status edit_remove_vm(struct edit_rows *r)
 {
 	if (r->vm.state != VM_OUT && !out_failed(&r->pool, r->vm.vm))
@@ -525,8 +524,8 @@
 }
 
 /*
- * Complete the drain of an empty VM: it is out, or active in its new pool.
- * The VM was seen empty under a certain revision of its row.  If the row has
+ * Completes the drain of an empty VM: it is out, or active in its new pool. The
+ * VM was seen empty under a certain revision of its row.  If the row has
  * changed since, the VM may have been given tasks in between, even if it is
  * draining again.
  */
@@ -550,7 +549,7 @@
 	return OP_OK;
 }
 
-/* Apply an edit to the rows that were read. */
+/* Applies an edit to the rows that were read. */
 static op_status edit_apply(struct state *st, struct edit *e,
 			    struct edit_rows *r)
 {
@@ -595,7 +594,7 @@
 	}
 }
 
-/* Add a VM to the head's recent changes, so that all VMs read its row. */
+/* Adds a VM to the head's recent changes, so that all VMs read its row. */
 static void head_add_change(vms_head *h, bstr vm)
 {
 	vm_change *list = h->recent.recent_val;
@@ -613,7 +612,7 @@
 }
 
 /*
- * Commit an edit atomically: the rows of the VM and its pool, and the head if
+ * Commits an edit atomically: the rows of the VM and its pool, and the head if
  * the VM's row changes.
  */
 static void edit_commit(struct state *st, struct edit *e, struct edit_rows *r)
@@ -643,7 +642,7 @@
 	bstr_free(&vm);
 }
 
-/* Find an edit by the name of its request; NULL if it has ended. */
+/* Returns an edit by the name of its request, or NULL if it has ended. */
 static struct edit *edit_find(struct state *st, bstr name)
 {
 	struct edit *e;
@@ -656,7 +655,7 @@
 }
 
 /*
- * Have an edit retried from the start after a delay, or give it up.  An edit
+ * Has an edit retried from the start after a delay, or gives it up.  An edit
  * that no operator requested is dropped after the delay instead: whoever
  * requested it does so again if there still is reason to.
  */
@@ -670,7 +669,7 @@
 			    "nothing was changed", RETRY_AFTER_MS * 2);
 }
 
-/* Handle the rows of an edit: check it against them and commit it. */
+/* Handles the rows of an edit: checks it against them and commits it. */
 void edit_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct edit *e = edit_find(st, rq->name);
@@ -710,7 +709,7 @@
 	edit_rows_free(&r);
 }
 
-/* Handle the outcome of an edit's commit. */
+/* Handles the outcome of an edit's commit. */
 void edit_committed(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct edit *e = edit_find(st, rq->name);
@@ -739,7 +738,7 @@
 	}
 }
 
-/* Restart the edits that are due, and give up those past their deadline. */
+/* Restarts the edits that are due, and gives up those past their deadline. */
 void edits_tick(struct state *st)
 {
 	struct edit *e, *next;
--- a/reduce-queue.c
+++ b/reduce-queue.c
@@ -43,7 +43,7 @@
 }
 
 /*
- * Update the mean run time of tasks with the same team, pool and label.
+ * Updates the mean run time of tasks with the same team, pool and label.
  * Declared run times are far off; a moving average of observed ones is closer
  * after a few tasks.
  */
@@ -89,7 +89,9 @@
 	return ms >= LONG_TASK_MS ? CLASS_LONG : CLASS_SHORT;
 }
 
-/* Append a task to its queue; put one that may have run before at the head. */
+/*
+ * Appends a task to its queue; puts one that may have run before at the head.
+ */
 void queue_add(struct state *st, struct cell *c, struct task *t)
 {
 	struct task_list *q;
@@ -107,7 +109,7 @@
 	c->dirty = true;
 }
 
-/* Remove a task from its queue. */
+/* Removes a task from its queue. */
 void queue_remove(struct cell *c, struct task *t)
 {
 	TAILQ_REMOVE(&t->team->queue[t->class], t, entry);
@@ -256,7 +258,7 @@
 	return best;
 }
 
-/* Place a task on a worker.  Its start is sent with the next command. */
+/* Places a task on a worker.  Its start is sent with the next command. */
 static void task_start_on(struct state *st, struct cell *c, struct task *t,
 			  struct worker *w)
 {
@@ -308,7 +310,7 @@
 }
 
 /*
- * Reclassify a short task as long once it has run for that long, and record
+ * Reclassifies a short task as long once it has run for that long, and records
  * the run time, so that its label's other tasks are classified as long too.
  */
 static void task_reclassify_long(struct state *st, struct cell *c,
@@ -326,7 +328,7 @@
 /*
  * Returns the task to preempt for a waiting one, or NULL.  It must be long, not
  * preempted too often, and repeatable in case its progress is lost.  Of these,
- * choose from the team with the highest weighted usage the latest started.
+ * it is the latest started of the team with the highest weighted usage.
  */
 static struct task *victim_choose(struct state *st, struct cell *c,
 				  const struct task *waiting)
@@ -358,7 +360,7 @@
 	return best;
 }
 
-/* Preempt a task: request a checkpoint, after which its slot is free. */
+/* Preempts a task: requests a checkpoint, after which its slot is free. */
 static void task_preempt(struct state *st, struct task *t)
 {
 	t->checkpoint_requested = true;
@@ -368,7 +370,7 @@
 }
 
 /*
- * Returns the number of tasks under preemption, and set long_running to the
+ * Returns the number of tasks under preemption, and sets long_running to the
  * number of running long tasks that are not.
  */
 static unsigned cell_count_preempting(struct state *st, struct cell *c,
@@ -393,7 +395,7 @@
 }
 
 /*
- * Preempt tasks for a team's urgent tasks, and for its short tasks that have
+ * Preempts tasks for a team's urgent tasks, and for its short tasks that have
  * waited: as many as wait, less those under preemption already.  Short tasks
  * reclaim only reserved slots that long tasks use.  The counts are running
  * totals over all teams.
@@ -432,7 +434,7 @@
 }
 
 /*
- * Preempt a task of the team with the highest weighted usage for the waiting
+ * Preempts a task of the team with the highest weighted usage for the waiting
  * team with the lowest, if the two differ enough.  Long tasks hold their slots
  * for so long that a team which came later would otherwise wait for its share
  * until they end.  Teams that are close to each other are left alone, as the
@@ -463,7 +465,9 @@
 	task_preempt(st, victim);
 }
 
-/* Preempt tasks for those that should not wait for a slot, if there are any. */
+/*
+ * Preempts tasks for those that should not wait for a slot, if there are any.
+ */
 static void cell_preempt(struct state *st, struct cell *c)
 {
 	unsigned waiting = 0, preempting = 0, long_running = 0;
@@ -499,7 +503,10 @@
 	return n;
 }
 
-/* Run a scheduling pass: start all tasks that can start, preempt, send. */
+/*
+ * Runs a scheduling pass: starts all tasks that can start, preempts, and sends
+ * commands.
+ */
 void cell_schedule(struct state *st, struct cell *c)
 {
 	struct cell_team *team, *tn;
@@ -525,7 +532,7 @@
 }
 
 /*
- * Returns the number of free slots on usable workers, and set usable to the
+ * Returns the number of free slots on usable workers, and sets usable to the
  * number of these workers.
  */
 static unsigned cell_free_slots(struct state *st, struct cell *c,
--- a/reduce-table.c
+++ b/reduce-table.c
@@ -11,7 +11,7 @@
 #define RESEND_FIRST_MS 100
 #define RESEND_MAX_MS 3000
 
-/* Register a request; the caller puts its id into the effect. */
+/* Registers a request; the caller puts its id into the effect. */
 struct request *request_new(struct state *st, enum request_kind kind, bstr name)
 {
 	struct request *rq = xcalloc(1, sizeof(*rq));
@@ -24,7 +24,7 @@
 	return rq;
 }
 
-/* Find an outstanding request; NULL if it was answered or given up. */
+/* Returns an outstanding request, or NULL if it was answered or given up. */
 struct request *request_find(struct state *st, uint64_t id)
 {
 	struct request *rq;
@@ -33,7 +33,7 @@
 	return rq;
 }
 
-/* Free a request.  An answer that still arrives is dropped as late. */
+/* Frees a request.  An answer that still arrives is dropped as late. */
 void request_free(struct state *st, struct request *rq)
 {
 	HASH_DEL(st->requests, rq);
@@ -58,7 +58,7 @@
 	return number;
 }
 
-/* Read rows by key. */
+/* Reads rows by key. */
 uint64_t table_read(struct state *st, enum request_kind kind, bstr name,
 		    const bstr *keys, size_t count)
 {
@@ -75,7 +75,7 @@
 	return rq->id;
 }
 
-/* Read all rows whose key begins with a prefix. */
+/* Reads all rows whose key begins with a prefix. */
 uint64_t table_scan(struct state *st, enum request_kind kind, bstr name,
 		    bstr prefix)
 {
@@ -87,7 +87,7 @@
 	return rq->id;
 }
 
-/* Fetch an object. */
+/* Fetches an object. */
 uint64_t object_get(struct state *st, enum request_kind kind, bstr name,
 		    bstr object)
 {
@@ -99,7 +99,7 @@
 	return rq->id;
 }
 
-/* Store an object.  Objects never change, so a repeated put is harmless. */
+/* Stores an object.  Objects never change, so a repeated put is harmless. */
 uint64_t object_put(struct state *st, enum request_kind kind, bstr name,
 		    bstr object, bstr body)
 {
@@ -112,7 +112,7 @@
 	return rq->id;
 }
 
-/* Let a commit succeed only if a row is at a revision (0: does not exist). */
+/* Lets a commit succeed only if a row is at a revision (0: does not exist). */
 void commit_check(fx_commit *c, bstr key, uint64_t revision)
 {
 	u_int n = c->checks.checks_len++;
@@ -125,7 +125,7 @@
 	k->revision = revision;
 }
 
-/* Append an empty write of a row to a commit. */
+/* Appends an empty write of a row to a commit. */
 static table_write *commit_write(fx_commit *c, bstr key)
 {
 	u_int n = c->writes.writes_len++;
@@ -139,25 +139,25 @@
 	return w;
 }
 
-/* Add the write of an encoded value to a commit. */
+/* Adds the write of an encoded value to a commit. */
 void commit_put(fx_commit *c, bstr key, xdrproc_t proc, const void *value)
 {
 	commit_write(c, key)->value = xdr_encode(proc, value);
 }
 
-/* Add the write of a byte string to a commit. */
+/* Adds the write of a byte string to a commit. */
 void commit_put_bytes(fx_commit *c, bstr key, bstr value)
 {
 	commit_write(c, key)->value = bstr_copy(value);
 }
 
-/* Add the removal of a row to a commit. */
+/* Adds the removal of a row to a commit. */
 void commit_remove(fx_commit *c, bstr key)
 {
 	commit_write(c, key)->remove = TRUE;
 }
 
-/* Send or resend a commit. */
+/* Sends or resends a commit. */
 static void commit_send(struct state *st, struct request *rq)
 {
 	effect *fx = effect_add(st, FX_COMMIT);
@@ -169,7 +169,7 @@
 		 sizeof(rq->commit));
 }
 
-/* Send a commit, and keep it for retries until its outcome is certain. */
+/* Sends a commit, and keeps it for retries until its outcome is certain. */
 uint64_t table_commit(struct state *st, enum request_kind kind, bstr name,
 		      fx_commit *c, int64_t give_up_at)
 {
@@ -186,7 +186,7 @@
 	return rq->id;
 }
 
-/* Find a row in an answer; NULL if it is not included. */
+/* Returns a row in an answer, or NULL if it is not included. */
 const table_row *row_find(const ev_platform *ev, bstr key)
 {
 	u_int i;
@@ -205,7 +205,7 @@
 	return r ? r->revision : 0;
 }
 
-/* Dispatch the final outcome of a request to its handler. */
+/* Dispatches the final outcome of a request to its handler. */
 static void request_finish(struct state *st, struct request *rq,
 			   const ev_platform *ev)
 {
@@ -302,7 +302,7 @@
 	}
 }
 
-/* Record whether the platform answers, and log when that changes. */
+/* Records whether the platform answers, and logs when that changes. */
 static void platform_record_answer(struct state *st, bool answered)
 {
 	if (answered)
@@ -317,7 +317,7 @@
 }
 
 /*
- * Schedule the next attempt of a commit with exponential backoff.  Half of the
+ * Schedules the next attempt of a commit with exponential backoff.  Half of the
  * delay is random, so that VMs that were cut off at the same time don't retry
  * at the same time.  A longer retry hint of the platform takes precedence.
  */
@@ -336,7 +336,7 @@
 }
 
 /*
- * Handle the outcome of an attempt of a commit.  Returns true if it is final:
+ * Handles the outcome of an attempt of a commit.  Returns true if it is final:
  * certain, or given up.  Otherwise the commit is resent with the same
  * transaction id.  An attempt with an unknown outcome marks the commit as
  * uncertain for good, because it may still take effect after a later attempt
@@ -365,7 +365,7 @@
 	return rq->give_up_at && rq->resend_at >= rq->give_up_at;
 }
 
-/* Handle the platform's answer to a request, or that there was none. */
+/* Handles the platform's answer to a request, or that there was none. */
 void platform_event(struct state *st, const ev_platform *ev)
 {
 	struct request *rq = request_find(st, ev->req);
@@ -389,7 +389,7 @@
 	request_free(st, rq);
 }
 
-/* Resend the commits that are due. */
+/* Resends the commits that are due. */
 void requests_tick(struct state *st)
 {
 	struct request *rq, *next;
--- a/reduce-vm.c
+++ b/reduce-vm.c
@@ -14,7 +14,7 @@
  */
 #define ABSENT_MS 15000
 
-/* Find an endpoint VM; NULL if it has no row. */
+/* Returns an endpoint VM, or NULL if it has no row. */
 struct vm *vm_find(struct state *st, bstr name)
 {
 	struct vm *v;
@@ -30,7 +30,7 @@
 	free(v);
 }
 
-/* Free the copies of the VM rows and of the platform's list. */
+/* Frees the copies of the VM rows and of the platform's list. */
 void vms_free(struct state *st)
 {
 	struct listed *l, *ln;
@@ -45,7 +45,9 @@
 	}
 }
 
-/* Update the copy of a VM's row, unless the copy is as new; drop a gone VM. */
+/*
+ * Updates the copy of a VM's row, unless the copy is as new; drops a gone VM.
+ */
 void vm_row_apply(struct state *st, const table_row *r)
 {
 	bstr name = bstr_ref(r->key.bstr_val + sizeof(VM_PREFIX) - 1,
@@ -81,7 +83,7 @@
 	HASH_ADD_BSTR(st->vms, row.vm, v);
 }
 
-/* Apply the VM rows that this VM's own commit wrote, without reading them. */
+/* Applies the VM rows that this VM's own commit wrote, without reading them. */
 void vms_apply_committed(struct state *st, const struct request *rq,
 			 const ev_platform *ev)
 {
@@ -100,7 +102,7 @@
 	}
 }
 
-/* Record that the copies match the head that the completed read covers. */
+/* Records that the copies match the head that the completed read covers. */
 static void vms_set_current(struct state *st, const struct request *rq)
 {
 	st->vms_revision = st->vms_target;
@@ -109,7 +111,7 @@
 	st->vms_current_at = rq->sent_at;
 }
 
-/* Read all VM rows. */
+/* Reads all VM rows. */
 static void vms_scan(struct state *st)
 {
 	st->vms_request = table_scan(st, REQ_VMS_SCAN, st->vm,
@@ -128,7 +130,7 @@
 	return false;
 }
 
-/* Read the rows that changed after the generation of our copies, each once. */
+/* Reads the rows that changed after the generation of the copies, each once. */
 static void vms_read_recent(struct state *st, const vms_head *h)
 {
 	bstr keys[HEAD_RECENT_MAX] = {BSTR_NONE};
@@ -148,8 +150,8 @@
 }
 
 /*
- * Handle the read of the head: if it has changed, read the changed rows, or
- * all if the head no longer names all changes since our copies.
+ * Handles the read of the head: if it has changed, reads the changed rows, or
+ * all if the head no longer names all changes since the copies.
  */
 void vms_head_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
@@ -180,7 +182,7 @@
 	xdr_free(XDR_PROC(xdr_vms_head), (char *)&h);
 }
 
-/* Handle the read of the changed rows. */
+/* Handles the read of the changed rows. */
 void vms_rows_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	u_int i;
@@ -193,7 +195,7 @@
 	vms_set_current(st, rq);
 }
 
-/* Handle a scan of all rows; a VM without a row is removed. */
+/* Handles a scan of all rows; a VM without a row is removed. */
 void vms_scanned(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct vm *v, *next;
@@ -214,7 +216,7 @@
 }
 
 /*
- * Handle the platform's list of VMs.  It lags behind, so it only marks VMs as
+ * Handles the platform's list of VMs.  It lags behind, so it only marks VMs as
  * leaving or absent.
  */
 void vms_listed(struct state *st, const ev_platform *ev)
@@ -264,7 +266,7 @@
 	return l && l->absent_at && st->now - l->absent_at >= ABSENT_MS;
 }
 
-/* Poll the platform's list of VMs when due. */
+/* Polls the platform's list of VMs when due. */
 void vms_tick(struct state *st)
 {
 	struct request *rq;
--- a/reduce-wait.c
+++ b/reduce-wait.c
@@ -9,7 +9,7 @@
  */
 #define FINAL_GRACE_MS 1000
 
-/* Remove a waiter from a job and free it. */
+/* Removes a waiter from a job and frees it. */
 void waiter_free(struct job *j, struct waiter *w)
 {
 	TAILQ_REMOVE(&j->waiters, w, entry);
@@ -17,7 +17,7 @@
 	free(w);
 }
 
-/* Remove all waiters of a job. */
+/* Removes all waiters of a job. */
 void waiters_free(struct job *j)
 {
 	struct waiter *w;
@@ -38,7 +38,7 @@
 	return bstr_eq_str(v->reason, "cancelled") ? 200 : 503;
 }
 
-/* Answer a waiter with 503, because the platform has not confirmed a write. */
+/* Answers a waiter with 503, because the platform has not confirmed a write. */
 void waiter_refuse(struct state *st, struct job *j, struct waiter *w,
 		   const char *detail, uint32_t retry)
 {
@@ -47,7 +47,7 @@
 	waiter_free(j, w);
 }
 
-/* Refuse a waiter whose job's claim may or may not have been written. */
+/* Refuses a waiter whose job's claim may or may not have been written. */
 void waiter_refuse_claim(struct state *st, struct job *j, struct waiter *w)
 {
 	waiter_refuse(st, j, w,
@@ -56,7 +56,7 @@
 		      RETRY_AFTER_MS * 3);
 }
 
-/* Answer a waiter with the current state of its job, and remove it. */
+/* Answers a waiter with the current state of its job, and removes it. */
 static void job_answer(struct state *st, struct job *j, struct waiter *w)
 {
 	caller_answer a = {.http = job_http(&j->view, w->submit)};
@@ -92,7 +92,7 @@
 }
 
 /*
- * Add a waiter to a job.  It is answered at once if the answer is available,
+ * Adds a waiter to a job.  It is answered at once if the answer is available,
  * otherwise when it becomes available or at the deadline.
  */
 void job_wait(struct state *st, struct job *j, bstr vm, uint64_t call,
@@ -110,7 +110,9 @@
 		job_answer(st, j, w);
 }
 
-/* Answer the waiters whose answer is available or whose deadline has passed. */
+/*
+ * Answers the waiters whose answer is available or whose deadline has passed.
+ */
 void job_answer_due(struct state *st, struct job *j)
 {
 	struct waiter *w, *next;
--- a/reduce-wave.c
+++ b/reduce-wave.c
@@ -74,7 +74,7 @@
 	return n;
 }
 
-/* Add or update a wave from its row. */
+/* Adds or updates a wave from its row. */
 static void wave_row_apply(struct state *st, const table_row *r)
 {
 	struct wave *w;
@@ -104,7 +104,7 @@
 	HASH_ADD_BSTR(st->waves, row.wave, w);
 }
 
-/* Handle a scan of all waves' rows; a wave without a row is removed. */
+/* Handles a scan of all waves' rows; a wave without a row is removed. */
 void waves_scanned(struct state *st, const ev_platform *ev)
 {
 	struct wave *w, *next;
@@ -123,7 +123,7 @@
 	}
 }
 
-/* Write a wave's row, provided that it is at a revision (0: is new). */
+/* Writes a wave's row, provided that it is at a revision (0: is new). */
 static void wave_write(struct state *st, enum request_kind kind, bstr name,
 		       const wave_row *row, uint64_t revision)
 {
@@ -137,8 +137,8 @@
 }
 
 /*
- * Handle the outcome of a wave's step: apply what the commit wrote.  The row is
- * read again in any case.
+ * Handles the outcome of a wave's step: applies what the commit wrote.  The row
+ * is read again in any case.
  */
 void wave_committed(struct state *st, struct request *rq, const ev_platform *ev)
 {
@@ -156,9 +156,9 @@
 }
 
 /*
- * Handle the result of a drain.  If it was refused, record the reason and retry
- * later.  If the VM itself can't be drained now (OP_CONFLICT), the search goes
- * on soon with the next one.
+ * Handles the result of a drain.  If it was refused, records the reason and
+ * retries later.  If the VM itself can't be drained now (OP_CONFLICT), the
+ * search goes on soon with the next one.
  */
 void wave_drained(struct state *st, bstr wave, bstr vm, op_status status,
 		  const char *detail)
@@ -230,8 +230,8 @@
 }
 
 /*
- * Update a wave's row from its VMs' rows.  Returns true if it has changed.  The
- * boot id of a VM is recorded when it is drained, to tell a reboot from an
+ * Updates a wave's row from its VMs' rows.  Returns true if it has changed.
+ * The boot id of a VM is recorded when it is drained, to tell a reboot from an
  * operator's return.
  */
 static bool wave_update_row(struct state *st, const struct wave *w,
@@ -265,7 +265,7 @@
 	return changed;
 }
 
-/* Start the drain of the next waiting VM, unless delayed. */
+/* Starts the drain of the next waiting VM, unless delayed. */
 static void wave_drain_next(struct state *st, struct wave *w)
 {
 	u_int i, n = w->row.vms.vms_len;
@@ -285,7 +285,7 @@
 	}
 }
 
-/* Return the VMs that a cancelled wave is still draining. */
+/* Has the VMs that a cancelled wave is still draining return to work. */
 static void wave_return_draining(struct state *st, struct wave *w)
 {
 	u_int i;
@@ -307,8 +307,8 @@
 }
 
 /*
- * Advance a wave: record the progress of its VMs; if there is none, drain or
- * return VMs.
+ * Advances a wave: records the progress of its VMs; if there is none, drains or
+ * returns VMs.
  */
 static void wave_advance(struct state *st, struct wave *w)
 {
@@ -336,7 +336,7 @@
 	xdr_free(XDR_PROC(xdr_wave_row), (char *)&row);
 }
 
-/* Scan the waves when due, expire requests, and run this VM's waves. */
+/* Scans the waves when due, expires requests, and runs this VM's waves. */
 void waves_tick(struct state *st)
 {
 	struct wave_change *c, *cn;
@@ -363,7 +363,7 @@
 		wave_advance(st, w);
 }
 
-/* Compare VMs by data centre, rack and name, so that racks drain in turn. */
+/* Compares VMs by data centre, rack and name, so that racks drain in turn. */
 static int vm_compare_rack(const void *a, const void *b)
 {
 	const struct vm *x = *(struct vm *const *)a;
@@ -375,14 +375,14 @@
 	return c ? c : bstr_cmp(x->row.vm, y->row.vm);
 }
 
-/* Compare VMs by name only. */
+/* Compares VMs by name only. */
 static int vm_compare_name(const void *a, const void *b)
 {
 	return bstr_cmp((*(struct vm *const *)a)->row.vm,
 			(*(struct vm *const *)b)->row.vm);
 }
 
-/* Fill in the VMs of a wave's pool, in the order in which to drain them. */
+/* Fills in the VMs of a wave's pool, in the order in which to drain them. */
 static void wave_list_vms(struct state *st, wave_row *row)
 {
 	struct vm **list, *v, *next;
@@ -405,7 +405,7 @@
 }
 
 /*
- * Set the state that an operator's request leads to.  Returns false if the
+ * Sets the state that an operator's request leads to.  Returns false if the
  * request is not allowed in the current state.
  */
 static bool wave_next_state(op_kind kind, wave_state from, wave_state *to)
@@ -428,7 +428,7 @@
 	}
 }
 
-/* Answer an operator's request to change a wave, and free the request. */
+/* Answers an operator's request to change a wave, and frees the request. */
 static void wave_answer(struct state *st, struct wave_change *c,
 			op_status status, const char *reason,
 			const char *detail, json_t *body)
@@ -438,7 +438,7 @@
 	wave_change_free(st, c);
 }
 
-/* Create a planned wave with the current VMs of its pool. */
+/* Creates a planned wave with the current VMs of its pool. */
 static void wave_plan(struct state *st, struct wave_change *c, bstr id)
 {
 	const op_wave *o = &c->request.op_request_u.wave;
@@ -456,7 +456,8 @@
 	xdr_free(XDR_PROC(xdr_wave_row), (char *)&row);
 }
 
-/* Find an operator's change by the name of its request; NULL if it ended. */
+/* Returns an operator's change by the name of its request, or NULL if it ended.
+ */
 static struct wave_change *wave_change_find(struct state *st, bstr name)
 {
 	struct wave_change *c;
@@ -468,7 +469,7 @@
 	return NULL;
 }
 
-/* Handle the read of the row that an operator wants to create or change. */
+/* Handles the read of the row that an operator wants to create or change. */
 void wave_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct wave_change *c = wave_change_find(st, rq->name);
@@ -505,7 +506,7 @@
 	}
 }
 
-/* Handle the outcome of an operator's change of a wave. */
+/* Handles the outcome of an operator's change of a wave. */
 void wave_changed(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct wave_change *c = wave_change_find(st, rq->name);
@@ -543,7 +544,7 @@
 	}
 }
 
-/* Handle an operator's request to create or change a wave. */
+/* Handles an operator's request to create or change a wave. */
 void op_wave_change(struct state *st, uint64_t call, const op_request *rq)
 {
 	const op_wave *o = &rq->op_request_u.wave;
@@ -633,7 +634,7 @@
 	return o;
 }
 
-/* Show one wave with its VMs, or a summary of all waves. */
+/* Shows one wave with its VMs, or a summary of all waves. */
 void op_wave_show(struct state *st, uint64_t call, const op_request *rq)
 {
 	bstr name = rq->op_request_u.wave.wave;
--- a/reduce-why.c
+++ b/reduce-why.c
@@ -9,7 +9,7 @@
 static const char *const state_names[] = {"queued", "running", "done",
 					  "failed", "not-run", "unknown"};
 
-/* Answer a "why JOB" request with the job's state as its home knows it. */
+/* Answers a "why JOB" request with the job's state as its home knows it. */
 static void why_answer(struct state *st, bstr asker, uint64_t call,
 		       const struct job *j)
 {
@@ -103,7 +103,7 @@
 }
 
 /*
- * Handle a "why JOB" request; only the job's home can answer it.  If a cell
+ * Handles a "why JOB" request; only the job's home can answer it.  If a cell
  * has the job, the answer waits for the cell's current state of it.
  */
 void op_why_job(struct state *st, uint64_t call, const op_request *rq)
@@ -145,7 +145,7 @@
 	return o;
 }
 
-/* Handle a "why TEAM" request: an entry for each cell that this VM owns. */
+/* Handles a "why TEAM" request: an entry for each cell that this VM owns. */
 void op_why_team(struct state *st, uint64_t call, const op_request *rq)
 {
 	bstr name = rq->op_request_u.name;
--- a/reduce-worker.c
+++ b/reduce-worker.c
@@ -22,7 +22,7 @@
 #define FORGET_DELAY_MS 200
 #define REBOOT_RETRY_MS 5000
 
-/* Allocate the worker of a VM that belongs to the cell's pool. */
+/* Allocates the worker of a VM that belongs to the cell's pool. */
 static struct worker *worker_new(struct state *st, struct cell *c,
 				 const vm_row *row)
 {
@@ -40,7 +40,7 @@
 	return w;
 }
 
-/* Free an unconfirmed start, so that it no longer counts for its team. */
+/* Frees an unconfirmed start, so that it no longer counts for its team. */
 static void unconfirmed_free(struct worker *w, struct unconfirmed_start *g)
 {
 	TAILQ_REMOVE(&w->unconfirmed, g, entry);
@@ -50,7 +50,7 @@
 	free(g);
 }
 
-/* Free a worker, which must have no tasks left. */
+/* Frees a worker, which must have no tasks left. */
 void worker_free(struct cell *c, struct worker *w)
 {
 	struct unconfirmed_start *g;
@@ -70,7 +70,7 @@
 	free(w);
 }
 
-/* Remove an unconfirmed start, if present: the worker reported its outcome. */
+/* Removes an unconfirmed start, if present: the worker reported its outcome. */
 void worker_confirm_ended(struct worker *w, bstr task)
 {
 	struct unconfirmed_start *g;
@@ -84,7 +84,7 @@
 }
 
 /*
- * Record that a start may still run on a worker; it counts against the upper
+ * Records that a start may still run on a worker; it counts against the upper
  * limit of its team until the worker reports its outcome.
  */
 void worker_add_unconfirmed(struct worker *w, bstr task, struct cell_team *team)
@@ -102,7 +102,7 @@
 	TAILQ_INSERT_TAIL(&w->unconfirmed, g, entry);
 }
 
-/* Queue an order about a task for the next command, unless it is queued. */
+/* Queues an order about a task for the next command, unless it is queued. */
 void worker_order(struct state *st, struct worker *w, bstr task, task_verb verb)
 {
 	struct order *o;
@@ -154,7 +154,7 @@
 }
 
 /*
- * Emit a request that renews the leases of a worker's tasks.  The caller adds
+ * Emits a request that renews the leases of a worker's tasks.  The caller adds
  * the fields of a watch or a command.
  */
 static fx_worker *worker_exchange(struct state *st, struct worker *w,
@@ -193,8 +193,8 @@
 }
 
 /*
- * Send a watch.  Asks for a full list of tasks if the position in the
- * worker's reports is unknown, as it is for a silent worker.
+ * Sends a watch.  Asks for a full list of tasks if the position in the worker's
+ * reports is unknown, as it is for a silent worker.
  */
 static void worker_watch(struct state *st, struct worker *w)
 {
@@ -215,7 +215,7 @@
 	return t->unsent && boot_recorded(w);
 }
 
-/* Add all starts that are due to a command. */
+/* Adds all starts that are due to a command. */
 static void command_starts(struct state *st, struct worker *w, fx_worker *x)
 {
 	task_start *s;
@@ -245,7 +245,7 @@
 	(void)st;
 }
 
-/* Add all queued orders to a command.  They stay queued until it succeeds. */
+/* Adds all queued orders to a command.  They stay queued until it succeeds. */
 static void command_orders(struct worker *w, fx_worker *x)
 {
 	struct order *o;
@@ -279,7 +279,7 @@
 	return false;
 }
 
-/* Send a command with all that is due, unless one is outstanding. */
+/* Sends a command with all that is due, unless one is outstanding. */
 void worker_flush(struct state *st, struct worker *w)
 {
 	fx_worker *x;
@@ -293,7 +293,9 @@
 	effect_count(st, COUNT_WORKER_EXCHANGES, 1);
 }
 
-/* Requeue the starts of a command that the worker certainly did not execute. */
+/*
+ * Requeues the starts of a command that the worker certainly did not execute.
+ */
 static void command_not_executed(struct state *st, struct worker *w,
 				 uint64_t req)
 {
@@ -309,7 +311,7 @@
 	}
 }
 
-/* Remove the orders that a successful command carried. */
+/* Removes the orders that a successful command carried. */
 static void command_executed(struct worker *w, uint64_t req)
 {
 	struct order *o, *next;
@@ -325,7 +327,7 @@
 }
 
 /*
- * Mark a worker that did not answer as silent.  It gets no new tasks, and is
+ * Marks a worker that did not answer as silent.  It gets no new tasks, and is
  * polled for all its tasks until it answers or their leases have expired.
  */
 static void worker_mark_silent(struct state *st, struct worker *w)
@@ -339,7 +341,7 @@
 }
 
 /*
- * Handle all tasks of a worker as lost.  may_run: a start that the worker has
+ * Handles all tasks of a worker as lost.  may_run: a start that the worker has
  * received may still run there, so it stays counted as unconfirmed.
  */
 static void worker_lose_tasks(struct state *st, struct worker *w, bool may_run)
@@ -365,10 +367,10 @@
 }
 
 /*
- * Handle the tasks of a worker as lost once it has been silent for longer
- * than their leases.  The worker has stopped them by then if its clock runs.
- * It may be frozen with a start that it has not executed yet, so the starts
- * continue to count against the upper limits.
+ * Handles the tasks of a worker as lost once it has been silent for longer than
+ * their leases.  The worker has stopped them by then if its clock runs.  It may
+ * be frozen with a start that it has not executed yet, so the starts continue
+ * to count against the upper limits.
  */
 static void worker_check_lost(struct state *st, struct worker *w)
 {
@@ -381,7 +383,7 @@
 }
 
 /*
- * Reconcile the tasks of a worker with its full list: a task that is not
+ * Reconciles the tasks of a worker with its full list: a task that is not
  * listed is gone.  Returns false if the list was requested before a command
  * ended: it then says nothing about the starts of that command, and another
  * list is needed.
@@ -433,8 +435,9 @@
 }
 
 /*
- * Update a worker that has answered and so accepted our epoch.  Returns true
- * if it has restarted since its previous answer and thereby lost its tasks.
+ * Updates a worker that has answered and so accepted this VM's epoch.  Returns
+ * true if it has restarted since its previous answer and thereby lost its
+ * tasks.
  */
 static bool worker_answered(struct state *st, struct worker *w,
 			    const ev_worker *ev)
@@ -459,7 +462,7 @@
 	return true;
 }
 
-/* Handle the task reports of an answer. */
+/* Handles the task reports of an answer. */
 static void worker_handle_answer(struct state *st, struct worker *w,
 				 const ev_worker *ev, bool watch)
 {
@@ -478,8 +481,8 @@
 }
 
 /*
- * A worker has seen a higher epoch than ours, so the cell has another owner:
- * have the unit's row read before this VM acts as its owner again.
+ * Handles that a worker has seen a higher epoch, so the cell has another owner:
+ * the unit's row is read before this VM acts as its owner again.
  */
 static void worker_epoch_stale(struct state *st, struct worker *w,
 			       const ev_worker *ev)
@@ -492,7 +495,7 @@
 	w->watch_at = st->now + WATCH_BACKOFF_MS;
 }
 
-/* Handle the outcome of a command. */
+/* Handles the outcome of a command. */
 static void command_event(struct state *st, struct worker *w, uint64_t req,
 			  const ev_worker *ev)
 {
@@ -526,7 +529,7 @@
 	}
 }
 
-/* Handle the outcome of a watch, and send the next one if it is due. */
+/* Handles the outcome of a watch, and sends the next one if it is due. */
 static void watch_event(struct state *st, struct worker *w, const ev_worker *ev)
 {
 	w->watch_request = 0;
@@ -551,7 +554,7 @@
 		worker_watch(st, w);
 }
 
-/* Handle the end of an exchange with a worker. */
+/* Handles the end of an exchange with a worker. */
 void worker_event(struct state *st, const ev_worker *ev)
 {
 	struct request *rq = request_find(st, ev->req);
@@ -583,8 +586,8 @@
 }
 
 /*
- * Update the cell's workers from the VMs' rows: add the VMs of its pool and
- * data centre, and free workers that are neither listed nor in use.
+ * Updates the cell's workers from the VMs' rows: adds the VMs of its pool and
+ * data centre, and frees workers that are neither listed nor in use.
  */
 static void workers_sync(struct state *st, struct cell *c)
 {
@@ -614,7 +617,7 @@
 }
 
 /*
- * Record in the pool's row whether a worker has failed.  The edit is repeated
+ * Records in the pool's row whether a worker has failed.  The edit is repeated
  * until it succeeds, also across an outage of the platform, and each new owner
  * of the cell makes it again: the owner that recorded a failure may be gone
  * when the worker recovers.  A VM that is out is counted already, so its
@@ -657,7 +660,7 @@
 	return w;
 }
 
-/* The health of a worker has been written to the pool's row. */
+/* Called when the health of a worker has been written to the pool's row. */
 void worker_health_recorded(struct state *st, bstr vm, bool failed)
 {
 	struct worker *w = worker_of_vm(st, vm);
@@ -711,7 +714,7 @@
 }
 
 /*
- * Drain a VM.  Its tasks may finish until the deadline; after it they are
+ * Drains a VM.  Its tasks may finish until the deadline; after it they are
  * checkpointed and resumed elsewhere.  When it is empty, this is recorded in
  * its row.
  */
@@ -742,7 +745,7 @@
 }
 
 /*
- * Reboot a VM that a wave has drained, through the platform.  It returns to
+ * Reboots a VM that a wave has drained, through the platform.  It returns to
  * work when its worker answers with another boot id.
  */
 static void worker_reboot(struct state *st, struct worker *w)
@@ -773,7 +776,7 @@
 }
 
 /*
- * Give no new tasks for a while to a worker on which every task fails.  The
+ * Gives no new tasks for a while to a worker on which every task fails.  The
  * fraction of the cell that is set aside is limited: if tasks fail on most
  * workers, the tasks are the cause.
  */
@@ -796,7 +799,7 @@
 		   BSTR_ARG(w->vm), SET_ASIDE_MS);
 }
 
-/* Run the periodic work for the workers of a cell. */
+/* Runs the periodic work for the workers of a cell. */
 void workers_tick(struct state *st, struct cell *c)
 {
 	struct worker *w, *next;
--- a/reduce.c
+++ b/reduce.c
@@ -8,13 +8,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Initialise an empty list of effects. */
+/* Initialises an empty list of effects. */
 void effects_init(struct effects *fx)
 {
 	memset(fx, 0, sizeof(*fx));
 }
 
-/* Free all effects of a list and leave it empty. */
+/* Frees all effects of a list and leaves it empty. */
 void effects_free(struct effects *fx)
 {
 	size_t i;
@@ -26,7 +26,7 @@
 }
 
 /*
- * Append a zeroed effect of the given kind.  The returned pointer is valid
+ * Appends a zeroed effect of the given kind.  The returned pointer is valid
  * until the next effect is added.
  */
 effect *effect_add(struct state *st, effect_kind kind)
@@ -45,7 +45,7 @@
 	return fx;
 }
 
-/* Add n to a counter. */
+/* Adds n to a counter. */
 void effect_count(struct state *st, enum counter_id id, uint64_t n)
 {
 	effect *fx = effect_add(st, FX_COUNT);
@@ -54,7 +54,7 @@
 	fx->effect_u.count.amount = n;
 }
 
-/* Log an event of log.def with a formatted text. */
+/* Logs an event of log.def with a formatted text. */
 void effect_log(struct state *st, uint32_t number, const char *fmt, ...)
 {
 	effect *fx = effect_add(st, FX_LOG);
@@ -66,7 +66,7 @@
 	va_end(ap);
 }
 
-/* Request a tick at a time, unless a regular tick comes before it. */
+/* Requests a tick at a time, unless a regular tick comes before it. */
 void effect_wake(struct state *st, int64_t at)
 {
 	effect *fx;
@@ -88,7 +88,7 @@
 	return below ? z % below : z;
 }
 
-/* Hash two strings; the result is the same on every VM. */
+/* Hashes two strings; the result is the same on every VM. */
 uint64_t hash64(bstr a, bstr b)
 {
 	static const unsigned char key[crypto_shorthash_KEYBYTES] = "bamboo";
@@ -112,7 +112,7 @@
 	return h;
 }
 
-/* Allocate the initial state of a reducer. */
+/* Allocates the initial state of a reducer. */
 struct state *state_new(const struct settings *s, uint64_t seed,
 			const char *peer_address)
 {
@@ -158,7 +158,7 @@
 	return st;
 }
 
-/* Free a state and everything that it owns. */
+/* Frees a state and everything that it owns. */
 void state_free(struct state *st)
 {
 	struct request *rq, *rn;
@@ -195,7 +195,7 @@
 	free(st);
 }
 
-/* Dispatch a message from a peer or from this VM itself. */
+/* Dispatches a message from a peer or from this VM itself. */
 static void reduce_message(struct state *st, bstr from, const peer_message *m)
 {
 	switch (m->kind) {
@@ -247,7 +247,7 @@
 	}
 }
 
-/* Deliver the messages that this VM has sent to itself. */
+/* Delivers the messages that this VM has sent to itself. */
 static void reduce_deliver_local(struct state *st)
 {
 	struct local_message *lm;
@@ -260,7 +260,7 @@
 	}
 }
 
-/* A peer is unreachable; recent messages to it may be lost. */
+/* Handles an unreachable peer; recent messages to it may be lost. */
 static void reduce_peer_lost(struct state *st, bstr vm)
 {
 	effect_count(st, COUNT_RETRY_PEER, 1);
@@ -269,11 +269,11 @@
 }
 
 /*
- * Detect that this process or its VM was paused.  Meanwhile other VMs may
- * have taken over its units, and its state is out of date; without this check
- * it could decide a start or an answer on an expired lease.  Ticks come every
- * tick_ms, so a longer gap between events shows a pause.  Units owned before
- * it act only after their rows have been read again.
+ * Detects that this process or its VM was paused.  Meanwhile other VMs may have
+ * taken over its units, and its state is out of date; without this check it
+ * could decide a start or an answer on an expired lease.  Ticks come every
+ * tick_ms, so a longer gap between events shows a pause.  Units owned before it
+ * act only after their rows have been read again.
  */
 static void reduce_detect_pause(struct state *st)
 {
@@ -292,7 +292,7 @@
 }
 
 /*
- * Begin a planned stop.  Readiness is withdrawn first, so that the load
+ * Begins a planned stop.  Readiness is withdrawn first, so that the load
  * balancer sends no new calls.
  */
 static void reduce_stop(struct state *st)
@@ -316,9 +316,10 @@
 }
 
 /*
- * Exit once all units are released and all callers and operators answered;
- * the lease is renewed until then.  At the deadline of the stop, exit
- * regardless; the peers then take over the remaining units as after a crash.
+ * Ends the process once all units are released and all callers and operators
+ * answered; the lease is renewed until then.  At the deadline of the stop, it
+ * exits regardless; the peers then take over the remaining units as after a
+ * crash.
  */
 static void reduce_stop_check(struct state *st)
 {
@@ -343,7 +344,7 @@
 	effect_add(st, FX_EXIT);
 }
 
-/* Run the periodic work of all parts of the reducer. */
+/* Runs the periodic work of all parts of the reducer. */
 static void reduce_tick(struct state *st)
 {
 	requests_tick(st);
@@ -363,7 +364,7 @@
 }
 
 /*
- * Apply one event and append its effects to out.  The clock never goes back,
+ * Applies one event and appends its effects to out.  The clock never goes back,
  * even if an event carries an older time.
  */
 void reduce(struct state *st, const event *ev, struct effects *out)
