--- a/reduce-limit.c
+++ b/reduce-limit.c
@@ -39,11 +39,11 @@
 	u_int i;
 
 	for (i = 0; i < row->allowances.allowances_len; i++) {
-		cell_allowance *h = &row->allowances.allowances_val[i];
+		cell_allowance *a = &row->allowances.allowances_val[i];
 
-		if (bstr_eq(h->cell.pool, cell->pool) &&
-		    bstr_eq(h->cell.dc, cell->dc))
-			return h;
+		if (bstr_eq(a->cell.pool, cell->pool) &&
+		    bstr_eq(a->cell.dc, cell->dc))
+			return a;
 	}
 	return NULL;
 }
@@ -74,17 +74,18 @@
 {
 	uint64_t sum = allowance_total(&t->row);
 	uint64_t limit = team_limit(st, t->team);
-	uint32_t fair, held = t->allowance;
+	uint32_t fair, usable = t->allowance;
 
 	if (sum > limit)
-		held = (uint32_t)(held * limit / sum);
+		usable = (uint32_t)(usable * limit / sum);
 	if (!t->return_requested)
-		return held;
+		return usable;
 	fair = (uint32_t)(limit / (t->row.allowances.allowances_len + 1));
-	if (held <= fair)
-		return held;
-	return held - t->return_requested > fair && held > t->return_requested
-		       ? held - t->return_requested
+	if (usable <= fair)
+		return usable;
+	return usable - t->return_requested > fair &&
+			       usable > t->return_requested
+		       ? usable - t->return_requested
 		       : fair;
 }
 
@@ -126,7 +127,7 @@
 static void allowance_apply_row(struct cell *c, struct cell_team *t,
 				const table_row *r)
 {
-	cell_allowance *h;
+	cell_allowance *a;
 
 	xdr_free(XDR_PROC(xdr_allowance_row), (char *)&t->row);
 	memset(&t->row, 0, sizeof(t->row));
@@ -137,8 +138,8 @@
 				       &t->row, sizeof(t->row));
 	else
 		t->loaded = true;
-	h = allowance_find(&t->row, &c->unit->id);
-	t->allowance = h ? h->amount : 0;
+	a = allowance_find(&t->row, &c->unit->id);
+	t->allowance = a ? a->amount : 0;
 	/*
 	 * A write that returned a part of the allowance went unanswered.  It
 	 * may still take effect while the row is at the version that it
@@ -199,22 +200,22 @@
 {
 	uint32_t limit = team_limit(st, t->team), sum;
 	bstr key = allowance_key(t->team), name;
-	cell_allowance *h;
+	cell_allowance *a;
 	allowance_row row;
 	fx_commit k = {0};
 
 	xdr_copy(XDR_PROC(xdr_allowance_row), &row, &t->row, sizeof(row));
-	h = allowance_find(&row, &c->unit->id);
-	if (!h) {
+	a = allowance_find(&row, &c->unit->id);
+	if (!a) {
 		row.allowances.allowances_val = xrealloc(
 			row.allowances.allowances_val,
-			row.allowances.allowances_len + 1, sizeof(*h));
-		h = &row.allowances
+			row.allowances.allowances_len + 1, sizeof(*a));
+		a = &row.allowances
 			     .allowances_val[row.allowances.allowances_len++];
-		xdr_copy(XDR_PROC(xdr_cell_id), &h->cell, &c->unit->id,
-			 sizeof(h->cell));
+		xdr_copy(XDR_PROC(xdr_cell_id), &a->cell, &c->unit->id,
+			 sizeof(a->cell));
 	}
-	h->amount = amount;
+	a->amount = amount;
 	sum = allowance_total(&row);
 	row.limit = sum > limit ? sum : limit;
 	name = bstr_printf("%.*s %.*s %.*s", BSTR_ARG(c->unit->id.pool),
@@ -265,7 +266,7 @@
 {
 	struct cell *c = NULL;
 	struct cell_team *t = allowance_find_team(st, rq->name, &c);
-	cell_allowance *h;
+	cell_allowance *a;
 	u_int i;
 
 	if (!t || t->request != rq->id)
@@ -290,8 +291,8 @@
 		t->revision = row_version(ev,
 					  rq->commit.writes.writes_val[i].key);
 	}
-	h = allowance_find(&t->row, &c->unit->id);
-	t->allowance = h ? h->amount : 0;
+	a = allowance_find(&t->row, &c->unit->id);
+	t->allowance = a ? a->amount : 0;
 	t->capped = false; /* that write can't take effect any more */
 	t->retry_at = st->now + ALLOWANCE_RETRY_MS / 3;
 	c->dirty = true;
@@ -311,16 +312,16 @@
 	t->request_more_at = st->now + ALLOWANCE_RETRY_MS * 2;
 	t->stale = true; /* they will change the row */
 	for (i = 0; i < t->row.allowances.allowances_len; i++) {
-		cell_allowance *h = &t->row.allowances.allowances_val[i];
+		cell_allowance *a = &t->row.allowances.allowances_val[i];
 
-		u = unit_of_cell(st, &h->cell);
-		if (!h->amount || !u || u == c->unit)
+		u = unit_of_cell(st, &a->cell);
+		if (!a->amount || !u || u == c->unit)
 			continue;
 		owner = unit_choose(st, u);
 		if (!owner.bstr_len)
 			continue;
 		msg.peer_message_u.limit_request = (pm_limit_request){
-			h->cell, t->team, amount};
+			a->cell, t->team, amount};
 		peer_send(st, owner, &msg);
 	}
 }
--- a/reduce-op.c
+++ b/reduce-op.c
@@ -9,11 +9,11 @@
  */
 
 /*
- * Answers an operator of this VM (asker is empty) or the VM that forwarded the
- * request.  Takes ownership of body.
+ * Answers an operator of this VM (forwarded_by is empty) or the VM that
+ * forwarded the request.  Takes ownership of body.
  */
-void op_answer_to(struct state *st, bstr asker, uint64_t call, op_status status,
-		  const char *reason, const char *detail,
+void op_answer_to(struct state *st, bstr forwarded_by, uint64_t call,
+		  op_status status, const char *reason, const char *detail,
 		  uint32_t retry_after_ms, json_t *body)
 {
 	op_reply r = {.status = status, .retry_after_ms = retry_after_ms};
@@ -25,9 +25,9 @@
 	if (body)
 		r.body = config_canonical_text(body);
 	json_decref(body);
-	if (asker.bstr_len) {
+	if (forwarded_by.bstr_len) {
 		msg.peer_message_u.op_reply = (pm_op_reply){call, r};
-		peer_send(st, asker, &msg);
+		peer_send(st, forwarded_by, &msg);
 		xdr_free(XDR_PROC(xdr_op_reply), (char *)&r);
 		return;
 	}
--- a/reduce-why.c
+++ b/reduce-why.c
@@ -10,7 +10,7 @@
 					  "failed", "not-run", "unknown"};
 
 /* Answers a "why JOB" request with the job's state as its home knows it. */
-static void why_answer(struct state *st, bstr asker, uint64_t call,
+static void why_answer(struct state *st, bstr forwarded_by, uint64_t call,
 		       const struct job *j)
 {
 	static const char *const phase_names[] = {"claiming", "no-cell",
@@ -34,7 +34,7 @@
 	json_set_str(o, "cell", cell);
 	json_set_str(o, "owner", j->sent_to);
 	bstr_free(&cell);
-	op_answer_to(st, asker, call, OP_OK, "", "", 0, o);
+	op_answer_to(st, forwarded_by, call, OP_OK, "", "", 0, o);
 }
 
 /* Adds a request about a job, and has its cell queried for the state. */
--- a/reduce-worker.c
+++ b/reduce-worker.c
@@ -41,23 +41,23 @@
 }
 
 /* Frees an unconfirmed start, so that it no longer counts for its team. */
-static void unconfirmed_free(struct worker *w, struct unconfirmed_start *g)
+static void unconfirmed_free(struct worker *w, struct unconfirmed_start *u)
 {
-	TAILQ_REMOVE(&w->unconfirmed, g, entry);
+	TAILQ_REMOVE(&w->unconfirmed, u, entry);
 	w->unconfirmed_count--;
-	g->team->unconfirmed--;
-	bstr_free(&g->task);
-	free(g);
+	u->team->unconfirmed--;
+	bstr_free(&u->task);
+	free(u);
 }
 
 /* Frees a worker, which must have no tasks left. */
 void worker_free(struct cell *c, struct worker *w)
 {
-	struct unconfirmed_start *g;
+	struct unconfirmed_start *u;
 	struct order *o;
 
-	while ((g = TAILQ_FIRST(&w->unconfirmed)))
-		unconfirmed_free(w, g);
+	while ((u = TAILQ_FIRST(&w->unconfirmed)))
+		unconfirmed_free(w, u);
 	while ((o = TAILQ_FIRST(&w->orders))) {
 		TAILQ_REMOVE(&w->orders, o, entry);
 		xdr_free(XDR_PROC(xdr_task_order), (char *)&o->body);
@@ -73,12 +73,12 @@
 /* Removes an unconfirmed start, if present: the worker reported its outcome. */
 void worker_confirm_ended(struct worker *w, bstr task)
 {
-	struct unconfirmed_start *g;
+	struct unconfirmed_start *u;
 
-	TAILQ_FOREACH(g, &w->unconfirmed, entry) {
-		if (!bstr_eq(g->task, task))
+	TAILQ_FOREACH(u, &w->unconfirmed, entry) {
+		if (!bstr_eq(u->task, task))
 			continue;
-		unconfirmed_free(w, g);
+		unconfirmed_free(w, u);
 		return;
 	}
 }
@@ -89,17 +89,17 @@
  */
 void worker_add_unconfirmed(struct worker *w, bstr task, struct cell_team *team)
 {
-	struct unconfirmed_start *g;
+	struct unconfirmed_start *u;
 
-	TAILQ_FOREACH(g, &w->unconfirmed, entry)
-		if (bstr_eq(g->task, task))
+	TAILQ_FOREACH(u, &w->unconfirmed, entry)
+		if (bstr_eq(u->task, task))
 			return;
-	g = xcalloc(1, sizeof(*g));
-	g->task = bstr_copy(task);
-	g->team = team;
+	u = xcalloc(1, sizeof(*u));
+	u->task = bstr_copy(task);
+	u->team = team;
 	team->unconfirmed++;
 	w->unconfirmed_count++;
-	TAILQ_INSERT_TAIL(&w->unconfirmed, g, entry);
+	TAILQ_INSERT_TAIL(&w->unconfirmed, u, entry);
 }
 
 /* Queues an order about a task for the next command, unless it is queued. */
@@ -393,7 +393,7 @@
 {
 	struct task *t, *next;
 	bool settled = true;
-	struct unconfirmed_start *g;
+	struct unconfirmed_start *u;
 	u_int i;
 
 	TAILQ_FOREACH(t, &w->tasks, worker_entry)
@@ -408,8 +408,8 @@
 	 * refuse that start; its report on the task, in whatever state,
 	 * removes the unconfirmed start.
 	 */
-	TAILQ_FOREACH(g, &w->unconfirmed, entry)
-		worker_order(st, w, g->task, TASK_STOP);
+	TAILQ_FOREACH(u, &w->unconfirmed, entry)
+		worker_order(st, w, u->task, TASK_STOP);
 	for (t = TAILQ_FIRST(&w->tasks); t; t = next) {
 		next = TAILQ_NEXT(t, worker_entry);
 		if (t->in_full_list || t->unsent || t->phase == TASK_ENDED)
--- a/reduce.h
+++ b/reduce.h
@@ -925,8 +925,8 @@
 void op_answer(struct state *st, uint64_t call, op_status status,
 	       const char *reason, const char *detail, uint32_t retry_after_ms,
 	       json_t *body);
-void op_answer_to(struct state *st, bstr asker, uint64_t call, op_status status,
-		  const char *reason, const char *detail,
+void op_answer_to(struct state *st, bstr forwarded_by, uint64_t call,
+		  op_status status, const char *reason, const char *detail,
 		  uint32_t retry_after_ms, json_t *body);
 void op_answer_ok(struct state *st, uint64_t call, json_t *body);
 void op_not_found(struct state *st, uint64_t call, const char *what, bstr name);
--- a/sched-job.c
+++ b/sched-job.c
@@ -197,7 +197,7 @@
 }
 
 /* Creates an occurrence of a job, with all its tasks pending. */
-void job_make_occurrence(struct job *j, unsigned k)
+void job_make_occurrence(struct job *j, unsigned number)
 {
 	struct occurrence *o = xcalloc(1, sizeof(*o));
 	const struct job_body *b = j->body;
@@ -206,7 +206,7 @@
 	unsigned n;
 
 	o->job = j;
-	o->number = k;
+	o->number = number;
 	o->unfinished_in_step = xcalloc(b->step_count,
 					sizeof(*o->unfinished_in_step));
 	o->pending_tasks = xcalloc(b->step_count, sizeof(*o->pending_tasks));
@@ -287,9 +287,9 @@
 }
 
 /* Returns true if all prerequisites of a step are done. */
-bool step_is_ready(const struct occurrence *o, unsigned at)
+bool step_is_ready(const struct occurrence *o, unsigned step)
 {
-	const struct job_step *st = &o->job->body->steps[at];
+	const struct job_step *st = &o->job->body->steps[step];
 	size_t i;
 
 	for (i = 0; i < st->prerequisite_count; i++)
@@ -604,12 +604,12 @@
 }
 
 /* Returns occurrence k of a job, or NULL. */
-struct occurrence *occurrence_find(const struct job *j, unsigned k)
+struct occurrence *occurrence_find(const struct job *j, unsigned number)
 {
 	struct occurrence *o;
 
 	TAILQ_FOREACH(o, &j->occs, entry)
-		if (o->number == k)
+		if (o->number == number)
 			return o;
 	return NULL;
 }
@@ -621,18 +621,19 @@
  * named one is created, so that its runs can be stopped.
  */
 static void job_make_missing_occurrences(struct sched *s, struct job *j,
-					 unsigned k)
+					 unsigned number)
 {
 	unsigned count = j->body->repeat_count ? j->body->repeat_count : 1;
 
-	if (k >= count)
+	if (number >= count)
 		return;
 	if (j->status > JOB_STATUS_RUNNING) {
-		if (job_may_have_unknown_runs(s, j) && !occurrence_find(j, k))
-			job_make_occurrence(j, k);
+		if (job_may_have_unknown_runs(s, j) &&
+		    !occurrence_find(j, number))
+			job_make_occurrence(j, number);
 		return;
 	}
-	while (j->next_occurrence <= k) {
+	while (j->next_occurrence <= number) {
 		job_make_occurrence(j, j->next_occurrence++);
 		job_mark_dirty(s, j);
 	}
@@ -667,7 +668,7 @@
 struct task *task_find(struct sched *s, bstr name, struct job **job)
 {
 	struct occurrence *o;
-	unsigned k, step_index, index;
+	unsigned number, step_index, index;
 	bstr rest;
 
 	*job = NULL;
@@ -676,15 +677,15 @@
 	*job = sched_job_find(s, name.bstr_val);
 	rest = bstr_ref(name.bstr_val + JOB_ID_BYTES,
 			name.bstr_len - JOB_ID_BYTES);
-	if (!*job || !name_take_number(&rest, &k) ||
+	if (!*job || !name_take_number(&rest, &number) ||
 	    !name_take_number(&rest, &step_index) ||
 	    !name_take_number(&rest, &index) || rest.bstr_len)
 		return NULL;
 	if (step_index >= (*job)->body->step_count ||
 	    index >= (*job)->body->steps[step_index].count)
 		return NULL;
-	job_make_missing_occurrences(s, *job, k);
-	o = occurrence_find(*job, k);
+	job_make_missing_occurrences(s, *job, number);
+	o = occurrence_find(*job, number);
 	return o ? &o->tasks[o->first_task[step_index] + index] : NULL;
 }
 
--- a/sched-learn.c
+++ b/sched-learn.c
@@ -52,9 +52,9 @@
 }
 
 /* Returns the expected run time of a task of a step. */
-int64_t step_expected_ms(struct sched *s, const struct job *j, unsigned at)
+int64_t step_expected_ms(struct sched *s, const struct job *j, unsigned step)
 {
-	const struct job_step *st = &j->body->steps[at];
+	const struct job_step *st = &j->body->steps[step];
 	double declared = st->estimated_ms ? st->estimated_ms : 1;
 	struct learnt_time *l = learnt_time_of(s, j->route);
 
--- a/sched-pool.c
+++ b/sched-pool.c
@@ -146,7 +146,7 @@
 
 	for (p = s->pools; p; p = p->hh.next) {
 		p->count = p->unplaceable_count = 0;
-		p->promised = (struct resources){0, 0, 0};
+		p->reserved = (struct resources){0, 0, 0};
 	}
 	HASH_ITER(hh, s->workers, w, next)
 		if (worker_is_eligible(s, w))
--- a/sched-state.h
+++ b/sched-state.h
@@ -356,7 +356,7 @@
 	size_t space;
 	struct resources max_room;   /* the largest free amount, by resource */
 	struct resources total_room; /* free on all workers together */
-	struct resources promised;   /* of total_room, to jobs that wait for the
+	struct resources reserved;   /* of total_room, to jobs that wait for the
 				      * store */
 	struct resources
 		unplaceable[UNPLACEABLE_MAX]; /* needs that fit nowhere */
@@ -806,8 +806,8 @@
 void job_row_apply(struct sched *s, struct row *r);
 void progress_row_apply(struct sched *s, struct row *r);
 void sched_job_free(struct sched *s, struct job *j);
-void job_make_occurrence(struct job *j, unsigned k);
-struct occurrence *occurrence_find(const struct job *j, unsigned k);
+void job_make_occurrence(struct job *j, unsigned number);
+struct occurrence *occurrence_find(const struct job *j, unsigned number);
 void job_mark_dirty(struct sched *s, struct job *j);
 void job_tick(struct sched *s);
 void job_task_done(struct sched *s, struct task *t);
@@ -818,7 +818,7 @@
 bool job_is_settled(struct sched *s, struct job *j);
 bool job_request_start(struct sched *s, struct job *j);
 void job_mark_durable(struct sched *s, struct job *j);
-bool step_is_ready(const struct occurrence *o, unsigned at);
+bool step_is_ready(const struct occurrence *o, unsigned step);
 struct task *task_find(struct sched *s, bstr name, struct job **job);
 bstr task_name(const struct task *t);
 const struct job_step *task_step(const struct task *t);
@@ -905,7 +905,7 @@
 /* sched-place.c: placing tasks on workers */
 void place_all(struct sched *s);
 unsigned step_tasks_on_worker(const struct worker *w,
-			      const struct occurrence *o, unsigned at);
+			      const struct occurrence *o, unsigned step);
 
 /* sched-move.c: moving machines between pools */
 void move_tick(struct sched *s);
@@ -917,8 +917,8 @@
 void advice_free(struct occurrence *o);
 bool advice_is_needed(const struct sched *s, struct job *j);
 bstr advice_ticket(const struct sched *s, const struct occurrence *o,
-		   unsigned at, const struct worker *w);
-bool advice_ready(struct sched *s, struct occurrence *o, unsigned at,
+		   unsigned step, const struct worker *w);
+bool advice_ready(struct sched *s, struct occurrence *o, unsigned step,
 		  struct worker **workers, size_t count);
 void advice_answer(struct sched *s, struct request *rq, struct answer *ans);
 
@@ -939,7 +939,7 @@
 
 /* sched-learn.c: observed run times */
 void learn_run_time(struct sched *s, const struct task *t);
-int64_t step_expected_ms(struct sched *s, const struct job *j, unsigned at);
+int64_t step_expected_ms(struct sched *s, const struct job *j, unsigned step);
 void learnt_times_free(struct sched *s);
 
 /* sched-pace.c: throttling of best-effort tasks */
--- a/scheduler.h
+++ b/scheduler.h
@@ -426,16 +426,16 @@
 	uint64_t seed; /* also identifies this process in the owner row */
 	int64_t lease_max_ms; /* longest lease that a worker holds */
 	int64_t stop_ms;
-	int64_t keep_ms;  /* how long final jobs are kept */
-	int64_t grace_ms; /* for requests in flight at a planned stop */
-	int64_t harm_ms;
-	int64_t notice_ms;
-	int64_t maintenance_ms;	      /* how long a machine is down */
-	int64_t move_ms;	      /* how long a move between pools takes */
+	int64_t keep_ms;	/* how long final jobs are kept */
+	int64_t grace_ms;	/* for requests in flight at a planned stop */
+	int64_t harm_ms;	/* read from the settings, but not used */
+	int64_t notice_ms;	/* read from the settings, but not used */
+	int64_t maintenance_ms; /* how long a machine is down */
+	int64_t move_ms;	/* how long a move between pools takes */
 	unsigned machine_calls_per_s; /* platform's limit for all VMs */
-	double far_factor;
-	double cpu_share;  /* processor cores available to this VM */
-	unsigned disabled; /* bit mask of disabled policies */
+	double far_factor;	      /* read from the settings, but not used */
+	double cpu_share;	      /* processor cores available to this VM */
+	unsigned disabled;	      /* bit mask of disabled policies */
 };
 struct sched;
 struct sched *sched_new(const struct sched_options *o);
@@ -453,8 +453,7 @@
 void sched_effect_free(struct sched_effect *fx);
 bool resources_fit(struct resources need, struct resources room);
 struct resources resources_add(struct resources a, struct resources b);
-struct resources resources_max(struct resources a,
-			       struct resources b); /* maximum, by resource */
+struct resources resources_max(struct resources a, struct resources b);
 struct resources resources_sub(struct resources a, struct resources b);
 
 #ifdef __cplusplus
