--- a/reduce-boot.c
+++ b/reduce-boot.c
@@ -192,7 +192,7 @@
 			sizeof(row)))
 		return;
 	key = boots_key(u->cell);
-	boots_apply(st, u->cell, &row, row_version(ev, key));
+	boots_apply(st, u->cell, &row, row_revision(ev, key));
 	bstr_free(&key);
 	xdr_free(XDR_PROC(xdr_boots_row), (char *)&row);
 }
--- a/reduce-call.c
+++ b/reduce-call.c
@@ -212,7 +212,7 @@
 	f->team = bstr_copy(team);
 	f->shard = shard;
 	f->vm = bstr_copy(vm);
-	f->made_at = st->now;
+	f->created_at = st->now;
 	f->deadline = deadline + FORWARD_MARGIN_MS;
 	f->resend_at = st->now;
 	TAILQ_INSERT_TAIL(&st->forwards, f, entry);
@@ -598,7 +598,7 @@
 
 	for (f = TAILQ_FIRST(&st->forwards); f; f = next) {
 		next = TAILQ_NEXT(f, entry);
-		lost = !f->sent && st->now - f->made_at >= OWNER_SEARCH_MS;
+		lost = !f->sent && st->now - f->created_at >= OWNER_SEARCH_MS;
 		if (st->now >= f->deadline || lost)
 			forward_give_up(st, f);
 		else if (f->resend_at && st->now >= f->resend_at)
--- a/reduce-claim.c
+++ b/reduce-claim.c
@@ -8,7 +8,7 @@
  * records; new records are appended to the last one.  Records are collected
  * during the commit window and committed together, so the number of writes
  * depends on the window and not on the number of jobs.  Each commit checks the
- * version of the shard's row.  So an owner that has been replaced can append
+ * revision of the shard's row.  So an owner that has been replaced can append
  * nothing any more, and the new owner, which reads the journal after it has
  * replaced that row, misses no record.
  */
@@ -240,7 +240,7 @@
 	struct journal_entry *e;
 	struct job *j;
 
-	g->revision = row_version(ev, key);
+	g->revision = row_revision(ev, key);
 	bstr_free(&key);
 	row_append(&g->row, &s->in_flight);
 	g->bytes = xdr_sizeof(XDR_PROC(xdr_journal_row), &g->row);
--- a/reduce-config.c
+++ b/reduce-config.c
@@ -293,7 +293,7 @@
 		 * the withdrawal of a key that was just created through
 		 * another VM, and the key would stay in force.
 		 */
-		if (st->head_confirmed_at < c->made_at) {
+		if (st->head_confirmed_at < c->created_at) {
 			st->heads_poll_at = st->now;
 			return;
 		}
@@ -325,7 +325,7 @@
 	}
 	c = xcalloc(1, sizeof(*c));
 	c->call = call;
-	c->made_at = st->now;
+	c->created_at = st->now;
 	c->deadline = st->now + CHANGE_TIMEOUT_MS;
 	xdr_copy(XDR_PROC(xdr_op_request), &c->request, rq, sizeof(*rq));
 	TAILQ_INSERT_TAIL(&st->changes, c, entry);
@@ -421,7 +421,7 @@
 	case PLATFORM_OK:
 		c->accepted = c->base_revision + 1;
 		c->deadline = st->now + st->fresh_ms;
-		st->head_revision = row_version(ev, bstr_lit(HEAD_KEY));
+		st->head_revision = row_revision(ev, bstr_lit(HEAD_KEY));
 		bstr_set(&st->head_value,
 			 rq->commit.writes.writes_val[0].value);
 		error_init(&e);
--- a/reduce-limit.c
+++ b/reduce-limit.c
@@ -142,7 +142,7 @@
 	t->allowance = a ? a->amount : 0;
 	/*
 	 * A write that returned a part of the allowance went unanswered.  It
-	 * may still take effect while the row is at the version that it
+	 * may still take effect while the row is at the revision that it
 	 * checks, and another cell could then take that part.  So the part
 	 * must not be used here, or the team would run more than its limit.
 	 */
@@ -288,8 +288,8 @@
 		t->loaded = xdr_decode(XDR_PROC(xdr_allowance_row),
 				       rq->commit.writes.writes_val[i].value,
 				       &t->row, sizeof(t->row));
-		t->revision = row_version(ev,
-					  rq->commit.writes.writes_val[i].key);
+		t->revision = row_revision(ev,
+					   rq->commit.writes.writes_val[i].key);
 	}
 	a = allowance_find(&t->row, &c->unit->id);
 	t->allowance = a ? a->amount : 0;
--- a/reduce-own.c
+++ b/reduce-own.c
@@ -269,7 +269,7 @@
 		unit_drop(st, u, "claim lost");
 		return;
 	}
-	u->revision = row_version(ev, u->name);
+	u->revision = row_revision(ev, u->name);
 	u->epoch++;
 	bstr_free(&u->unknown_owner);
 	if (u->kind == UNIT_CELL) {
--- a/reduce-table.c
+++ b/reduce-table.c
@@ -198,7 +198,7 @@
 }
 
 /* Returns the revision of a row in an answer, 0 if it is not included. */
-uint64_t row_version(const ev_platform *ev, bstr key)
+uint64_t row_revision(const ev_platform *ev, bstr key)
 {
 	const table_row *r = row_find(ev, key);
 
--- a/reduce-vm.c
+++ b/reduce-vm.c
@@ -97,7 +97,7 @@
 		if (w->key.bstr_len < n ||
 		    memcmp(w->key.bstr_val, VM_PREFIX, n) != 0)
 			continue;
-		r = (table_row){w->key, row_version(ev, w->key), w->value};
+		r = (table_row){w->key, row_revision(ev, w->key), w->value};
 		vm_row_apply(st, &r);
 	}
 }
@@ -105,7 +105,7 @@
 /* Records that the copies match the head that the completed read covers. */
 static void vms_set_current(struct state *st, const struct request *rq)
 {
-	st->vms_revision = st->vms_target;
+	st->vms_revision = st->vms_target_revision;
 	st->vms_generation = st->vms_target_generation;
 	st->vms_known = true;
 	st->vms_current_at = rq->sent_at;
@@ -168,7 +168,7 @@
 	if (r->revision &&
 	    !xdr_decode(XDR_PROC(xdr_vms_head), r->value, &h, sizeof(h)))
 		return;
-	st->vms_target = r->revision;
+	st->vms_target_revision = r->revision;
 	st->vms_target_generation = h.generation;
 	if (h.recent.recent_len)
 		oldest =
--- a/reduce-wave.c
+++ b/reduce-wave.c
@@ -151,7 +151,7 @@
 	st->waves_poll_at = st->now;
 	if (ev->outcome != PLATFORM_OK || !w)
 		return;
-	r = (table_row){x->key, row_version(ev, x->key), x->value};
+	r = (table_row){x->key, row_revision(ev, x->key), x->value};
 	wave_row_apply(st, &r);
 }
 
--- a/reduce.h
+++ b/reduce.h
@@ -153,7 +153,7 @@
 /*
  * A cell or a shard: a unit of work that one entry VM owns at a time.  The
  * epoch in the unit's row is a fencing token: each journal commit checks the
- * version of the row, and workers refuse lower epochs.
+ * revision of the row, and workers refuse lower epochs.
  */
 struct unit {
 	bstr name; /* also the key of its row */
@@ -439,7 +439,7 @@
 	bstr to; /* where it was last sent */
 	uint32_t shard;
 	bstr vm; /* the only VM that can answer; empty: the shard's owner */
-	int64_t made_at;
+	int64_t created_at;
 	int64_t deadline;
 	int64_t resend_at; /* 0: sent, waiting for the answer */
 	bool sent;
@@ -455,13 +455,13 @@
 	bstr vm; /* entry VM that forwarded it; empty: this one */
 	op_request request;
 	json_t *doc;
-	uint64_t base_revision; /* configuration it is based on */
-	uint64_t head_revision; /* version of the head row to replace */
+	uint64_t base_revision; /* of the configuration that it is based on */
+	uint64_t head_revision; /* of the head row to replace */
 	bstr object;
 	unsigned tries;
 	bool in_flight;
 	uint64_t accepted; /* its configuration revision; 0: not committed */
-	int64_t made_at;
+	int64_t created_at;
 	int64_t deadline;
 };
 TAILQ_HEAD(change_list, change);
@@ -623,7 +623,8 @@
 	struct vm *vms;
 	uint64_t vms_generation;
 	uint64_t vms_revision;
-	uint64_t vms_target; /* head version that the current read covers */
+	uint64_t vms_target_revision; /* head version that the current read
+					 covers */
 	uint64_t vms_target_generation;
 	bool vms_known;
 	int64_t vms_current_at; /* when vms last matched the table */
@@ -691,7 +692,7 @@
 void platform_event(struct state *st, const ev_platform *ev);
 void requests_tick(struct state *st);
 const table_row *row_find(const ev_platform *ev, bstr key);
-uint64_t row_version(const ev_platform *ev, bstr key);
+uint64_t row_revision(const ev_platform *ev, bstr key);
 
 /* reduce-member.c: membership and leases of entry VMs. */
 void member_tick(struct state *st);
--- a/rows.x
+++ b/rows.x
@@ -1,6 +1,6 @@
 /*
  * Rows of the platform's table, except the configuration's head, which is
- * JSON.  Changes of a row are ordered only by its version in the table;
+ * JSON.  Changes of a row are ordered only by its revision in the table;
  * nothing in a row depends on a clock.  Each comment names the row's key.
  */
 %#include "types.h"
@@ -67,7 +67,7 @@
 
 /*
  * allow/<team>: how a team's upper limit is divided among cells.  The sum of
- * amounts never exceeds limit in any version of the row.
+ * amounts never exceeds limit in any revision of the row.
  */
 struct cell_allowance {
 	cell_id cell;
--- a/scheduler.h
+++ b/scheduler.h
@@ -424,8 +424,8 @@
 	bstr vm;
 	bstr zone;
 	uint64_t seed; /* also identifies this process in the owner row */
-	int64_t lease_max_ms; /* longest lease that a worker holds */
-	int64_t stop_ms;
+	int64_t lease_max_ms;	/* longest lease that a worker holds */
+	int64_t stop_ms;	/* read from the settings, but not used */
 	int64_t keep_ms;	/* how long final jobs are kept */
 	int64_t grace_ms;	/* for requests in flight at a planned stop */
 	int64_t harm_ms;	/* read from the settings, but not used */
