--- a/reduce-call.c
+++ b/reduce-call.c
@@ -531,8 +531,9 @@
 }
 
 /*
- * Requests sent to a VM may be lost: sends them again.  This is safe because
- * the home recognises a request by its job's id and runs the job once.
+ * Has the requests forwarded to a VM sent again, as they may have been lost.
+ * This is safe because the home recognises a request by its job's id and runs
+ * the job once.
  */
 void call_peer_lost(struct state *st, bstr vm)
 {
@@ -543,7 +544,7 @@
 			f->resend_at = st->now + FORWARD_RETRY_MS;
 }
 
-/* The caller has disconnected: drops its waiters; its job goes on. */
+/* Drops the waiters of a caller that has disconnected; its job goes on. */
 void call_gone(struct state *st, uint64_t call)
 {
 	struct waiter *w, *wn;
@@ -629,7 +630,7 @@
 		->sent = true;
 }
 
-/* The process stops: answers all callers that still wait. */
+/* Answers all callers that still wait, as the process stops. */
 void calls_stop(struct state *st)
 {
 	struct forward *f, *next;
--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -627,7 +627,10 @@
 		worker_order(st, t->worker, t->id, TASK_STOP);
 }
 
-/* The home has stored the result: drops the task here and at the worker. */
+/*
+ * Handles the home's acknowledgement of a result: drops the task here and at
+ * the worker.
+ */
 void cell_ack(struct state *st, const pm_attempt *m)
 {
 	struct unit *u = unit_of_cell(st, &m->cell);
--- a/reduce-config.c
+++ b/reduce-config.c
@@ -65,7 +65,7 @@
 		if (!st->config)
 			st->config = config_parse(bstr_lit("{}"), 0, &e);
 		st->head_confirmed_at = rq->sent_at;
-		proof_platform(st, rq->sent_at);
+		proof_confirm_head(st, rq->sent_at);
 		return;
 	}
 	if (!head_parse(r->value, &revision, &object)) {
@@ -73,7 +73,7 @@
 	} else if (st->config && revision <= st->config->revision) {
 		st->config_known = true;
 		st->head_confirmed_at = rq->sent_at;
-		proof_platform(st, rq->sent_at);
+		proof_confirm_head(st, rq->sent_at);
 	} else if (!st->get_request) {
 		st->get_request = object_get(st, REQ_CONFIG_GET, object,
 					     object);
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -182,7 +182,7 @@
 	j->expire_at = st->now + st->retention_ms;
 	TAILQ_INSERT_TAIL(&st->finished, j, entry);
 	st->finished_count++;
-	job_answer_due(st, j);
+	job_answer_waiters(st, j);
 	op_why_job_answer(st, j);
 	if (j->sent_to.bstr_len)
 		job_ack(st, j->sent_to, &m);
@@ -208,7 +208,7 @@
 	job_uncount(j);
 	j->phase = PHASE_ENDING;
 	job_count_final(st, j);
-	job_answer_due(st, j);
+	job_answer_waiters(st, j);
 	if (!j->shard) {
 		job_final_durable(st, j);
 		return;
@@ -434,7 +434,7 @@
 	if (!j->cell.pool.bstr_len) {
 		j->phase = PHASE_UNDISPATCHED;
 		j->check_at = st->now;
-		job_answer_due(st, j);
+		job_answer_waiters(st, j);
 		return;
 	}
 	/*
@@ -446,11 +446,11 @@
 		j->phase = PHASE_DISPATCHED;
 		j->sent_at = st->now;
 		j->check_at = st->now + CHECK_RETRY_MS;
-		job_answer_due(st, j);
+		job_answer_waiters(st, j);
 		return;
 	}
 	job_dispatch(st, j);
-	job_answer_due(st, j);
+	job_answer_waiters(st, j);
 }
 
 /*
@@ -696,7 +696,7 @@
 /* Does what is due for one active job. */
 static void job_tick(struct state *st, struct job *j)
 {
-	job_answer_due(st, j);
+	job_answer_waiters(st, j);
 	if (j->phase == PHASE_DISPATCHED && j->sent_to.bstr_len &&
 	    !bstr_eq(j->sent_to, st->vm) &&
 	    j->check_at > st->now + CHECK_RETRY_MS &&
--- a/reduce-key.c
+++ b/reduce-key.c
@@ -11,8 +11,11 @@
  * accepted a change that this VM does not have.
  */
 
-/* A read of the head row, sent at sent_at, found no newer revision. */
-void proof_platform(struct state *st, int64_t sent_at)
+/*
+ * Advances the proof after a read of the head row, sent at sent_at, that found
+ * no newer revision.
+ */
+void proof_confirm_head(struct state *st, int64_t sent_at)
 {
 	if (sent_at > st->proof_at)
 		st->proof_at = sent_at;
--- a/reduce-op.c
+++ b/reduce-op.c
@@ -36,7 +36,7 @@
 	fx->effect_u.op_reply.reply = r;
 }
 
-/* Answers the request that is being handled. */
+/* Answers the request that is being handled; see op_answer_to. */
 void op_answer(struct state *st, uint64_t call, op_status status,
 	       const char *reason, const char *detail, uint32_t retry_after_ms,
 	       json_t *body)
@@ -186,7 +186,7 @@
  */
 static void team_add_usage(struct state *st, bstr team, json_t *o)
 {
-	uint64_t running = 0, queued = 0, held = 0;
+	uint64_t running = 0, queued = 0, allowance = 0;
 	struct unit *u, *next;
 	struct cell_team *t;
 
@@ -198,11 +198,11 @@
 			continue;
 		running += team_used(t);
 		queued += t->queued;
-		held += t->allowance;
+		allowance += t->allowance;
 	}
 	json_set_int(o, "running", running);
 	json_set_int(o, "queued", queued);
-	json_set_int(o, "held", held);
+	json_set_int(o, "held", allowance);
 }
 
 /* Shows one team or all. */
@@ -399,7 +399,7 @@
 }
 
 /* Shows the entry VMs and the platform as this entry VM sees them. */
-static void op_fleet(struct state *st, uint64_t call, const op_request *rq)
+static void op_fleet_show(struct state *st, uint64_t call, const op_request *rq)
 {
 	json_t *o = json_object(), *members = json_array();
 	struct member *m, *next;
@@ -471,7 +471,7 @@
 	{OP_CONFIG_HISTORY, SCOPE_ANY, op_config_history},
 	{OP_WHY_JOB, SCOPE_HOME, op_why_job},
 	{OP_WHY_TEAM, SCOPE_ALL, op_why_team},
-	{OP_FLEET, SCOPE_ALL, op_fleet},
+	{OP_FLEET, SCOPE_ALL, op_fleet_show},
 	{OP_WAVE_PLAN, SCOPE_ANY, op_wave_change},
 	{OP_WAVE_START, SCOPE_ANY, op_wave_change},
 	{OP_WAVE_PAUSE, SCOPE_ANY, op_wave_change},
@@ -492,7 +492,7 @@
 	       !TAILQ_EMPTY(&st->why_requests) || !TAILQ_EMPTY(&st->asks);
 }
 
-/* Answers a request that may have taken effect when the process stops. */
+/* Answers a request that may have taken effect, as the process stops. */
 static void op_answer_stopping(struct state *st, uint64_t call)
 {
 	op_answer(st, call, OP_UNKNOWN, "stopping",
@@ -501,7 +501,7 @@
 		  RETRY_AFTER_MS, NULL);
 }
 
-/* The process stops: answers all operators' requests that still wait. */
+/* Answers all operators' requests that still wait, as the process stops. */
 void ops_stop(struct state *st)
 {
 	struct wave_change *w;
--- a/reduce-wait.c
+++ b/reduce-wait.c
@@ -27,7 +27,7 @@
 }
 
 /* Returns the HTTP status for a job's state; submit: of a submission. */
-static uint32_t job_http(const job_view *v, bool submit)
+static uint32_t job_http_status(const job_view *v, bool submit)
 {
 	if (v->state == JOB_QUEUED || v->state == JOB_RUNNING)
 		return submit ? 202 : 200;
@@ -59,7 +59,7 @@
 /* Answers a waiter with the current state of its job, and removes it. */
 static void job_answer(struct state *st, struct job *j, struct waiter *w)
 {
-	caller_answer a = {.http = job_http(&j->view, w->submit)};
+	caller_answer a = {.http = job_http_status(&j->view, w->submit)};
 
 	if (job_is_final(j) && !job_final_ready(j)) {
 		waiter_refuse(st, j, w,
@@ -113,7 +113,7 @@
 /*
  * Answers the waiters whose answer is available or whose deadline has passed.
  */
-void job_answer_due(struct state *st, struct job *j)
+void job_answer_waiters(struct state *st, struct job *j)
 {
 	struct waiter *w, *next;
 	int64_t grace_ms = job_is_final(j) ? FINAL_GRACE_MS : 0;
--- a/reduce.h
+++ b/reduce.h
@@ -717,7 +717,7 @@
 
 /* reduce-key.c: proof that the configuration is fresh; key checks. */
 void proof_update(struct state *st);
-void proof_platform(struct state *st, int64_t sent_at);
+void proof_confirm_head(struct state *st, int64_t sent_at);
 bool proof_fresh(const struct state *st);
 const struct team *key_check(struct state *st, const caller_request *rq,
 			     caller_answer *refusal);
@@ -800,7 +800,7 @@
 /* reduce-wait.c: callers that wait for a job, and their answers. */
 void job_wait(struct state *st, struct job *j, bstr vm, uint64_t call,
 	      int64_t deadline, bool until_final, bool submit);
-void job_answer_due(struct state *st, struct job *j);
+void job_answer_waiters(struct state *st, struct job *j);
 void waiter_refuse(struct state *st, struct job *j, struct waiter *w,
 		   const char *detail, uint32_t retry);
 void waiter_refuse_claim(struct state *st, struct job *j, struct waiter *w);
