--- a/reduce-ask.c
+++ b/reduce-ask.c
@@ -1,14 +1,13 @@
-#include "reduce.h"
-
-#include <stdlib.h>
-#include <string.h>
-
 /*
  * Operators' requests that one entry VM can't answer alone.  The VM that got
  * the request sends it to the others and merges their replies, so that the
  * operator needs only one command.  The answer names the VMs that did not
  * reply.
  */
+#include "reduce.h"
+
+#include <stdlib.h>
+#include <string.h>
 
 #define ASK_ALL_TIMEOUT_MS 1500
 #define ASK_HOME_TIMEOUT_MS 4000
--- a/reduce-boot.c
+++ b/reduce-boot.c
@@ -1,8 +1,3 @@
-#include "reduce.h"
-
-#include <stdlib.h>
-#include <string.h>
-
 /*
  * Durable record of the workers' boot ids.  A worker that restarts loses its
  * record of what it ran.  If the owner of its cell changes at about that time,
@@ -13,6 +8,10 @@
  * history_lost in the row: from then on the absence of a task does not prove
  * that a job did not run.
  */
+#include "reduce.h"
+
+#include <stdlib.h>
+#include <string.h>
 
 /* history_lost stays for a day, in which homes query the jobs sent here. */
 #define HISTORY_LOST_MS 86400000
--- a/reduce-call.c
+++ b/reduce-call.c
@@ -1,14 +1,13 @@
+/*
+ * Callers' requests.  A request is handled at the home of its job; if that is
+ * another VM, the request is forwarded to it and the answer passed back.
+ */
 #include "reduce.h"
 
 #include <sodium.h>
 #include <stdlib.h>
 #include <string.h>
 
-/*
- * Callers' requests.  A request is handled at the home of its job; if that is
- * another VM, the request is forwarded to it and the answer passed back.
- */
-
 /* A forwarded request outlives the caller's deadline by this, for transit. */
 #define FORWARD_MARGIN_MS 1500
 #define FORWARD_RETRY_MS 100
--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -1,12 +1,11 @@
-#include "reduce.h"
-
-#include <stdlib.h>
-#include <string.h>
-
 /*
  * Tasks of the cells that this VM owns: dispatches, queries and cancellations
  * from the jobs' homes, reports from workers, and results to the homes.
  */
+#include "reduce.h"
+
+#include <stdlib.h>
+#include <string.h>
 
 /* The result of a soft job is kept this long after its home has died. */
 #define ORPHAN_RETENTION_MS 60000
--- a/reduce-claim.c
+++ b/reduce-claim.c
@@ -1,8 +1,3 @@
-#include "reduce.h"
-
-#include <stdlib.h>
-#include <string.h>
-
 /*
  * The journal of a shard: a sequence of segments (rows of the table) with
  * records; new records are appended to the last one.  Records are collected
@@ -12,6 +7,10 @@
  * nothing any more, and the new owner, which reads the journal after it has
  * replaced that row, misses no record.
  */
+#include "reduce.h"
+
+#include <stdlib.h>
+#include <string.h>
 
 /* A segment of this size is full; the next records go to a new one. */
 #define SEGMENT_FULL_BYTES 16384
--- a/reduce-config.c
+++ b/reduce-config.c
@@ -1,13 +1,12 @@
-#include "reduce.h"
-
-#include <stdlib.h>
-#include <string.h>
-
 /*
  * The configuration in force and operators' changes to it.  A configuration is
  * stored as an object of its own.  The head row names the object of the newest
  * revision; a change stores a new object and then replaces the head.
  */
+#include "reduce.h"
+
+#include <stdlib.h>
+#include <string.h>
 
 #define HEAD_KEY "config/head"
 #define HISTORY_MAX 32
@@ -74,9 +73,9 @@
 		st->config_known = true;
 		st->head_confirmed_at = rq->sent_at;
 		proof_confirm_head(st, rq->sent_at);
-	} else if (!st->get_request) {
-		st->get_request = object_get(st, REQ_CONFIG_GET, object,
-					     object);
+	} else if (!st->config_get_request) {
+		st->config_get_request = object_get(st, REQ_CONFIG_GET, object,
+						    object);
 	}
 	bstr_free(&object);
 }
@@ -107,7 +106,7 @@
 	bstr object;
 	char *text;
 
-	st->get_request = 0;
+	st->config_get_request = 0;
 	if (ev->outcome != PLATFORM_OK ||
 	    !head_parse(st->head_value, &revision, &object))
 		return;
@@ -285,7 +284,7 @@
 		next = TAILQ_NEXT(c, entry);
 		if (c->in_flight)
 			return;
-		if (c->accepted)
+		if (c->accepted_revision)
 			continue;
 		/*
 		 * The head must have been read since the request arrived.  A
@@ -374,7 +373,7 @@
 	HASH_ITER(hh, st->members, m, next) {
 		if (!member_alive(m))
 			continue;
-		has = m->config_revision >= c->accepted;
+		has = m->config_revision >= c->accepted_revision;
 		*everywhere = *everywhere && has;
 		dc = bstr_cstr(m->dc);
 		if (!has || !json_object_get(dcs, dc))
@@ -382,7 +381,7 @@
 		free(dc);
 	}
 	json_object_set_new(body, "revision",
-			    json_integer((json_int_t)c->accepted));
+			    json_integer((json_int_t)c->accepted_revision));
 	json_object_set_new(body, "in_force", dcs);
 	json_object_set_new(body, "everywhere_by_ms",
 			    json_integer(*everywhere ? 0 : st->fresh_ms));
@@ -419,17 +418,18 @@
 	c->in_flight = false;
 	switch (ev->outcome) {
 	case PLATFORM_OK:
-		c->accepted = c->base_revision + 1;
+		c->accepted_revision = c->base_revision + 1;
 		c->deadline = st->now + st->fresh_ms;
 		st->head_revision = row_revision(ev, bstr_lit(HEAD_KEY));
 		bstr_set(&st->head_value,
 			 rq->commit.writes.writes_val[0].value);
 		error_init(&e);
-		config_adopt(st, config_new(c->doc, c->accepted, &e));
+		config_adopt(st, config_new(c->doc, c->accepted_revision, &e));
 		st->heads_poll_at = st->now;
-		effect_log(
-			st, LOG_OPERATOR_DID, "operation %d made revision %llu",
-			(int)c->request.kind, (unsigned long long)c->accepted);
+		effect_log(st, LOG_OPERATOR_DID,
+			   "operation %d made revision %llu",
+			   (int)c->request.kind,
+			   (unsigned long long)c->accepted_revision);
 		member_ping_all(st);
 		change_report_accepted(st, c);
 		break;
@@ -462,7 +462,7 @@
 
 	for (c = TAILQ_FIRST(&st->changes); c; c = next) {
 		next = TAILQ_NEXT(c, entry);
-		if (c->accepted)
+		if (c->accepted_revision)
 			change_report_accepted(st, c);
 		else if (!c->in_flight && st->now >= c->deadline)
 			change_answer(st, c, OP_UNAVAILABLE,
--- a/reduce-home.c
+++ b/reduce-home.c
@@ -1,9 +1,8 @@
-#include "reduce.h"
-
 /*
  * The jobs of a shard when its owner changes: replay of the journal at the new
  * owner, and redirection of waiting callers at the old one.
  */
+#include "reduce.h"
 
 /*
  * Replays a claim, the first of the job or one that was appended again later.
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -1,12 +1,11 @@
-#include "reduce.h"
-
-#include <stdlib.h>
-
 /*
  * A job at its home: submission, dispatch to a cell, queries to that cell,
  * retries and the final answer.  A job that must survive its home is recorded
  * in the shard's journal before it is dispatched.
  */
+#include "reduce.h"
+
+#include <stdlib.h>
 
 /* A claim that is not durable after this is withdrawn, if that is safe. */
 #define CLAIM_TIMEOUT_MS 1500
--- a/reduce-key.c
+++ b/reduce-key.c
@@ -1,5 +1,3 @@
-#include "reduce.h"
-
 /*
  * Key checks and the freshness of the configuration.  A withdrawn key must stop
  * working within seconds.  So a VM accepts jobs only if it knows all
@@ -10,6 +8,7 @@
  * accept withdrawals, and each reports the revision that it has, so none has
  * accepted a change that this VM does not have.
  */
+#include "reduce.h"
 
 /*
  * Advances the proof after a read of the head row, sent at sent_at, that found
@@ -39,7 +38,7 @@
 	struct member *m, *next;
 	int64_t at = st->now;
 
-	if (!st->scanned_at ||
+	if (!st->members_scanned_at ||
 	    st->now - st->platform_answered_at > PEER_PROOF_MS)
 		return INT64_MIN / 2;
 	HASH_ITER(hh, st->members, m, next) {
--- a/reduce-limit.c
+++ b/reduce-limit.c
@@ -1,8 +1,3 @@
-#include "reduce.h"
-
-#include <stdlib.h>
-#include <string.h>
-
 /*
  * Teams' upper limits, enforced without a table access per start.  A team's
  * row divides its limit into an allowance for each cell.  The allowances never
@@ -10,6 +5,10 @@
  * A cell that is cut off from the platform goes on with the allowance that it
  * holds; until it gives that up, no other cell can have it.
  */
+#include "reduce.h"
+
+#include <stdlib.h>
+#include <string.h>
 
 #define ALLOWANCE_RETRY_MS 300
 #define ALLOWANCE_GIVE_UP_MS 5000
--- a/reduce-member.c
+++ b/reduce-member.c
@@ -349,7 +349,7 @@
 	struct member *m, *next;
 	u_int i, n = 1;
 
-	st->scan_request = 0;
+	st->member_scan_request = 0;
 	if (ev->outcome != PLATFORM_OK)
 		return;
 	HASH_ITER(hh, st->members, m, next)
@@ -366,7 +366,7 @@
 		n += member_alive(m);
 		member_remove_expired(st, m);
 	}
-	st->scanned_at = st->now;
+	st->members_scanned_at = st->now;
 	effect_count(st, COUNT_MEMBERS, n);
 }
 
@@ -404,7 +404,7 @@
 	peer_message msg = {.kind = PM_PONG};
 
 	if (!m) {
-		st->scan_at = st->now; /* the peer has just joined */
+		st->member_scan_at = st->now; /* the peer has just joined */
 		return;
 	}
 	m->heard_at = st->now;
@@ -444,10 +444,10 @@
 {
 	if (!st->member_request && st->now >= st->renew_at)
 		member_renew(st);
-	if (!st->scan_request && st->now >= st->scan_at) {
-		st->scan_request = table_scan(st, REQ_MEMBER_SCAN, st->vm,
-					      bstr_lit(MEMBER_PREFIX));
-		st->scan_at = st->now + st->member_renew_ms;
+	if (!st->member_scan_request && st->now >= st->member_scan_at) {
+		st->member_scan_request = table_scan(
+			st, REQ_MEMBER_SCAN, st->vm, bstr_lit(MEMBER_PREFIX));
+		st->member_scan_at = st->now + st->member_renew_ms;
 	}
 	if (st->now >= st->ping_at)
 		member_ping_all(st);
--- a/reduce-op.c
+++ b/reduce-op.c
@@ -1,12 +1,11 @@
-#include "reduce.h"
-
-#include <stdlib.h>
-#include <string.h>
-
 /*
  * Operators' requests: which entry VM handles each, and the requests that show
  * the state of the fleet.
  */
+#include "reduce.h"
+
+#include <stdlib.h>
+#include <string.h>
 
 /*
  * Answers an operator of this VM (forwarded_by is empty) or the VM that
--- a/reduce-own.c
+++ b/reduce-own.c
@@ -330,8 +330,9 @@
 {
 	switch (u->state) {
 	case UNIT_IDLE:
-		if (!u->configured || !lease_valid(st) || !st->scanned_at ||
-		    st->stopping || st->now < u->retry_at ||
+		if (!u->configured || !lease_valid(st) ||
+		    !st->members_scanned_at || st->stopping ||
+		    st->now < u->retry_at ||
 		    (!u->row_unread && !bstr_eq(unit_choose(st, u), st->vm) &&
 		     !unit_is_fallback_owner(st, u)))
 			return;
--- a/reduce-vm.c
+++ b/reduce-vm.c
@@ -33,13 +33,13 @@
 /* Frees the copies of the VM rows and of the platform's list. */
 void vms_free(struct state *st)
 {
-	struct listed *l, *ln;
+	struct vm_listing *l, *ln;
 	struct vm *v, *vn;
 
 	HASH_ITER(hh, st->vms, v, vn)
 		vm_free(st, v);
-	HASH_ITER(hh, st->listed, l, ln) {
-		HASH_DEL(st->listed, l);
+	HASH_ITER(hh, st->vm_listings, l, ln) {
+		HASH_DEL(st->vm_listings, l);
 		bstr_free(&l->vm);
 		free(l);
 	}
@@ -221,28 +221,28 @@
  */
 void vms_listed(struct state *st, const ev_platform *ev)
 {
-	struct listed *l, *next;
+	struct vm_listing *l, *next;
 	u_int i;
 
-	st->list_request = 0;
+	st->vm_list_request = 0;
 	if (ev->outcome != PLATFORM_OK)
 		return;
-	HASH_ITER(hh, st->listed, l, next)
+	HASH_ITER(hh, st->vm_listings, l, next)
 		l->marked = false;
 	for (i = 0; i < ev->vms.vms_len; i++) {
 		const listed_vm *v = &ev->vms.vms_val[i];
 
-		HASH_FIND_BSTR(st->listed, v->vm, l);
+		HASH_FIND_BSTR(st->vm_listings, v->vm, l);
 		if (!l) {
 			l = xcalloc(1, sizeof(*l));
 			l->vm = bstr_copy(v->vm);
-			HASH_ADD_BSTR(st->listed, vm, l);
+			HASH_ADD_BSTR(st->vm_listings, vm, l);
 		}
 		l->marked = true;
 		l->leaving = v->leaving;
 		l->absent_at = 0;
 	}
-	HASH_ITER(hh, st->listed, l, next) {
+	HASH_ITER(hh, st->vm_listings, l, next) {
 		if (!l->marked && !l->absent_at)
 			l->absent_at = st->now;
 	}
@@ -251,18 +251,18 @@
 /* Returns true if the platform's list has a VM as leaving, or lost it. */
 bool vm_leaving(struct state *st, bstr name)
 {
-	struct listed *l;
+	struct vm_listing *l;
 
-	HASH_FIND_BSTR(st->listed, name, l);
+	HASH_FIND_BSTR(st->vm_listings, name, l);
 	return l && (l->leaving || l->absent_at);
 }
 
 /* Returns true if a VM that was in the list is absent for ABSENT_MS. */
 bool vm_absent(struct state *st, bstr name)
 {
-	struct listed *l;
+	struct vm_listing *l;
 
-	HASH_FIND_BSTR(st->listed, name, l);
+	HASH_FIND_BSTR(st->vm_listings, name, l);
 	return l && l->absent_at && st->now - l->absent_at >= ABSENT_MS;
 }
 
@@ -272,11 +272,11 @@
 	struct request *rq;
 	effect *fx;
 
-	if (st->list_request || st->now < st->list_poll_at)
+	if (st->vm_list_request || st->now < st->vm_list_poll_at)
 		return;
-	st->list_poll_at = st->now + st->list_poll_ms;
+	st->vm_list_poll_at = st->now + st->list_poll_ms;
 	rq = request_new(st, REQ_VM_LIST, st->vm);
-	st->list_request = rq->id;
+	st->vm_list_request = rq->id;
 	fx = effect_add(st, FX_VM_LIST);
 	fx->effect_u.vm_list = rq->id;
 }
--- a/reduce.h
+++ b/reduce.h
@@ -129,7 +129,7 @@
 };
 
 /* A VM in the platform's list of VMs, which lags behind. */
-struct listed {
+struct vm_listing {
 	bstr vm;
 	bool leaving;
 	bool marked;	   /* seen in the list that is being read */
@@ -460,7 +460,7 @@
 	bstr object;
 	unsigned tries;
 	bool in_flight;
-	uint64_t accepted; /* its configuration revision; 0: not committed */
+	uint64_t accepted_revision; /* 0: not committed */
 	int64_t created_at;
 	int64_t deadline;
 };
@@ -597,11 +597,11 @@
 	uint64_t member_revision;
 	uint64_t member_seq;
 	uint64_t member_request;
-	uint64_t scan_request;
+	uint64_t member_scan_request;
 	int64_t renew_at;
-	int64_t scan_at;
+	int64_t member_scan_at;
 	int64_t lease_until;
-	int64_t scanned_at; /* latest successful scan */
+	int64_t members_scanned_at; /* latest successful scan */
 	int64_t ping_at;
 	uint64_t ping_seq;
 	int64_t proof_at; /* key withdrawals up to this time are known here */
@@ -615,7 +615,7 @@
 	bstr head_value;
 	uint64_t heads_request;
 	int64_t heads_poll_at;
-	uint64_t get_request;
+	uint64_t config_get_request;
 	struct change_list changes;
 	bool ready;
 
@@ -629,9 +629,9 @@
 	bool vms_known;
 	int64_t vms_current_at; /* when vms last matched the table */
 	uint64_t vms_request;
-	struct listed *listed;
-	uint64_t list_request;
-	int64_t list_poll_at;
+	struct vm_listing *vm_listings;
+	uint64_t vm_list_request;
+	int64_t vm_list_poll_at;
 	struct edit_list edits;
 	struct wave *waves;
 	struct wave_change_list wave_changes;
--- a/sched-move.c
+++ b/sched-move.c
@@ -663,7 +663,7 @@
 	double machine_cores;
 	size_t i;
 
-	if (!own_is_exclusive(s) || !s->list_complete ||
+	if (!own_is_exclusive(s) || !s->machine_list_complete ||
 	    !s->home_sizes_durable || !s->config || s->now < s->move_at)
 		return;
 	s->move_at = s->now + MOVE_INTERVAL_MS;
--- a/sched-note.c
+++ b/sched-note.c
@@ -38,8 +38,8 @@
  */
 bool workers_note_is_due(struct sched *s)
 {
-	bool may_drop = s->now >= s->note_at,
-	     write = may_drop && s->note_has_gone_worker;
+	bool may_drop = s->now >= s->workers_note_at,
+	     write = may_drop && s->workers_note_has_gone;
 	struct worker *w, *next;
 
 	if (s->own.state != OWN_OWNER)
@@ -54,8 +54,8 @@
 			w->noted = false;
 	}
 	if (write) {
-		s->note_at = s->now + NOTE_DROP_INTERVAL_MS;
-		s->note_has_gone_worker = false;
+		s->workers_note_at = s->now + NOTE_DROP_INTERVAL_MS;
+		s->workers_note_has_gone = false;
 	}
 	return write;
 }
--- a/sched-state.h
+++ b/sched-state.h
@@ -107,8 +107,10 @@
  */
 #define SUSPECT_FAILURES 2
 #define SUSPECT_MS 4000
-/* Delay before a failed task, or one whose lease expired, is retried; prevents
- * a busy loop. */
+/*
+ * Delay before a task that failed or whose lease expired is retried; prevents a
+ * busy loop.
+ */
 #define TASK_RETRY_DELAY_MS 50
 /*
  * The longest time after which an unanswered order can still be carried out.
@@ -424,8 +426,8 @@
 	uint64_t call;
 	struct worker *worker;
 	char job[JOB_ID_BYTES + 1];
-	unsigned occurrence;
-	unsigned task;
+	unsigned occurrence; /* or, of a read, the part of the table */
+	unsigned task; /* index in the occurrence, or, of advice, the step */
 	uint64_t run;
 	uint64_t number;   /* of a wave, or lease end on a worker's clock */
 	uint64_t revision; /* that a heartbeat expected its row to have */
@@ -499,8 +501,7 @@
 	int64_t confirmed_at; /* when the last successful heartbeat was sent */
 	int64_t claimed_at;
 	int64_t last_activity_at; /* last heartbeat or change of owner seen */
-	int64_t previous_activity_at; /* last_activity_at when it claimed
-				       */
+	int64_t previous_activity_at; /* at the time of the claim */
 	bool settled;		      /* the releasing owner knew of all runs */
 	bool previous_released; /* settled, and released by a planned stop */
 	json_t *workers;	/* that earlier owners may have given leases,
@@ -670,11 +671,11 @@
 	int64_t sweep_at;
 	struct worker *workers;
 	struct worker_queue unacked; /* by last_end_seq */
-	int64_t note_at; /* not rewritten before this just to drop workers */
-	bool note_has_gone_worker; /* the note names a worker freed since */
-	struct pool *pools;	   /* by service */
-	unsigned last_pool_index;  /* order_index of the last pool considered */
-	unsigned unknown_count;	   /* unknown workers of all pools */
+	int64_t workers_note_at;     /* earliest rewrite just to drop workers */
+	bool workers_note_has_gone;  /* the note names a worker freed since */
+	struct pool *pools;	     /* by service */
+	unsigned last_pool_index; /* order_index of the last pool considered */
+	unsigned unknown_count;	  /* unknown workers of all pools */
 	struct usage *usage;
 	bool settled;	  /* each worker has answered or its lease is over */
 	bool place_due;	  /* something changed: a placement pass is needed */
@@ -682,9 +683,9 @@
 	bool has_delayed_tasks; /* some task has not_before in the future */
 	bool has_pending_tasks; /* the last pass left some task pending */
 	struct machine *machines;
-	bool list_in_flight;
-	int64_t list_at;
-	bool list_complete;
+	bool machine_list_in_flight;
+	int64_t machine_list_at;
+	bool machine_list_complete;
 	struct wave *waves;
 	unsigned starts_in_flight;
 	unsigned start_window; /* limit of them, in 1/START_WINDOW_UNIT */
--- a/sched-wave.c
+++ b/sched-wave.c
@@ -16,7 +16,7 @@
  */
 #define WAVE_DRAIN_MS 1200
 /* Interval of reading the list of machines. */
-#define LIST_INTERVAL_MS 900
+#define MACHINE_LIST_INTERVAL_MS 900
 #define PLATFORM_TIMEOUT_MS 1500
 #define PLATFORM_RETRY_MS 500
 /* A machine counts as down this much longer than its maintenance takes. */
@@ -175,7 +175,7 @@
 		bstr_free(&m->moving_to);
 		free(m);
 	}
-	s->list_complete = false;
+	s->machine_list_complete = false;
 }
 
 /* Discards the state that only an owner has; the operator's requests stay. */
@@ -193,7 +193,7 @@
 			v->machines[i].retry_at = 0;
 		}
 	}
-	s->list_in_flight = false;
+	s->machine_list_in_flight = false;
 	machines_free(s);
 }
 
@@ -640,7 +640,7 @@
 
 	if (v->requested && v->dirty && !v->writing && s->now >= v->write_at)
 		wave_write(s, v);
-	if (!v->requested || v->completed || !s->list_complete)
+	if (!v->requested || v->completed || !s->machine_list_complete)
 		return;
 	for (i = 0; i < v->count; i++) {
 		if (member_may_be_down(s, &v->machines[i]) ||
@@ -670,8 +670,8 @@
 		       s->now + PLATFORM_TIMEOUT_MS, &ask);
 	rq->number = s->own.epoch;
 	ask->order.page = bstr_copy(page);
-	s->list_in_flight = true;
-	s->list_at = s->now + LIST_INTERVAL_MS;
+	s->machine_list_in_flight = true;
+	s->machine_list_at = s->now + MACHINE_LIST_INTERVAL_MS;
 }
 
 /* Reads the list of machines at intervals, and advances all waves. */
@@ -681,7 +681,7 @@
 
 	if (!own_may_order(s))
 		return;
-	if (!s->list_in_flight && s->now >= s->list_at)
+	if (!s->machine_list_in_flight && s->now >= s->machine_list_at)
 		machines_request(s, BSTR_NONE);
 	if (!own_is_exclusive(s))
 		return;
@@ -719,7 +719,7 @@
 	struct machine *m, *next;
 	char *pool;
 
-	s->list_complete = true;
+	s->machine_list_complete = true;
 	if (s->home_sizes)
 		return;
 	s->home_sizes = json_object();
@@ -746,9 +746,9 @@
 
 	if (rq->number != s->own.epoch || s->own.state != OWN_OWNER)
 		return;
-	s->list_in_flight = false;
+	s->machine_list_in_flight = false;
 	if (a->outcome != OUT_DONE) {
-		s->list_at = s->now + PLATFORM_RETRY_MS;
+		s->machine_list_at = s->now + PLATFORM_RETRY_MS;
 		return;
 	}
 	for (i = 0; i < a->machine_count; i++)
--- a/sched-worker.c
+++ b/sched-worker.c
@@ -134,7 +134,7 @@
 {
 	worker_clear_unacked(s, w);
 	worker_clear_unknown(s, w);
-	s->note_has_gone_worker = s->note_has_gone_worker || w->noted;
+	s->workers_note_has_gone = s->workers_note_has_gone || w->noted;
 	HASH_DEL(s->workers, w);
 	worker_row_free(&w->row);
 	bstr_free(&w->rack);
