--- a/reduce.h
+++ b/reduce.h
@@ -623,8 +623,7 @@
 	struct vm *vms;
 	uint64_t vms_generation;
 	uint64_t vms_revision;
-	uint64_t vms_target_revision; /* head version that the current read
-					 covers */
+	uint64_t vms_target_revision; /* of the head that is being read */
 	uint64_t vms_target_generation;
 	bool vms_known;
 	int64_t vms_current_at; /* when vms last matched the table */
--- a/sched-wave.c
+++ b/sched-wave.c
@@ -25,7 +25,7 @@
  * Duration of a batch of as many machines as may be down at once: the drain,
  * the call, the maintenance, and the list that shows its end.  If more time is
  * left than this for each remaining batch, plus a reserve for problems,
- * machines of busy pools wait for a calmer time.
+ * machines of busy pools wait until the pools are not busy.
  */
 #define WAVE_BATCH_MS 4500
 #define WAVE_RESERVE_MS 4000
@@ -324,8 +324,8 @@
  * Returns the machine with an id, or NULL, and sets w to its worker, or NULL if
  * it has none.
  */
-static struct machine *member_machine(struct sched *s, bstr id,
-				      struct worker **w)
+static struct machine *wave_machine_lookup(struct sched *s, bstr id,
+					   struct worker **w)
 {
 	struct machine *m;
 
@@ -341,7 +341,7 @@
 			     struct wave_machine *wm)
 {
 	struct worker *w;
-	struct machine *m = member_machine(s, wm->id, &w);
+	struct machine *m = wave_machine_lookup(s, wm->id, &w);
 	struct request *rq;
 	struct ask *ask;
 
@@ -362,10 +362,11 @@
 }
 
 /* Returns true if a machine of a wave is down, or may be. */
-static bool member_may_be_down(struct sched *s, const struct wave_machine *wm)
+static bool wave_machine_may_be_down(struct sched *s,
+				     const struct wave_machine *wm)
 {
 	struct worker *w;
-	struct machine *m = member_machine(s, wm->id, &w);
+	struct machine *m = wave_machine_lookup(s, wm->id, &w);
 
 	return wm->call_in_flight || s->now < wm->down_until ||
 	       (m && m->state == MACHINE_MAINTENANCE);
@@ -375,13 +376,13 @@
  * Returns the cost of taking a machine down now, by the tasks on it.  The
  * machine with the lowest cost is taken first.
  */
-static double member_cost(struct sched *s, const struct wave_machine *wm)
+static double wave_machine_cost(struct sched *s, const struct wave_machine *wm)
 {
 	struct worker *w;
 	const struct task *t;
 	double cost = 0;
 
-	member_machine(s, wm->id, &w);
+	wave_machine_lookup(s, wm->id, &w);
 	if (!w)
 		return 0;
 	TAILQ_FOREACH(t, &w->tasks, worker_entry) {
@@ -404,7 +405,7 @@
 	return remaining;
 }
 
-/* Returns true if there is time for busy pools to wait for a calmer time. */
+/* Returns true if there is time to wait until busy pools are not busy. */
 static bool wave_can_wait(const struct sched *s, const struct wave *v)
 {
 	unsigned batches = (wave_remaining(v) + v->max_unavailable - 1) /
@@ -417,10 +418,11 @@
 }
 
 /* Returns true if the pool of a machine has much work. */
-static bool member_pool_is_busy(struct sched *s, const struct wave_machine *wm)
+static bool wave_machine_pool_is_busy(struct sched *s,
+				      const struct wave_machine *wm)
 {
 	struct worker *w;
-	const struct machine *m = member_machine(s, wm->id, &w);
+	const struct machine *m = wave_machine_lookup(s, wm->id, &w);
 
 	return m && pool_is_busy(s, m->pool);
 }
@@ -431,12 +433,12 @@
  * the end of its lease.  Other machines need not wait for that, because the
  * tasks of a silent worker count as unavailable.
  */
-static bool member_runs_are_known(struct sched *s,
-				  const struct wave_machine *wm)
+static bool wave_machine_runs_are_known(struct sched *s,
+					const struct wave_machine *wm)
 {
 	struct worker *w;
 
-	member_machine(s, wm->id, &w);
+	wave_machine_lookup(s, wm->id, &w);
 	return s->settled || (w && (w->fenced || w->gone));
 }
 
@@ -455,10 +457,11 @@
 	for (i = 0; i < v->count; i++) {
 		wm = &v->machines[i];
 		if (wm->done || wm->draining || wm->call_in_flight ||
-		    s->now < wm->retry_at || !member_runs_are_known(s, wm) ||
-		    (wait && member_pool_is_busy(s, wm)))
+		    s->now < wm->retry_at ||
+		    !wave_machine_runs_are_known(s, wm) ||
+		    (wait && wave_machine_pool_is_busy(s, wm)))
 			continue;
-		cost = member_cost(s, wm);
+		cost = wave_machine_cost(s, wm);
 		if (!best || cost < least) {
 			best = wm;
 			least = cost;
@@ -468,7 +471,7 @@
 		return false;
 	best->draining = true;
 	best->draining_since = s->now;
-	member_machine(s, best->id, &w);
+	wave_machine_lookup(s, best->id, &w);
 	if (w)
 		w->takedown_pending = true;
 	return true;
@@ -480,11 +483,11 @@
  * carried out earlier.  A successor that doesn't know of the earlier call would
  * consider the new worker process gone, and start its tasks twice.
  */
-static bool member_request_note(struct sched *s, struct wave *v,
-				struct wave_machine *wm)
+static bool wave_machine_request_note(struct sched *s, struct wave *v,
+				      struct wave_machine *wm)
 {
 	struct worker *w;
-	struct machine *m = member_machine(s, wm->id, &w);
+	struct machine *m = wave_machine_lookup(s, wm->id, &w);
 
 	if (wm->noted)
 		return true;
@@ -498,49 +501,50 @@
 }
 
 /* What a machine of a wave waits for. */
-enum member_wait {
-	MEMBER_DONE,
-	MEMBER_DOWN,	     /* the call is in flight, or it is down */
-	MEMBER_QUEUED,	     /* other machines, or a calmer time */
-	MEMBER_RETRY,	     /* the call was refused; it is retried later */
-	MEMBER_SHORT_TASKS,  /* the end of its short tasks */
-	MEMBER_LONG_RUNNING, /* other tasks of its long-running steps */
-	MEMBER_NOTE_WRITE,   /* its note to be written */
-	MEMBER_DURABLE_ENDS, /* the ends on its worker to be durable */
-	MEMBER_WAIT_MAX
+enum wave_machine_wait {
+	WAVE_MACHINE_DONE,
+	WAVE_MACHINE_DOWN,   /* the call is in flight, or it is down */
+	WAVE_MACHINE_QUEUED, /* other machines, or the end of its pool's load */
+	WAVE_MACHINE_RETRY,  /* the call was refused; it is retried later */
+	WAVE_MACHINE_SHORT_TASKS,  /* the end of its short tasks */
+	WAVE_MACHINE_LONG_RUNNING, /* other tasks of its long-running steps */
+	WAVE_MACHINE_NOTE_WRITE,   /* its note to be written */
+	WAVE_MACHINE_DURABLE_ENDS, /* the ends on its worker to be durable */
+	WAVE_MACHINE_WAIT_MAX
 };
 
 /*
  * Does the next action for a machine of a wave, and returns what it waits for
  * then.
  */
-static enum member_wait member_tick(struct sched *s, struct wave *v,
-				    struct wave_machine *wm)
+static enum wave_machine_wait wave_machine_tick(struct sched *s, struct wave *v,
+						struct wave_machine *wm)
 {
 	struct worker *w;
 
 	if (wm->done)
-		return member_may_be_down(s, wm) ? MEMBER_DOWN : MEMBER_DONE;
+		return wave_machine_may_be_down(s, wm) ? WAVE_MACHINE_DOWN
+						       : WAVE_MACHINE_DONE;
 	if (wm->call_in_flight)
-		return MEMBER_DOWN;
+		return WAVE_MACHINE_DOWN;
 	if (s->now < wm->retry_at)
-		return MEMBER_RETRY;
-	if (!wm->draining || !member_runs_are_known(s, wm))
-		return MEMBER_QUEUED;
-	member_machine(s, wm->id, &w);
+		return WAVE_MACHINE_RETRY;
+	if (!wm->draining || !wave_machine_runs_are_known(s, wm))
+		return WAVE_MACHINE_QUEUED;
+	wave_machine_lookup(s, wm->id, &w);
 	if (w)
 		w->takedown_pending = true;
 	if (w && worker_short_tasks(w) &&
 	    s->now < wm->draining_since + WAVE_DRAIN_MS)
-		return MEMBER_SHORT_TASKS;
+		return WAVE_MACHINE_SHORT_TASKS;
 	if (w && !wave_may_take_worker(s, w)) {
 		worker_stop_excess_task(s, w);
-		return MEMBER_LONG_RUNNING;
+		return WAVE_MACHINE_LONG_RUNNING;
 	}
-	if (!member_request_note(s, v, wm))
-		return MEMBER_NOTE_WRITE;
+	if (!wave_machine_request_note(s, v, wm))
+		return WAVE_MACHINE_NOTE_WRITE;
 	if (w && !worker_ends_durable(w))
-		return MEMBER_DURABLE_ENDS;
+		return WAVE_MACHINE_DURABLE_ENDS;
 	/*
 	 * From now on its tasks count as unavailable when other machines are
 	 * chosen.
@@ -548,12 +552,12 @@
 	if (w)
 		w->takedown_in_flight = true;
 	maintenance_send(s, v, wm);
-	return MEMBER_DOWN;
+	return WAVE_MACHINE_DOWN;
 }
 
 /* Logs at intervals how many machines of a wave wait for what. */
 static void wave_log_waits(struct sched *s, struct wave *v,
-			   const unsigned waits[MEMBER_WAIT_MAX])
+			   const unsigned waits[WAVE_MACHINE_WAIT_MAX])
 {
 	if (s->now < v->log_at)
 		return;
@@ -562,10 +566,12 @@
 		  "wave=%" PRIu64 " left_ms=%lld done=%u away=%u turn=%u "
 		  "again=%u short=%u lasting=%u note=%u ends=%u",
 		  v->number, (long long)(wave_finish_at(s, v) - s->now),
-		  waits[MEMBER_DONE], waits[MEMBER_DOWN], waits[MEMBER_QUEUED],
-		  waits[MEMBER_RETRY], waits[MEMBER_SHORT_TASKS],
-		  waits[MEMBER_LONG_RUNNING], waits[MEMBER_NOTE_WRITE],
-		  waits[MEMBER_DURABLE_ENDS]);
+		  waits[WAVE_MACHINE_DONE], waits[WAVE_MACHINE_DOWN],
+		  waits[WAVE_MACHINE_QUEUED], waits[WAVE_MACHINE_RETRY],
+		  waits[WAVE_MACHINE_SHORT_TASKS],
+		  waits[WAVE_MACHINE_LONG_RUNNING],
+		  waits[WAVE_MACHINE_NOTE_WRITE],
+		  waits[WAVE_MACHINE_DURABLE_ENDS]);
 }
 
 /* Sets key to the key of a wave's rows. */
@@ -634,7 +640,7 @@
 /* Advances a wave: writes its rows, chooses machines, and acts on them. */
 static void wave_advance(struct sched *s, struct wave *v)
 {
-	unsigned down = 0, waits[MEMBER_WAIT_MAX] = {0};
+	unsigned down = 0, waits[WAVE_MACHINE_WAIT_MAX] = {0};
 	bool all_done = true;
 	size_t i;
 
@@ -643,7 +649,7 @@
 	if (!v->requested || v->completed || !s->machine_list_complete)
 		return;
 	for (i = 0; i < v->count; i++) {
-		if (member_may_be_down(s, &v->machines[i]) ||
+		if (wave_machine_may_be_down(s, &v->machines[i]) ||
 		    (v->machines[i].draining && !v->machines[i].done))
 			down++;
 		all_done = all_done && v->machines[i].done;
@@ -651,7 +657,7 @@
 	while (down < v->max_unavailable && wave_start_drain(s, v))
 		down++;
 	for (i = 0; i < v->count; i++)
-		waits[member_tick(s, v, &v->machines[i])]++;
+		waits[wave_machine_tick(s, v, &v->machines[i])]++;
 	wave_log_waits(s, v, waits);
 	if (!all_done)
 		return;
@@ -773,7 +779,7 @@
 	wm->done = true;
 	wm->down_until = s->now + s->options.maintenance_ms + DOWN_MARGIN_MS;
 	v->dirty = true;
-	member_machine(s, wm->id, &w);
+	wave_machine_lookup(s, wm->id, &w);
 	if (w && !wm->call_is_for_noted_process) {
 		/*
 		 * Its tasks count as unavailable until it answers again.  If
@@ -798,7 +804,7 @@
  * success would look like one of an earlier call, and the tasks that it ended
  * like tasks in service.
  */
-static void member_discard_note(struct wave *v, struct wave_machine *wm)
+static void wave_machine_discard_note(struct wave *v, struct wave_machine *wm)
 {
 	if (!wm->noted)
 		return;
@@ -822,7 +828,7 @@
 		maintenance_done(s, v, wm);
 		return;
 	}
-	member_machine(s, wm->id, &w);
+	wave_machine_lookup(s, wm->id, &w);
 	if (w && a->outcome != OUT_UNKNOWN)
 		w->takedown_in_flight = false;
 	sched_log(s, LOG_WAVE_MACHINE,
@@ -833,7 +839,7 @@
 	if (a->outcome == OUT_UNKNOWN)
 		wm->call_outcome_unknown = true;
 	else if (!wm->call_outcome_unknown)
-		member_discard_note(v, wm);
+		wave_machine_discard_note(v, wm);
 	if (a->refusal == REFUSAL_INVALID || a->refusal == REFUSAL_WAVE) {
 		/* No such machine any more, or not part of the wave. */
 		wm->done = true;
