--- a/tests/standin-cloud.c
+++ b/tests/standin-cloud.c
@@ -88,7 +88,7 @@
 }
 
 /* The version that a condition is compared with. */
-static int64_t row_revision(const json_t *name)
+static int64_t row_version(const json_t *name)
 {
 	const json_t *row = row_find(name);
 
@@ -266,7 +266,7 @@
 
 	json_array_foreach(expect, i, name) {
 		ok = ok &&
-		     row_revision(name) == json_int(name, "record_version");
+		     row_version(name) == json_int(name, "record_version");
 		if (row_find(name))
 			json_array_append(list, row_find(name));
 	}
