--- a/reduce-ask.c
+++ b/reduce-ask.c
@@ -1,14 +1,13 @@
-#include "reduce.h"
-
-#include <stdlib.h>
-#include <string.h>
-
 /*
  * Operators' requests that one entry VM can't answer alone.  The VM that got
  * the request sends it to the others and merges their replies, so that the
  * operator needs only one command.  The answer names the VMs that did not
  * reply.
  */
+#include "reduce.h"
+
+#include <stdlib.h>
+#include <string.h>
 
 #define ASK_ALL_TIMEOUT_MS 1500
 #define ASK_HOME_TIMEOUT_MS 4000
@@ -82,7 +81,7 @@
 	struct unit *u = unit_of_shard(st, job_shard(id));
 	bool elsewhere;
 
-	if (!job_id_soft(id, &vm) && u && !unit_is_active(st, u))
+	if (!job_id_is_soft(id, &vm) && u && !unit_is_active(st, u))
 		vm = bstr_copy(unit_choose(st, u));
 	elsewhere = vm.bstr_len && !bstr_eq(vm, st->vm) && member_find(st, vm);
 	if (elsewhere)
--- a/reduce-boot.c
+++ b/reduce-boot.c
@@ -1,8 +1,3 @@
-#include "reduce.h"
-
-#include <stdlib.h>
-#include <string.h>
-
 /*
  * Durable record of the workers' boot ids.  A worker that restarts loses its
  * record of what it ran.  If the owner of its cell changes at about that time,
@@ -13,6 +8,10 @@
  * history_lost in the row: from then on the absence of a task does not prove
  * that a job did not run.
  */
+#include "reduce.h"
+
+#include <stdlib.h>
+#include <string.h>
 
 /* history_lost stays for a day, in which homes query the jobs sent here. */
 #define HISTORY_LOST_MS 86400000
@@ -151,7 +150,7 @@
 	c->boots_loaded = true;
 	c->dirty = true;
 	if (row->history_lost && !before)
-		c->forgotten_at = st->now;
+		c->history_lost_at = st->now;
 }
 
 /* Handles the outcome of reading the row. */
@@ -192,7 +191,7 @@
 			sizeof(row)))
 		return;
 	key = boots_key(u->cell);
-	boots_apply(st, u->cell, &row, row_version(ev, key));
+	boots_apply(st, u->cell, &row, row_revision(ev, key));
 	bstr_free(&key);
 	xdr_free(XDR_PROC(xdr_boots_row), (char *)&row);
 }
@@ -216,9 +215,9 @@
 	}
 	changed = boots_compute(st, c, &row);
 	if (changed) {
-		c->forgotten_at = st->now;
+		c->history_lost_at = st->now;
 	} else if (row.history_lost &&
-		   st->now - c->forgotten_at >= HISTORY_LOST_MS) {
+		   st->now - c->history_lost_at >= HISTORY_LOST_MS) {
 		row.history_lost = FALSE;
 		changed = true;
 	}
--- a/reduce-call.c
+++ b/reduce-call.c
@@ -1,14 +1,13 @@
+/*
+ * Callers' requests.  A request is handled at the home of its job; if that is
+ * another VM, the request is forwarded to it and the answer passed back.
+ */
 #include "reduce.h"
 
 #include <sodium.h>
 #include <stdlib.h>
 #include <string.h>
 
-/*
- * Callers' requests.  A request is handled at the home of its job; if that is
- * another VM, the request is forwarded to it and the answer passed back.
- */
-
 /* A forwarded request outlives the caller's deadline by this, for transit. */
 #define FORWARD_MARGIN_MS 1500
 #define FORWARD_RETRY_MS 100
@@ -212,7 +211,7 @@
 	f->team = bstr_copy(team);
 	f->shard = shard;
 	f->vm = bstr_copy(vm);
-	f->made_at = st->now;
+	f->created_at = st->now;
 	f->deadline = deadline + FORWARD_MARGIN_MS;
 	f->resend_at = st->now;
 	TAILQ_INSERT_TAIL(&st->forwards, f, entry);
@@ -410,7 +409,7 @@
 		vm = soft ? bstr_copy(st->vm) : BSTR_NONE;
 	} else {
 		id = bstr_copy(rq->body.caller_body_u.job.job);
-		soft = job_id_soft(id, &vm);
+		soft = job_id_is_soft(id, &vm);
 	}
 	shard = job_shard(id);
 	u = soft ? NULL : unit_of_shard(st, shard);
@@ -455,7 +454,7 @@
 		return;
 	}
 	soft = b->kind != CALL_SUBMIT &&
-	       job_id_soft(b->caller_body_u.job.job, &vm);
+	       job_id_is_soft(b->caller_body_u.job.job, &vm);
 	if (soft)
 		bstr_free(&vm);
 	u = soft ? NULL : unit_of_shard(st, m->shard);
@@ -531,8 +530,9 @@
 }
 
 /*
- * Requests sent to a VM may be lost: sends them again.  This is safe because
- * the home recognises a request by its job's id and runs the job once.
+ * Has the requests forwarded to a VM sent again, as they may have been lost.
+ * This is safe because the home recognises a request by its job's id and runs
+ * the job once.
  */
 void call_peer_lost(struct state *st, bstr vm)
 {
@@ -543,7 +543,7 @@
 			f->resend_at = st->now + FORWARD_RETRY_MS;
 }
 
-/* The caller has disconnected: drops its waiters; its job goes on. */
+/* Drops the waiters of a caller that has disconnected; its job goes on. */
 void call_gone(struct state *st, uint64_t call)
 {
 	struct waiter *w, *wn;
@@ -598,7 +598,7 @@
 
 	for (f = TAILQ_FIRST(&st->forwards); f; f = next) {
 		next = TAILQ_NEXT(f, entry);
-		lost = !f->sent && st->now - f->made_at >= OWNER_SEARCH_MS;
+		lost = !f->sent && st->now - f->created_at >= OWNER_SEARCH_MS;
 		if (st->now >= f->deadline || lost)
 			forward_give_up(st, f);
 		else if (f->resend_at && st->now >= f->resend_at)
@@ -629,7 +629,7 @@
 		->sent = true;
 }
 
-/* The process stops: answers all callers that still wait. */
+/* Answers all callers that still wait, as the process stops. */
 void calls_stop(struct state *st)
 {
 	struct forward *f, *next;
--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -1,12 +1,11 @@
-#include "reduce.h"
-
-#include <stdlib.h>
-#include <string.h>
-
 /*
  * Tasks of the cells that this VM owns: dispatches, queries and cancellations
  * from the jobs' homes, reports from workers, and results to the homes.
  */
+#include "reduce.h"
+
+#include <stdlib.h>
+#include <string.h>
 
 /* The result of a soft job is kept this long after its home has died. */
 #define ORPHAN_RETENTION_MS 60000
@@ -144,13 +143,13 @@
 	struct unit *u;
 	bstr vm;
 
-	if (job_id_soft(t->job, &vm))
+	if (job_id_is_soft(t->job, &vm))
 		return vm;
 	u = unit_of_shard(st, job_shard(t->job));
 	return u ? bstr_copy(unit_choose(st, u)) : BSTR_NONE;
 }
 
-/* Sends the state of a task to a VM.  serial: query answered, or 0. */
+/* Sends a task's state to a VM; serial is that of the query answered, or 0. */
 static void task_send_update(struct state *st, struct cell *c, struct task *t,
 			     bstr to, uint64_t serial)
 {
@@ -167,7 +166,7 @@
 	m->started = t->may_have_started;
 	m->view = t->view;
 	if (t->phase == TASK_QUEUED) {
-		m->view.reason = bstr_lit(task_hold_reason(st, c, t, &detail));
+		m->view.reason = bstr_lit(task_wait_reason(st, c, t, &detail));
 		m->view.detail = detail;
 		m->view.queued_ms = (uint32_t)(st->now - t->queued_at);
 	}
@@ -517,7 +516,7 @@
 	}
 	HASH_FIND_BSTR(u->cell->tasks, m->job, t);
 	if (t) {
-		/* A duplicate, or the home gave up the attempt held here. */
+		/* A duplicate, or the home has given up the attempt here. */
 		effect_count(st, COUNT_DROPPED_DUPLICATE, 1);
 		if (t->attempt != m->attempt)
 			effect_log(st, LOG_PEER_CONFUSED,
@@ -627,7 +626,10 @@
 		worker_order(st, t->worker, t->id, TASK_STOP);
 }
 
-/* The home has stored the result: drops the task here and at the worker. */
+/*
+ * Handles the home's acknowledgement of a result: drops the task here and at
+ * the worker.
+ */
 void cell_ack(struct state *st, const pm_attempt *m)
 {
 	struct unit *u = unit_of_cell(st, &m->cell);
@@ -658,7 +660,7 @@
 		next = TAILQ_NEXT(t, entry);
 		if (st->now < t->notify_at)
 			continue;
-		orphan = job_id_soft(t->job, &vm);
+		orphan = job_id_is_soft(t->job, &vm);
 		m = orphan ? member_find(st, vm) : NULL;
 		orphan = orphan && !bstr_eq(vm, st->vm) &&
 			 (!m || !member_alive(m)) &&
--- a/reduce-job.c
+++ b/reduce-job.c
@@ -1,18 +1,17 @@
-#include "reduce.h"
-
-#include <stdlib.h>
-
 /*
  * A job at its home: submission, dispatch to a cell, queries to that cell,
  * retries and the final answer.  A job that must survive its home is recorded
  * in the shard's journal before it is dispatched.
  */
+#include "reduce.h"
+
+#include <stdlib.h>
 
 /* A claim that is not durable after this is withdrawn, if that is safe. */
 #define CLAIM_TIMEOUT_MS 1500
 /* Interval between queries to a cell about a dispatched job. */
 #define CHECK_INTERVAL_MS 15000
-/* The same while the job is cancelled, in doubt or its cell changes owner. */
+/* The same while it is cancelled, uncertain or its cell changes owner. */
 #define CHECK_RETRY_MS 500
 /* Interval between attempts to find a cell for a job. */
 #define DISPATCH_RETRY_MS 200
@@ -33,7 +32,7 @@
  * Returns true if the id is that of a soft job, and sets *vm to a copy of the
  * VM that it names, which the caller frees.
  */
-bool job_id_soft(bstr id, bstr *vm)
+bool job_id_is_soft(bstr id, bstr *vm)
 {
 	*vm = BSTR_NONE;
 	if (id.bstr_len <= JOB_ID_LEN + 1 || id.bstr_val[JOB_ID_LEN] != '.')
@@ -182,7 +181,7 @@
 	j->expire_at = st->now + st->retention_ms;
 	TAILQ_INSERT_TAIL(&st->finished, j, entry);
 	st->finished_count++;
-	job_answer_due(st, j);
+	job_answer_waiters(st, j);
 	op_why_job_answer(st, j);
 	if (j->sent_to.bstr_len)
 		job_ack(st, j->sent_to, &m);
@@ -196,7 +195,7 @@
  */
 static void job_finish(struct state *st, struct job *j)
 {
-	record rec = {.kind = JOURNAL_FINAL};
+	journal_record rec = {.kind = JOURNAL_FINAL};
 
 	/* The last attempt did not run, but an earlier one may have. */
 	if (j->may_have_run && j->view.state == JOB_NOT_RUN) {
@@ -208,12 +207,12 @@
 	job_uncount(j);
 	j->phase = PHASE_ENDING;
 	job_count_final(st, j);
-	job_answer_due(st, j);
+	job_answer_waiters(st, j);
 	if (!j->shard) {
 		job_final_durable(st, j);
 		return;
 	}
-	rec.record_u.final = j->view;
+	rec.journal_record_u.final = j->view;
 	shard_append(st, j->shard, &rec);
 }
 
@@ -342,7 +341,7 @@
 static void job_place(struct state *st, struct job *j)
 {
 	struct unit *u = job_choose_cell(st, &j->spec);
-	record rec = {.kind = JOURNAL_MOVE};
+	journal_record rec = {.kind = JOURNAL_MOVE};
 
 	if (!u) {
 		j->phase = PHASE_UNDISPATCHED;
@@ -356,7 +355,7 @@
 	}
 	j->phase = PHASE_CLAIMING;
 	j->check_at = INT64_MAX;
-	rec.record_u.move = (journal_move){j->id, j->cell, j->attempt};
+	rec.journal_record_u.move = (journal_move){j->id, j->cell, j->attempt};
 	shard_append(st, j->shard, &rec);
 }
 
@@ -364,15 +363,15 @@
 static void job_claim(struct state *st, struct job *j)
 {
 	struct unit *u = job_choose_cell(st, &j->spec);
-	record rec = {.kind = JOURNAL_CLAIM};
+	journal_record rec = {.kind = JOURNAL_CLAIM};
 
 	if (u)
 		xdr_copy(XDR_PROC(xdr_cell_id), &j->cell, &u->id,
 			 sizeof(u->id));
 	j->phase = PHASE_CLAIMING;
 	j->check_at = st->now + CLAIM_TIMEOUT_MS;
-	rec.record_u.claim = (journal_claim){j->id, j->spec, j->digest, j->cell,
-					     j->attempt};
+	rec.journal_record_u.claim = (journal_claim){j->id, j->spec, j->digest,
+						     j->cell, j->attempt};
 	shard_append(st, j->shard, &rec);
 }
 
@@ -435,7 +434,7 @@
 	if (!j->cell.pool.bstr_len) {
 		j->phase = PHASE_UNDISPATCHED;
 		j->check_at = st->now;
-		job_answer_due(st, j);
+		job_answer_waiters(st, j);
 		return;
 	}
 	/*
@@ -447,11 +446,11 @@
 		j->phase = PHASE_DISPATCHED;
 		j->sent_at = st->now;
 		j->check_at = st->now + CHECK_RETRY_MS;
-		job_answer_due(st, j);
+		job_answer_waiters(st, j);
 		return;
 	}
 	job_dispatch(st, j);
-	job_answer_due(st, j);
+	job_answer_waiters(st, j);
 }
 
 /*
@@ -591,7 +590,7 @@
 	struct unit *u = unit_of_shard(st, job_shard(m->job));
 	bstr vm;
 
-	if (job_id_soft(m->job, &vm)) {
+	if (job_id_is_soft(m->job, &vm)) {
 		bstr_free(&vm);
 		return true;
 	}
@@ -641,7 +640,7 @@
 		job_finish(st, j);
 }
 
-/* The VM that a message was sent to does not own the cell and ignored it. */
+/* Handles the reply that a VM does not own the cell and ignored a message. */
 void job_unowned(struct state *st, const pm_unowned *m)
 {
 	struct job *j = job_find(st, m->job);
@@ -659,7 +658,7 @@
 	j->check_at = st->now + DISPATCH_RETRY_MS;
 }
 
-/* Messages to a VM may be lost: queries it soon for the jobs that it has. */
+/* Has the jobs of a VM queried soon, as messages to it may have been lost. */
 void jobs_peer_lost(struct state *st, bstr vm)
 {
 	struct job *j;
@@ -697,7 +696,7 @@
 /* Does what is due for one active job. */
 static void job_tick(struct state *st, struct job *j)
 {
-	job_answer_due(st, j);
+	job_answer_waiters(st, j);
 	if (j->phase == PHASE_DISPATCHED && j->sent_to.bstr_len &&
 	    !bstr_eq(j->sent_to, st->vm) &&
 	    j->check_at > st->now + CHECK_RETRY_MS &&
--- a/reduce-limit.c
+++ b/reduce-limit.c
@@ -1,8 +1,3 @@
-#include "reduce.h"
-
-#include <stdlib.h>
-#include <string.h>
-
 /*
  * Teams' upper limits, enforced without a table access per start.  A team's
  * row divides its limit into an allowance for each cell.  The allowances never
@@ -10,6 +5,10 @@
  * A cell that is cut off from the platform goes on with the allowance that it
  * holds; until it gives that up, no other cell can have it.
  */
+#include "reduce.h"
+
+#include <stdlib.h>
+#include <string.h>
 
 #define ALLOWANCE_RETRY_MS 300
 #define ALLOWANCE_GIVE_UP_MS 5000
@@ -32,18 +31,18 @@
 	return bstr_printf("allow/%.*s", BSTR_ARG(team));
 }
 
-/* Returns a cell's hold in a row, NULL if it has none. */
-static allowance_hold *allowance_find_hold(const allowance_row *row,
-					   const cell_id *cell)
+/* Returns a cell's allowance in a row, NULL if it has none. */
+static cell_allowance *allowance_find(const allowance_row *row,
+				      const cell_id *cell)
 {
 	u_int i;
 
-	for (i = 0; i < row->holds.holds_len; i++) {
-		allowance_hold *h = &row->holds.holds_val[i];
+	for (i = 0; i < row->allowances.allowances_len; i++) {
+		cell_allowance *a = &row->allowances.allowances_val[i];
 
-		if (bstr_eq(h->cell.pool, cell->pool) &&
-		    bstr_eq(h->cell.dc, cell->dc))
-			return h;
+		if (bstr_eq(a->cell.pool, cell->pool) &&
+		    bstr_eq(a->cell.dc, cell->dc))
+			return a;
 	}
 	return NULL;
 }
@@ -53,8 +52,8 @@
 	uint32_t sum = 0;
 	u_int i;
 
-	for (i = 0; i < row->holds.holds_len; i++)
-		sum += row->holds.holds_val[i].amount;
+	for (i = 0; i < row->allowances.allowances_len; i++)
+		sum += row->allowances.allowances_val[i].amount;
 	return sum;
 }
 
@@ -74,17 +73,18 @@
 {
 	uint64_t sum = allowance_total(&t->row);
 	uint64_t limit = team_limit(st, t->team);
-	uint32_t fair, held = t->allowance;
+	uint32_t fair, usable = t->allowance;
 
 	if (sum > limit)
-		held = (uint32_t)(held * limit / sum);
+		usable = (uint32_t)(usable * limit / sum);
 	if (!t->return_requested)
-		return held;
-	fair = (uint32_t)(limit / (t->row.holds.holds_len + 1));
-	if (held <= fair)
-		return held;
-	return held - t->return_requested > fair && held > t->return_requested
-		       ? held - t->return_requested
+		return usable;
+	fair = (uint32_t)(limit / (t->row.allowances.allowances_len + 1));
+	if (usable <= fair)
+		return usable;
+	return usable - t->return_requested > fair &&
+			       usable > t->return_requested
+		       ? usable - t->return_requested
 		       : fair;
 }
 
@@ -126,7 +126,7 @@
 static void allowance_apply_row(struct cell *c, struct cell_team *t,
 				const table_row *r)
 {
-	allowance_hold *h;
+	cell_allowance *a;
 
 	xdr_free(XDR_PROC(xdr_allowance_row), (char *)&t->row);
 	memset(&t->row, 0, sizeof(t->row));
@@ -137,11 +137,11 @@
 				       &t->row, sizeof(t->row));
 	else
 		t->loaded = true;
-	h = allowance_find_hold(&t->row, &c->unit->id);
-	t->allowance = h ? h->amount : 0;
+	a = allowance_find(&t->row, &c->unit->id);
+	t->allowance = a ? a->amount : 0;
 	/*
 	 * A write that returned a part of the allowance went unanswered.  It
-	 * may still take effect while the row is at the version that it
+	 * may still take effect while the row is at the revision that it
 	 * checks, and another cell could then take that part.  So the part
 	 * must not be used here, or the team would run more than its limit.
 	 */
@@ -199,21 +199,22 @@
 {
 	uint32_t limit = team_limit(st, t->team), sum;
 	bstr key = allowance_key(t->team), name;
-	allowance_hold *h;
+	cell_allowance *a;
 	allowance_row row;
 	fx_commit k = {0};
 
 	xdr_copy(XDR_PROC(xdr_allowance_row), &row, &t->row, sizeof(row));
-	h = allowance_find_hold(&row, &c->unit->id);
-	if (!h) {
-		row.holds.holds_val = xrealloc(row.holds.holds_val,
-					       row.holds.holds_len + 1,
-					       sizeof(*h));
-		h = &row.holds.holds_val[row.holds.holds_len++];
-		xdr_copy(XDR_PROC(xdr_cell_id), &h->cell, &c->unit->id,
-			 sizeof(h->cell));
+	a = allowance_find(&row, &c->unit->id);
+	if (!a) {
+		row.allowances.allowances_val = xrealloc(
+			row.allowances.allowances_val,
+			row.allowances.allowances_len + 1, sizeof(*a));
+		a = &row.allowances
+			     .allowances_val[row.allowances.allowances_len++];
+		xdr_copy(XDR_PROC(xdr_cell_id), &a->cell, &c->unit->id,
+			 sizeof(a->cell));
 	}
-	h->amount = amount;
+	a->amount = amount;
 	sum = allowance_total(&row);
 	row.limit = sum > limit ? sum : limit;
 	name = bstr_printf("%.*s %.*s %.*s", BSTR_ARG(c->unit->id.pool),
@@ -254,17 +255,17 @@
  * Handles the outcome of writing a team's row.  After a conflict or an unknown
  * outcome, the row is read before it is written again.  Until then the lesser
  * of the old and the new amount is in force, so a cell goes on with that while
- * the platform is down.  Only the owner of this cell changes the cell's hold:
- * after a conflict, the other writer has changed the hold of another cell, or
- * is the next owner of this one, which leaves room for the tasks that may run
- * here until the workers answer to it.
+ * the platform is down.  Only the owner of this cell changes the cell's
+ * allowance: after a conflict, the other writer has changed that of another
+ * cell, or is the next owner of this one, which leaves room for the tasks that
+ * may run here until the workers answer to it.
  */
 void allowance_committed(struct state *st, struct request *rq,
 			 const ev_platform *ev)
 {
 	struct cell *c = NULL;
 	struct cell_team *t = allowance_find_team(st, rq->name, &c);
-	allowance_hold *h;
+	cell_allowance *a;
 	u_int i;
 
 	if (!t || t->request != rq->id)
@@ -286,11 +287,11 @@
 		t->loaded = xdr_decode(XDR_PROC(xdr_allowance_row),
 				       rq->commit.writes.writes_val[i].value,
 				       &t->row, sizeof(t->row));
-		t->revision = row_version(ev,
-					  rq->commit.writes.writes_val[i].key);
+		t->revision = row_revision(ev,
+					   rq->commit.writes.writes_val[i].key);
 	}
-	h = allowance_find_hold(&t->row, &c->unit->id);
-	t->allowance = h ? h->amount : 0;
+	a = allowance_find(&t->row, &c->unit->id);
+	t->allowance = a ? a->amount : 0;
 	t->capped = false; /* that write can't take effect any more */
 	t->retry_at = st->now + ALLOWANCE_RETRY_MS / 3;
 	c->dirty = true;
@@ -309,17 +310,17 @@
 		return;
 	t->request_more_at = st->now + ALLOWANCE_RETRY_MS * 2;
 	t->stale = true; /* they will change the row */
-	for (i = 0; i < t->row.holds.holds_len; i++) {
-		allowance_hold *h = &t->row.holds.holds_val[i];
+	for (i = 0; i < t->row.allowances.allowances_len; i++) {
+		cell_allowance *a = &t->row.allowances.allowances_val[i];
 
-		u = unit_of_cell(st, &h->cell);
-		if (!h->amount || !u || u == c->unit)
+		u = unit_of_cell(st, &a->cell);
+		if (!a->amount || !u || u == c->unit)
 			continue;
 		owner = unit_choose(st, u);
 		if (!owner.bstr_len)
 			continue;
 		msg.peer_message_u.limit_request = (pm_limit_request){
-			h->cell, t->team, amount};
+			a->cell, t->team, amount};
 		peer_send(st, owner, &msg);
 	}
 }
@@ -332,7 +333,7 @@
 
 	if (!unit_is_active(st, u) || !u->cell)
 		return;
-	/* The row may have a hold that an earlier owner left: read it first. */
+	/* An earlier owner may have left an allowance: read the row first. */
 	t = cell_team_get(st, u->cell, m->team);
 	t->return_requested = m->amount;
 	t->loaded = t->loaded && t->allowance;
--- a/reduce-op.c
+++ b/reduce-op.c
@@ -1,19 +1,18 @@
-#include "reduce.h"
-
-#include <stdlib.h>
-#include <string.h>
-
 /*
  * Operators' requests: which entry VM handles each, and the requests that show
  * the state of the fleet.
  */
+#include "reduce.h"
+
+#include <stdlib.h>
+#include <string.h>
 
 /*
- * Answers an operator of this VM (asker is empty) or the VM that forwarded the
- * request.  Takes ownership of body.
+ * Answers an operator of this VM (forwarded_by is empty) or the VM that
+ * forwarded the request.  Takes ownership of body.
  */
-void op_answer_to(struct state *st, bstr asker, uint64_t call, op_status status,
-		  const char *reason, const char *detail,
+void op_answer_to(struct state *st, bstr forwarded_by, uint64_t call,
+		  op_status status, const char *reason, const char *detail,
 		  uint32_t retry_after_ms, json_t *body)
 {
 	op_reply r = {.status = status, .retry_after_ms = retry_after_ms};
@@ -25,9 +24,9 @@
 	if (body)
 		r.body = config_canonical_text(body);
 	json_decref(body);
-	if (asker.bstr_len) {
+	if (forwarded_by.bstr_len) {
 		msg.peer_message_u.op_reply = (pm_op_reply){call, r};
-		peer_send(st, asker, &msg);
+		peer_send(st, forwarded_by, &msg);
 		xdr_free(XDR_PROC(xdr_op_reply), (char *)&r);
 		return;
 	}
@@ -36,7 +35,7 @@
 	fx->effect_u.op_reply.reply = r;
 }
 
-/* Answers the request that is being handled. */
+/* Answers the request that is being handled; see op_answer_to. */
 void op_answer(struct state *st, uint64_t call, op_status status,
 	       const char *reason, const char *detail, uint32_t retry_after_ms,
 	       json_t *body)
@@ -45,8 +44,8 @@
 		     retry_after_ms, body);
 }
 
-/* Answers a request with its result. */
-void op_show(struct state *st, uint64_t call, json_t *body)
+/* Answers a request with OP_OK and a body. */
+void op_answer_ok(struct state *st, uint64_t call, json_t *body)
 {
 	op_answer(st, call, OP_OK, "", "", 0, body);
 }
@@ -132,7 +131,7 @@
 		op_not_found(st, call, "VM", o->vm);
 		return;
 	}
-	op_show(st, call, list);
+	op_answer_ok(st, call, list);
 }
 
 static json_t *pool_json(struct state *st, const struct pool *p)
@@ -177,7 +176,7 @@
 		op_not_found(st, call, "pool", name);
 		return;
 	}
-	op_show(st, call, list);
+	op_answer_ok(st, call, list);
 }
 
 /*
@@ -186,7 +185,7 @@
  */
 static void team_add_usage(struct state *st, bstr team, json_t *o)
 {
-	uint64_t running = 0, queued = 0, held = 0;
+	uint64_t running = 0, queued = 0, allowance = 0;
 	struct unit *u, *next;
 	struct cell_team *t;
 
@@ -198,11 +197,11 @@
 			continue;
 		running += team_used(t);
 		queued += t->queued;
-		held += t->allowance;
+		allowance += t->allowance;
 	}
 	json_set_int(o, "running", running);
 	json_set_int(o, "queued", queued);
-	json_set_int(o, "held", held);
+	json_set_int(o, "held", allowance);
 }
 
 /* Shows one team or all. */
@@ -228,7 +227,7 @@
 		op_not_found(st, call, "team", name);
 		return;
 	}
-	op_show(st, call, list);
+	op_answer_ok(st, call, list);
 }
 
 /* Shows the keys of a team, or all; never their hashes. */
@@ -247,7 +246,7 @@
 		json_object_set_new(o, "withdrawn", json_boolean(k->withdrawn));
 		json_array_append_new(list, o);
 	}
-	op_show(st, call, list);
+	op_answer_ok(st, call, list);
 }
 
 /*
@@ -288,7 +287,8 @@
 	bstr object, name;
 
 	if (!revision || revision == st->config->revision) {
-		op_show(st, call,
+		op_answer_ok(
+			st, call,
 			config_body(st->config->revision, st->config->doc));
 		return;
 	}
@@ -325,7 +325,7 @@
 			  RETRY_AFTER_MS, NULL);
 		return;
 	}
-	op_show(st, call, config_body(revision, doc));
+	op_answer_ok(st, call, config_body(revision, doc));
 	json_decref(doc);
 }
 
@@ -341,7 +341,7 @@
 	error_init(&e);
 	c = config_parse(oc->body, 0, &e);
 	if (c) {
-		op_show(st, call, config_diff(st->config->doc, c->doc));
+		op_answer_ok(st, call, config_diff(st->config->doc, c->doc));
 		config_free(c);
 		return;
 	}
@@ -356,7 +356,7 @@
 			      const op_request *rq)
 {
 	(void)rq;
-	op_show(st, call, config_history(st));
+	op_answer_ok(st, call, config_history(st));
 }
 
 static json_t *member_json(bstr vm, bstr dc, const char *state,
@@ -398,7 +398,7 @@
 }
 
 /* Shows the entry VMs and the platform as this entry VM sees them. */
-static void op_fleet(struct state *st, uint64_t call, const op_request *rq)
+static void op_fleet_show(struct state *st, uint64_t call, const op_request *rq)
 {
 	json_t *o = json_object(), *members = json_array();
 	struct member *m, *next;
@@ -424,7 +424,7 @@
 	json_set_int(o, "jobs_open", HASH_COUNT(st->jobs) - st->finished_count);
 	json_object_set_new(o, "entry_vms", members);
 	json_object_set_new(o, "owned", units_json(st));
-	op_show(st, call, o);
+	op_answer_ok(st, call, o);
 }
 
 /*
@@ -470,7 +470,7 @@
 	{OP_CONFIG_HISTORY, SCOPE_ANY, op_config_history},
 	{OP_WHY_JOB, SCOPE_HOME, op_why_job},
 	{OP_WHY_TEAM, SCOPE_ALL, op_why_team},
-	{OP_FLEET, SCOPE_ALL, op_fleet},
+	{OP_FLEET, SCOPE_ALL, op_fleet_show},
 	{OP_WAVE_PLAN, SCOPE_ANY, op_wave_change},
 	{OP_WAVE_START, SCOPE_ANY, op_wave_change},
 	{OP_WAVE_PAUSE, SCOPE_ANY, op_wave_change},
@@ -488,10 +488,10 @@
 		if (e->kind == EDIT_OPERATOR)
 			return true;
 	return !TAILQ_EMPTY(&st->changes) || !TAILQ_EMPTY(&st->wave_changes) ||
-	       !TAILQ_EMPTY(&st->questions) || !TAILQ_EMPTY(&st->asks);
+	       !TAILQ_EMPTY(&st->why_requests) || !TAILQ_EMPTY(&st->asks);
 }
 
-/* Answers a request that may have taken effect when the process stops. */
+/* Answers a request that may have taken effect, as the process stops. */
 static void op_answer_stopping(struct state *st, uint64_t call)
 {
 	op_answer(st, call, OP_UNKNOWN, "stopping",
@@ -500,11 +500,11 @@
 		  RETRY_AFTER_MS, NULL);
 }
 
-/* The process stops: answers all operators' requests that still wait. */
+/* Answers all operators' requests that still wait, as the process stops. */
 void ops_stop(struct state *st)
 {
 	struct wave_change *w;
-	struct question *q;
+	struct why_request *q;
 	struct change *c;
 	struct edit *e;
 	struct ask *a;
@@ -518,7 +518,7 @@
 			op_answer_stopping(st, e->call);
 	TAILQ_FOREACH(a, &st->asks, entry)
 		op_answer_stopping(st, a->call);
-	TAILQ_FOREACH(q, &st->questions, entry)
+	TAILQ_FOREACH(q, &st->why_requests, entry)
 		if (!q->forwarded_by.bstr_len)
 			op_answer_stopping(st, q->call);
 }
--- a/reduce-vm.c
+++ b/reduce-vm.c
@@ -14,7 +14,7 @@
  */
 #define ABSENT_MS 15000
 
-/* Find an endpoint VM; NULL if it has no row. */
+/* Returns an endpoint VM, or NULL if it has no row. */
 struct vm *vm_find(struct state *st, bstr name)
 {
 	struct vm *v;
@@ -30,22 +30,24 @@
 	free(v);
 }
 
-/* Free the copies of the VM rows and of the platform's list. */
+/* Frees the copies of the VM rows and of the platform's list. */
 void vms_free(struct state *st)
 {
-	struct listed *l, *ln;
+	struct vm_listing *l, *ln;
 	struct vm *v, *vn;
 
 	HASH_ITER(hh, st->vms, v, vn)
 		vm_free(st, v);
-	HASH_ITER(hh, st->listed, l, ln) {
-		HASH_DEL(st->listed, l);
+	HASH_ITER(hh, st->vm_listings, l, ln) {
+		HASH_DEL(st->vm_listings, l);
 		bstr_free(&l->vm);
 		free(l);
 	}
 }
 
-/* Update the copy of a VM's row, unless the copy is as new; drop a gone VM. */
+/*
+ * Updates the copy of a VM's row, unless the copy is as new; drops a gone VM.
+ */
 void vm_row_apply(struct state *st, const table_row *r)
 {
 	bstr name = bstr_ref(r->key.bstr_val + sizeof(VM_PREFIX) - 1,
@@ -81,7 +83,7 @@
 	HASH_ADD_BSTR(st->vms, row.vm, v);
 }
 
-/* Apply the VM rows that this VM's own commit wrote, without reading them. */
+/* Applies the VM rows that this VM's own commit wrote, without reading them. */
 void vms_apply_committed(struct state *st, const struct request *rq,
 			 const ev_platform *ev)
 {
@@ -95,21 +97,21 @@
 		if (w->key.bstr_len < n ||
 		    memcmp(w->key.bstr_val, VM_PREFIX, n) != 0)
 			continue;
-		r = (table_row){w->key, row_version(ev, w->key), w->value};
+		r = (table_row){w->key, row_revision(ev, w->key), w->value};
 		vm_row_apply(st, &r);
 	}
 }
 
-/* Record that the copies match the head that the completed read covers. */
+/* Records that the copies match the head that the completed read covers. */
 static void vms_set_current(struct state *st, const struct request *rq)
 {
-	st->vms_revision = st->vms_target;
+	st->vms_revision = st->vms_target_revision;
 	st->vms_generation = st->vms_target_generation;
 	st->vms_known = true;
 	st->vms_current_at = rq->sent_at;
 }
 
-/* Read all VM rows. */
+/* Reads all VM rows. */
 static void vms_scan(struct state *st)
 {
 	st->vms_request = table_scan(st, REQ_VMS_SCAN, st->vm,
@@ -128,7 +130,7 @@
 	return false;
 }
 
-/* Read the rows that changed after the generation of our copies, each once. */
+/* Reads the rows that changed after the generation of the copies, each once. */
 static void vms_read_recent(struct state *st, const vms_head *h)
 {
 	bstr keys[HEAD_RECENT_MAX] = {BSTR_NONE};
@@ -148,8 +150,8 @@
 }
 
 /*
- * Handle the read of the head: if it has changed, read the changed rows, or
- * all if the head no longer names all changes since our copies.
+ * Handles the read of the head: if it has changed, reads the changed rows, or
+ * all if the head no longer names all changes since the copies.
  */
 void vms_head_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
@@ -166,7 +168,7 @@
 	if (r->revision &&
 	    !xdr_decode(XDR_PROC(xdr_vms_head), r->value, &h, sizeof(h)))
 		return;
-	st->vms_target = r->revision;
+	st->vms_target_revision = r->revision;
 	st->vms_target_generation = h.generation;
 	if (h.recent.recent_len)
 		oldest =
@@ -180,7 +182,7 @@
 	xdr_free(XDR_PROC(xdr_vms_head), (char *)&h);
 }
 
-/* Handle the read of the changed rows. */
+/* Handles the read of the changed rows. */
 void vms_rows_read(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	u_int i;
@@ -193,7 +195,7 @@
 	vms_set_current(st, rq);
 }
 
-/* Handle a scan of all rows; a VM without a row is removed. */
+/* Handles a scan of all rows; a VM without a row is removed. */
 void vms_scanned(struct state *st, struct request *rq, const ev_platform *ev)
 {
 	struct vm *v, *next;
@@ -214,33 +216,33 @@
 }
 
 /*
- * Handle the platform's list of VMs.  It lags behind, so it only marks VMs as
+ * Handles the platform's list of VMs.  It lags behind, so it only marks VMs as
  * leaving or absent.
  */
 void vms_listed(struct state *st, const ev_platform *ev)
 {
-	struct listed *l, *next;
+	struct vm_listing *l, *next;
 	u_int i;
 
-	st->list_request = 0;
+	st->vm_list_request = 0;
 	if (ev->outcome != PLATFORM_OK)
 		return;
-	HASH_ITER(hh, st->listed, l, next)
+	HASH_ITER(hh, st->vm_listings, l, next)
 		l->marked = false;
 	for (i = 0; i < ev->vms.vms_len; i++) {
 		const listed_vm *v = &ev->vms.vms_val[i];
 
-		HASH_FIND_BSTR(st->listed, v->vm, l);
+		HASH_FIND_BSTR(st->vm_listings, v->vm, l);
 		if (!l) {
 			l = xcalloc(1, sizeof(*l));
 			l->vm = bstr_copy(v->vm);
-			HASH_ADD_BSTR(st->listed, vm, l);
+			HASH_ADD_BSTR(st->vm_listings, vm, l);
 		}
 		l->marked = true;
 		l->leaving = v->leaving;
 		l->absent_at = 0;
 	}
-	HASH_ITER(hh, st->listed, l, next) {
+	HASH_ITER(hh, st->vm_listings, l, next) {
 		if (!l->marked && !l->absent_at)
 			l->absent_at = st->now;
 	}
@@ -249,32 +251,32 @@
 /* Returns true if the platform's list has a VM as leaving, or lost it. */
 bool vm_leaving(struct state *st, bstr name)
 {
-	struct listed *l;
+	struct vm_listing *l;
 
-	HASH_FIND_BSTR(st->listed, name, l);
+	HASH_FIND_BSTR(st->vm_listings, name, l);
 	return l && (l->leaving || l->absent_at);
 }
 
 /* Returns true if a VM that was in the list is absent for ABSENT_MS. */
 bool vm_absent(struct state *st, bstr name)
 {
-	struct listed *l;
+	struct vm_listing *l;
 
-	HASH_FIND_BSTR(st->listed, name, l);
+	HASH_FIND_BSTR(st->vm_listings, name, l);
 	return l && l->absent_at && st->now - l->absent_at >= ABSENT_MS;
 }
 
-/* Poll the platform's list of VMs when due. */
+/* Polls the platform's list of VMs when due. */
 void vms_tick(struct state *st)
 {
 	struct request *rq;
 	effect *fx;
 
-	if (st->list_request || st->now < st->list_poll_at)
+	if (st->vm_list_request || st->now < st->vm_list_poll_at)
 		return;
-	st->list_poll_at = st->now + st->list_poll_ms;
+	st->vm_list_poll_at = st->now + st->list_poll_ms;
 	rq = request_new(st, REQ_VM_LIST, st->vm);
-	st->list_request = rq->id;
+	st->vm_list_request = rq->id;
 	fx = effect_add(st, FX_VM_LIST);
 	fx->effect_u.vm_list = rq->id;
 }
--- a/sched-job.c
+++ b/sched-job.c
@@ -124,19 +124,20 @@
  * counted, all jobs that wait during an overload or after a takeover would seem
  * to run, and callers would be told that none waits.
  */
-bool job_waits(const struct job *j)
+bool job_is_waiting(const struct job *j)
 {
 	return j->status <= JOB_STATUS_RUNNING && !j->run_seen;
 }
 
 /*
- * Returns true if tasks of a job may be started.  The store has to record that
- * before the first start.  A successor can then start jobs without that record
- * at once, even if it can't reach some workers; otherwise it would have to wait
- * for the end of all leases, 6 s, for jobs that never began.  The cost is one
- * row per job, written together with others, and a few milliseconds of delay.
+ * Returns true if tasks of a job may be started.  If not, has the start of the
+ * job recorded in the store first.  A successor can start jobs without that
+ * record at once, even if it can't reach some workers; otherwise it would have
+ * to wait for the end of all leases, 6 s, for jobs that never began.  The cost
+ * is one row per job, written together with others, and a few milliseconds of
+ * delay.
  */
-bool job_begin(struct sched *s, struct job *j)
+bool job_request_start(struct sched *s, struct job *j)
 {
 	if (j->start_durable)
 		return true;
@@ -164,7 +165,7 @@
  * Changes the phase of a task and updates the count of pending tasks of its
  * step.
  */
-void task_phase(struct task *t, enum run_phase phase)
+void task_set_phase(struct task *t, enum run_phase phase)
 {
 	struct pending_tasks *p = &t->occ->pending_tasks[t->step];
 
@@ -176,7 +177,7 @@
 }
 
 /* Delays the placement of a task until the given time. */
-void task_pause(struct task *t, int64_t until)
+void task_delay(struct task *t, int64_t until)
 {
 	struct pending_tasks *p = &t->occ->pending_tasks[t->step];
 
@@ -196,7 +197,7 @@
 }
 
 /* Creates an occurrence of a job, with all its tasks pending. */
-void job_make_occurrence(struct job *j, unsigned k)
+void job_make_occurrence(struct job *j, unsigned number)
 {
 	struct occurrence *o = xcalloc(1, sizeof(*o));
 	const struct job_body *b = j->body;
@@ -205,7 +206,7 @@
 	unsigned n;
 
 	o->job = j;
-	o->number = k;
+	o->number = number;
 	o->unfinished_in_step = xcalloc(b->step_count,
 					sizeof(*o->unfinished_in_step));
 	o->pending_tasks = xcalloc(b->step_count, sizeof(*o->pending_tasks));
@@ -270,7 +271,7 @@
 		TAILQ_REMOVE(&s->dirty, j, dirty);
 	else if (j->commit_seq)
 		TAILQ_REMOVE(&s->committing_jobs, j, dirty);
-	TAILQ_REMOVE(&s->order, j, entry);
+	TAILQ_REMOVE(&s->jobs_by_arrival, j, entry);
 	HASH_DEL(s->jobs, j);
 	while ((o = TAILQ_FIRST(&j->occs))) {
 		TAILQ_REMOVE(&j->occs, o, entry);
@@ -286,9 +287,9 @@
 }
 
 /* Returns true if all prerequisites of a step are done. */
-bool step_ready(const struct occurrence *o, unsigned at)
+bool step_is_ready(const struct occurrence *o, unsigned step)
 {
-	const struct job_step *st = &o->job->body->steps[at];
+	const struct job_step *st = &o->job->body->steps[step];
 	size_t i;
 
 	for (i = 0; i < st->prerequisite_count; i++)
@@ -314,7 +315,7 @@
 	TAILQ_INSERT_TAIL(&s->dirty, j, dirty);
 }
 
-/* Remembers a final job until its rows may be removed. */
+/* Adds a job to the final ones, whose rows are removed later. */
 static void job_retire(struct sched *s, const char *id, int64_t ended)
 {
 	struct retired *r;
@@ -329,7 +330,7 @@
 	TAILQ_INSERT_TAIL(&s->retired_order, r, entry);
 }
 
-/* Forgets a final job. */
+/* Removes a job from the final ones. */
 void job_unretire(struct sched *s, struct retired *r)
 {
 	TAILQ_REMOVE(&s->retired_order, r, entry);
@@ -440,7 +441,7 @@
 	j->arrived = s->now;
 	j->inherited = s->own.state == OWN_LOADING;
 	HASH_ADD(hh, s->jobs, id, JOB_ID_BYTES, j);
-	TAILQ_INSERT_TAIL(&s->order, j, entry);
+	TAILQ_INSERT_TAIL(&s->jobs_by_arrival, j, entry);
 	if (!j->inherited)
 		job_make_due_occurrences(s, j);
 }
@@ -534,7 +535,7 @@
 
 	if (t->phase == PHASE_DONE)
 		return;
-	task_phase(t, PHASE_DONE);
+	task_set_phase(t, PHASE_DONE);
 	o->unfinished_in_step[t->step]--;
 	o->unfinished--;
 	job_mark_dirty(s, j);
@@ -603,12 +604,12 @@
 }
 
 /* Returns occurrence k of a job, or NULL. */
-struct occurrence *occurrence_find(const struct job *j, unsigned k)
+struct occurrence *occurrence_find(const struct job *j, unsigned number)
 {
 	struct occurrence *o;
 
 	TAILQ_FOREACH(o, &j->occs, entry)
-		if (o->number == k)
+		if (o->number == number)
 			return o;
 	return NULL;
 }
@@ -620,18 +621,19 @@
  * named one is created, so that its runs can be stopped.
  */
 static void job_make_missing_occurrences(struct sched *s, struct job *j,
-					 unsigned k)
+					 unsigned number)
 {
 	unsigned count = j->body->repeat_count ? j->body->repeat_count : 1;
 
-	if (k >= count)
+	if (number >= count)
 		return;
 	if (j->status > JOB_STATUS_RUNNING) {
-		if (job_may_have_unknown_runs(s, j) && !occurrence_find(j, k))
-			job_make_occurrence(j, k);
+		if (job_may_have_unknown_runs(s, j) &&
+		    !occurrence_find(j, number))
+			job_make_occurrence(j, number);
 		return;
 	}
-	while (j->next_occurrence <= k) {
+	while (j->next_occurrence <= number) {
 		job_make_occurrence(j, j->next_occurrence++);
 		job_mark_dirty(s, j);
 	}
@@ -666,7 +668,7 @@
 struct task *task_find(struct sched *s, bstr name, struct job **job)
 {
 	struct occurrence *o;
-	unsigned k, step_index, index;
+	unsigned number, step_index, index;
 	bstr rest;
 
 	*job = NULL;
@@ -675,15 +677,15 @@
 	*job = sched_job_find(s, name.bstr_val);
 	rest = bstr_ref(name.bstr_val + JOB_ID_BYTES,
 			name.bstr_len - JOB_ID_BYTES);
-	if (!*job || !name_take_number(&rest, &k) ||
+	if (!*job || !name_take_number(&rest, &number) ||
 	    !name_take_number(&rest, &step_index) ||
 	    !name_take_number(&rest, &index) || rest.bstr_len)
 		return NULL;
 	if (step_index >= (*job)->body->step_count ||
 	    index >= (*job)->body->steps[step_index].count)
 		return NULL;
-	job_make_missing_occurrences(s, *job, k);
-	o = occurrence_find(*job, k);
+	job_make_missing_occurrences(s, *job, number);
+	o = occurrence_find(*job, number);
 	return o ? &o->tasks[o->first_task[step_index] + index] : NULL;
 }
 
@@ -727,7 +729,7 @@
 
 	if (s->own.state != OWN_OWNER)
 		return;
-	for (j = TAILQ_FIRST(&s->order); j; j = next) {
+	for (j = TAILQ_FIRST(&s->jobs_by_arrival); j; j = next) {
 		next = TAILQ_NEXT(j, entry);
 		if (!j->next_occurrence || j->body->repeat_count)
 			job_make_due_occurrences(s, j);
--- a/sched-note.c
+++ b/sched-note.c
@@ -27,9 +27,9 @@
  * it.
  *
  * Workers that may hold leases of this owner are noted in the store before they
- * get tasks.  A worker's own row may lapse while the worker is cut off but
+ * get tasks.  A worker's own row may expire while the worker is cut off but
  * running; a successor that doesn't know of the worker would start its tasks
- * elsewhere.  Workers that hold nothing any more are dropped from the note in
+ * elsewhere.  Workers without leases are dropped from the note in
  * time, because a successor waits for every process in it until no lease can be
  * valid, also for each earlier process of a machine that moved.
  *
@@ -38,8 +38,8 @@
  */
 bool workers_note_is_due(struct sched *s)
 {
-	bool may_drop = s->now >= s->note_at,
-	     write = may_drop && s->note_has_gone_worker;
+	bool may_drop = s->now >= s->workers_note_at,
+	     write = may_drop && s->workers_note_has_gone;
 	struct worker *w, *next;
 
 	if (s->own.state != OWN_OWNER)
@@ -54,8 +54,8 @@
 			w->noted = false;
 	}
 	if (write) {
-		s->note_at = s->now + NOTE_DROP_INTERVAL_MS;
-		s->note_has_gone_worker = false;
+		s->workers_note_at = s->now + NOTE_DROP_INTERVAL_MS;
+		s->workers_note_has_gone = false;
 	}
 	return write;
 }
@@ -119,7 +119,7 @@
 			  service);
 	}
 	w->inherited = true;
-	worker_count(s, w);
+	worker_update_unknown(s, w);
 }
 
 /*
--- a/sched-place.c
+++ b/sched-place.c
@@ -19,8 +19,8 @@
 /*
  * Per long-running task on it.  Long-running tasks share workers, and short
  * tasks go to the fullest worker with room, so that other machines of a pool
- * become empty and can move to a pool that needs them.  Together this is worth
- * 0.045 of a day's credit at one site and 0.014 at another.
+ * become empty and can move to a pool that needs them.  Without this, more jobs
+ * of such pools miss their objective.
  */
 #define SCORE_LONG_RUNNING 1e5
 #define SCORE_CPU_USED 1e4 /* if all of its cores are used */
@@ -66,20 +66,20 @@
  * has_delayed_tasks if a task of it is only delayed.
  */
 static bool step_is_placeable(struct sched *s, const struct occurrence *o,
-			      unsigned at)
+			      unsigned step)
 {
-	const struct task *t = &o->tasks[o->first_task[at]];
-	struct pending_tasks *pending = &o->pending_tasks[at];
+	const struct task *t = &o->tasks[o->first_task[step]];
+	struct pending_tasks *pending = &o->pending_tasks[step];
 	bool placeable = false;
 	unsigned i;
 
-	if (!pending->count || !step_ready(o, at))
+	if (!pending->count || !step_is_ready(o, step))
 		return false;
 	if (!pending->ready_at)
 		pending->ready_at = s->now;
 	if (s->now >= pending->retry_at_max)
 		return true;
-	for (i = 0; i < o->job->body->steps[at].count; i++, t++) {
+	for (i = 0; i < o->job->body->steps[step].count; i++, t++) {
 		if (t->phase != PHASE_PENDING)
 			continue;
 		if (s->now >= t->not_before)
@@ -93,9 +93,9 @@
 /* Adds a step to the candidates of this pass. */
 static void candidate_add(struct sched *s, struct place_pass *p,
 			  const struct route *r, struct pool *pool,
-			  struct occurrence *o, unsigned at)
+			  struct occurrence *o, unsigned step)
 {
-	const struct job_step *st = &o->job->body->steps[at];
+	const struct job_step *st = &o->job->body->steps[step];
 	const struct job_estimate *estimate = &o->job->estimate;
 	struct candidate *c;
 
@@ -109,7 +109,7 @@
 	*c = (struct candidate){.job = o->job,
 				.occ = o,
 				.pool = pool,
-				.step = at,
+				.step = step,
 				.need = step_need(st),
 				.previous_reason = o->job->pending_reason};
 	c->needs_tickets = r && r->needs_ticket;
@@ -118,7 +118,7 @@
 	if (!o->job->due)
 		o->job->due = c->due;
 	c->late = !st->long_running &&
-		  s->now + estimate->remaining_ms[at] > c->due &&
+		  s->now + estimate->remaining_ms[step] > c->due &&
 		  policy_is_enabled(s, POLICY_LATE_LAST);
 	if (c->late)
 		c->due = estimate->longest_ms;
@@ -168,7 +168,7 @@
 {
 	struct job *j;
 
-	TAILQ_FOREACH(j, &s->order, entry) {
+	TAILQ_FOREACH(j, &s->jobs_by_arrival, entry) {
 		if (j->status > JOB_STATUS_RUNNING)
 			continue;
 		p->open_jobs++;
@@ -214,13 +214,13 @@
 
 /* Returns the number of tasks of a step that are on a worker. */
 unsigned step_tasks_on_worker(const struct worker *w,
-			      const struct occurrence *o, unsigned at)
+			      const struct occurrence *o, unsigned step)
 {
 	const struct task *t;
 	unsigned n = 0;
 
 	TAILQ_FOREACH(t, &w->tasks, worker_entry)
-		if (t->occ == o && t->step == at)
+		if (t->occ == o && t->step == step)
 			n++;
 	return n;
 }
@@ -480,19 +480,19 @@
  * behind those of thousands of others, and a successor would have to assume
  * that all of them are running somewhere.
  */
-static enum pending_reason candidate_begin_job(struct sched *s,
-					       const struct candidate *c)
+static enum pending_reason candidate_request_start(struct sched *s,
+						   const struct candidate *c)
 {
 	const struct job_step *st = &c->job->body->steps[c->step];
 	struct resources need = step_need(st);
 	unsigned i;
 
-	if (!resources_fit(resources_add(c->pool->promised, need),
+	if (!resources_fit(resources_add(c->pool->reserved, need),
 			   c->pool->total_room))
 		return PENDING_CAPACITY;
 	for (i = 0; i < c->occ->unfinished_in_step[c->step]; i++)
-		c->pool->promised = resources_add(c->pool->promised, need);
-	return job_begin(s, c->job) ? PENDING_NONE : PENDING_STORE;
+		c->pool->reserved = resources_add(c->pool->reserved, need);
+	return job_request_start(s, c->job) ? PENDING_NONE : PENDING_STORE;
 }
 
 /*
@@ -509,7 +509,7 @@
 	if (limit)
 		return limit;
 	if (!c->job->start_durable)
-		return candidate_begin_job(s, c);
+		return candidate_request_start(s, c);
 	if (c->needs_tickets &&
 	    !advice_ready(s, c->occ, c->step, c->pool->workers, c->pool->count))
 		return PENDING_TICKET;
@@ -629,7 +629,7 @@
 	if (p.open_jobs > PASS_JOBS_MIN)
 		s->place_at += p.open_jobs / PASS_JOBS_PER_MS;
 	/*
-	 * Delays of tasks and suspensions of workers end without an event, so
+	 * Delays of tasks and of suspect workers end without an event, so
 	 * pending tasks are considered again at the next tick.
 	 */
 	s->has_pending_tasks = s->has_pending_tasks || s->has_delayed_tasks;
--- a/sched-pool.c
+++ b/sched-pool.c
@@ -36,11 +36,11 @@
 static bool worker_runs_are_known(const struct worker *w)
 {
 	return !w->inherited || w->gone ||
-	       (w->fenced && !w->ends_truncated && !w->ends_held);
+	       (w->fenced && !w->ends_truncated && !w->ends_deferred);
 }
 
 /* Removes a worker from the counts of unknown workers. */
-void worker_uncount(struct sched *s, struct worker *w)
+void worker_clear_unknown(struct sched *s, struct worker *w)
 {
 	if (!w->unknown)
 		return;
@@ -51,13 +51,14 @@
 
 /*
  * Assigns a worker to the pool of its service, and counts it there if its runs
- * are unknown.  To be called when one of both changes.  During a takeover the
- * count is used for each job and worker, and iterating over the workers each
- * time would take all of the owner's time.
+ * are unknown.  Must be called when its service changes or its runs become
+ * known or unknown.  During a takeover the count is used for each job and
+ * worker, and iterating over the workers each time would take all of the
+ * owner's time.
  */
-void worker_count(struct sched *s, struct worker *w)
+void worker_update_unknown(struct sched *s, struct worker *w)
 {
-	worker_uncount(s, w);
+	worker_clear_unknown(s, w);
 	w->pool = pool_of(s, w->row.service);
 	if (worker_runs_are_known(w))
 		return;
@@ -145,7 +146,7 @@
 
 	for (p = s->pools; p; p = p->hh.next) {
 		p->count = p->unplaceable_count = 0;
-		p->promised = (struct resources){0, 0, 0};
+		p->reserved = (struct resources){0, 0, 0};
 	}
 	HASH_ITER(hh, s->workers, w, next)
 		if (worker_is_eligible(s, w))
--- a/tests/test-load.c
+++ b/tests/test-load.c
@@ -480,7 +480,7 @@
 	unsigned n = 0;
 
 	for (k = s->workers; k; k = k->hh.next)
-		n += k->ends_held;
+		n += k->ends_deferred;
 	return n;
 }
 
