--- a/bamboofront.h
+++ b/bamboofront.h
@@ -103,7 +103,7 @@
 	unsigned count;
 };
 void error_init(struct error *e);
-void error_add(struct error *e, const char *place, const char *fmt, ...)
+void error_add(struct error *e, const char *location, const char *fmt, ...)
 	PRINTF_LIKE(3, 4);
 void error_print(const struct error *e, FILE *f);
 /* Returns all findings on one line, to be released with free. */
@@ -134,8 +134,7 @@
 };
 extern const struct log_entry log_entries[];
 extern const size_t log_entry_count;
-/* Sets the program's name and the least severe level that is written. */
-void log_open(const char *program, enum log_level most);
+void log_open(const char *program, enum log_level max_level);
 void log_event(uint32_t number, const char *fmt, ...) PRINTF_LIKE(2, 3);
 void log_debug(const char *fmt, ...) PRINTF_LIKE(1, 2);
 /*
@@ -299,7 +298,8 @@
 	enum log_level log_level;
 };
 bool settings_load(const char *path, struct settings *s, struct error *e);
-bool settings_parse(const char *place, const char *text, size_t len,
+/* source names the text in findings, such as the path of its file. */
+bool settings_parse(const char *source, const char *text, size_t len,
 		    struct settings *s, struct error *e);
 void settings_free(struct settings *s);
 
--- a/cmd-parse.c
+++ b/cmd-parse.c
@@ -73,16 +73,16 @@
 {
 	json_error_t je;
 	json_t *j;
-	char *place;
+	char *location;
 
 	if (!file_read(path, to, e))
 		return;
 	j = json_loadb(to->bstr_val ? to->bstr_val : "", to->bstr_len,
 		       JSON_REJECT_DUPLICATES | JSON_DECODE_ANY, &je);
 	if (!j) {
-		place = xasprintf("%s:%d:%d", path, je.line, je.column);
-		error_add(e, place, "no JSON: %s", je.text);
-		free(place);
+		location = xasprintf("%s:%d:%d", path, je.line, je.column);
+		error_add(e, location, "no JSON: %s", je.text);
+		free(location);
 	}
 	json_decref(j);
 }
--- a/config.c
+++ b/config.c
@@ -15,25 +15,25 @@
  */
 static uint32_t config_read_number(const json_t *o, const char *name,
 				   uint32_t max, uint32_t fallback,
-				   const char *place, struct error *e)
+				   const char *path, struct error *e)
 {
 	const json_t *j = json_object_get(o, name);
-	char *at;
+	char *member_path;
 
 	if (!j)
 		return fallback;
 	if (json_is_integer(j) && json_integer_value(j) >= 0 &&
 	    json_integer_value(j) <= max)
 		return (uint32_t)json_integer_value(j);
-	at = xasprintf("%s.%s", place, name);
-	error_add(e, at, "expected a whole number from 0 to %u", max);
-	free(at);
+	member_path = xasprintf("%s.%s", path, name);
+	error_add(e, member_path, "expected a whole number from 0 to %u", max);
+	free(member_path);
 	return fallback;
 }
 
 /* Reports unknown members, which are most often misspelt. */
 static void config_check_members(const json_t *o, const char *const *known,
-				 const char *place, struct error *e)
+				 const char *path, struct error *e)
 {
 	const char *name;
 	json_t *value;
@@ -44,19 +44,19 @@
 			if (!strcmp(known[i], name))
 				break;
 		if (!known[i])
-			error_add(e, place, "unknown member '%s'", name);
+			error_add(e, path, "unknown member '%s'", name);
 	}
 }
 
 /*
  * Returns true if a name can be part of a row's key; adds a finding otherwise.
  */
-static bool config_check_name(const char *name, const char *place,
+static bool config_check_name(const char *name, const char *path,
 			      struct error *e)
 {
 	if (bstr_is_name(bstr_lit(name), NAME_MAX_LEN))
 		return true;
-	error_add(e, place,
+	error_add(e, path,
 		  "'%s' is no name: expected 1 to %d of a-z 0-9 . _ -, "
 		  "the first a letter or digit",
 		  name, NAME_MAX_LEN);
@@ -68,18 +68,18 @@
  * type.  Jansson's functions treat NULL as an empty object.
  */
 static const json_t *config_read_object(const json_t *o, const char *name,
-					const char *place, struct error *e)
+					const char *path, struct error *e)
 {
 	const json_t *j = json_object_get(o, name);
 
 	if (!j || json_is_object(j))
 		return j;
-	error_add(e, place, "expected '%s' to be an object", name);
+	error_add(e, path, "expected '%s' to be an object", name);
 	return NULL;
 }
 
 /* Reads the data centres of a pool. */
-static void config_read_dcs(struct pool *p, const json_t *o, const char *place,
+static void config_read_dcs(struct pool *p, const json_t *o, const char *path,
 			    struct error *e)
 {
 	const json_t *dcs = json_object_get(o, "dcs"), *dc;
@@ -87,14 +87,14 @@
 
 	if (!json_is_array(dcs) || !json_array_size(dcs) ||
 	    json_array_size(dcs) > 64) {
-		error_add(e, place, "expected 'dcs' with 1 to 64 names");
+		error_add(e, path, "expected 'dcs' with 1 to 64 names");
 		return;
 	}
 	p->dcs = xcalloc(json_array_size(dcs), sizeof(*p->dcs));
 	json_array_foreach((json_t *)dcs, i, dc) {
 		if (!json_is_string(dc) ||
-		    !config_check_name(json_string_value(dc), place, e)) {
-			error_add(e, place, "dcs[%zu] is no name", i);
+		    !config_check_name(json_string_value(dc), path, e)) {
+			error_add(e, path, "dcs[%zu] is no name", i);
 			continue;
 		}
 		p->dcs[p->dc_count++] = bstr_from_json(dc);
@@ -106,37 +106,37 @@
 			     const json_t *o, struct error *e)
 {
 	static const char *const known[] = {"dcs", "budget", "spare", NULL};
-	char *place = xasprintf("$.pools.%s", name);
+	char *path = xasprintf("$.pools.%s", name);
 	const json_t *spare;
 	struct pool *p;
 
 	if (!json_is_object(o)) {
-		error_add(e, place, "expected an object");
-	} else if (config_check_name(name, place, e)) {
-		config_check_members(o, known, place, e);
+		error_add(e, path, "expected an object");
+	} else if (config_check_name(name, path, e)) {
+		config_check_members(o, known, path, e);
 		p = xcalloc(1, sizeof(*p));
 		p->name = bstr_new(name);
-		p->budget = config_read_number(o, "budget", LIMIT_MAX, 1, place,
+		p->budget = config_read_number(o, "budget", LIMIT_MAX, 1, path,
 					       e);
 		spare = json_object_get(o, "spare");
 		if (spare && !json_is_boolean(spare))
-			error_add(e, place, "expected 'spare' true or false");
+			error_add(e, path, "expected 'spare' true or false");
 		p->spare = json_is_true(spare);
-		config_read_dcs(p, o, place, e);
+		config_read_dcs(p, o, path, e);
 		HASH_ADD_KEYPTR(hh, c->pools, p->name.bstr_val,
 				p->name.bstr_len, p);
 	}
-	free(place);
+	free(path);
 }
 
 /* Decodes a member in base64, which must not be empty. */
 static bstr config_read_bytes(const json_t *o, const char *name,
-			      const char *place, struct error *e)
+			      const char *path, struct error *e)
 {
 	bstr text = bstr_from_json(json_object_get(o, name)), bytes;
 
 	if (!text.bstr_len || !base64_decode(text, &bytes)) {
-		error_add(e, place, "expected '%s' in base64", name);
+		error_add(e, path, "expected '%s' in base64", name);
 		bytes = BSTR_NONE;
 	}
 	bstr_free(&text);
@@ -148,24 +148,24 @@
 			    const json_t *o, struct error *e)
 {
 	static const char *const known[] = {"salt", "hash", "withdrawn", NULL};
-	char *place = xasprintf("$.teams.%.*s.keys.%s", BSTR_ARG(t->name), id);
+	char *path = xasprintf("$.teams.%.*s.keys.%s", BSTR_ARG(t->name), id);
 	struct team_key *k;
 
-	config_check_members(o, known, place, e);
+	config_check_members(o, known, path, e);
 	k = config_find_key(c, bstr_lit(id));
 	if (k) {
-		error_add(e, place, "key '%s' is team %.*s's already", id,
+		error_add(e, path, "key '%s' is team %.*s's already", id,
 			  BSTR_ARG(k->team->name));
-	} else if (config_check_name(id, place, e)) {
+	} else if (config_check_name(id, path, e)) {
 		k = xcalloc(1, sizeof(*k));
 		k->id = bstr_new(id);
 		k->team = t;
-		k->salt = config_read_bytes(o, "salt", place, e);
-		k->hash = config_read_bytes(o, "hash", place, e);
+		k->salt = config_read_bytes(o, "salt", path, e);
+		k->hash = config_read_bytes(o, "hash", path, e);
 		k->withdrawn = json_is_true(json_object_get(o, "withdrawn"));
 		HASH_ADD_KEYPTR(hh, c->keys, k->id.bstr_val, k->id.bstr_len, k);
 	}
-	free(place);
+	free(path);
 }
 
 /* Reads a team with its keys and adds it to the configuration. */
@@ -174,31 +174,31 @@
 {
 	static const char *const known[] = {"share", "limit", "grace_ms",
 					    "keys", NULL};
-	char *place = xasprintf("$.teams.%s", name);
+	char *path = xasprintf("$.teams.%s", name);
 	struct team *t;
 	const char *id;
 	json_t *key;
 
 	if (!json_is_object(o)) {
-		error_add(e, place, "expected an object");
-	} else if (config_check_name(name, place, e)) {
-		config_check_members(o, known, place, e);
+		error_add(e, path, "expected an object");
+	} else if (config_check_name(name, path, e)) {
+		config_check_members(o, known, path, e);
 		t = xcalloc(1, sizeof(*t));
 		t->name = bstr_new(name);
-		t->share = config_read_number(o, "share", SHARE_MAX, 1, place,
+		t->share = config_read_number(o, "share", SHARE_MAX, 1, path,
 					      e);
-		t->limit = config_read_number(o, "limit", LIMIT_MAX, 0, place,
+		t->limit = config_read_number(o, "limit", LIMIT_MAX, 0, path,
 					      e);
 		t->grace_ms = config_read_number(o, "grace_ms", GRACE_MAX_MS, 0,
-						 place, e);
+						 path, e);
 		HASH_ADD_KEYPTR(hh, c->teams, t->name.bstr_val,
 				t->name.bstr_len, t);
 		json_object_foreach(
-			(json_t *)config_read_object(o, "keys", place, e), id,
+			(json_t *)config_read_object(o, "keys", path, e), id,
 			key)
 			config_read_key(c, t, id, key, e);
 	}
-	free(place);
+	free(path);
 }
 
 /*
--- a/error.c
+++ b/error.c
@@ -11,12 +11,12 @@
 }
 
 /* Adds a finding at a location. */
-void error_add(struct error *e, const char *place, const char *fmt, ...)
+void error_add(struct error *e, const char *location, const char *fmt, ...)
 {
 	struct finding *f = xcalloc(1, sizeof(*f));
 	va_list ap;
 
-	f->location = xstrdup(place);
+	f->location = xstrdup(location);
 	va_start(ap, fmt);
 	if (vasprintf(&f->text, fmt, ap) < 0)
 		abort();
--- a/settings.c
+++ b/settings.c
@@ -158,12 +158,12 @@
 	return *p;
 }
 
-/* Adds a finding for a JSON path in a file. */
+/* Adds a finding for a JSON path in source, a file or a recording. */
 static void PRINTF_LIKE(4, 5)
-	setting_finding(struct error *e, const char *place, const char *path,
+	setting_finding(struct error *e, const char *source, const char *path,
 			const char *fmt, ...)
 {
-	char *where = xasprintf("%s: $.%s", place, path);
+	char *location = xasprintf("%s: $.%s", source, path);
 	va_list ap;
 	char *text;
 
@@ -171,9 +171,9 @@
 	if (vasprintf(&text, fmt, ap) < 0)
 		abort();
 	va_end(ap);
-	error_add(e, where, "%s", text);
+	error_add(e, location, "%s", text);
 	free(text);
-	free(where);
+	free(location);
 }
 
 /* Parses "ip:port" or "[ip]:port".  On success the caller frees the host. */
@@ -205,7 +205,7 @@
 }
 
 /* Reads the names and keys of the operators. */
-static void keys_read(const json_t *j, struct settings *s, const char *place,
+static void keys_read(const json_t *j, struct settings *s, const char *source,
 		      struct error *e)
 {
 	struct operator_key *k;
@@ -214,7 +214,7 @@
 	char *path;
 
 	if (!json_is_object(j) || !json_object_size(j)) {
-		setting_finding(e, place, "operators.keys",
+		setting_finding(e, source, "operators.keys",
 				"expected an object {\"NAME\": \"KEY\"} with "
 				"one operator at least");
 		return;
@@ -225,14 +225,14 @@
 		k = &s->operators.keys[s->operators.key_count];
 		path = xasprintf("operators.keys.%s", name);
 		if (!bstr_is_name(bstr_lit(name), SETTINGS_NAME_MAX))
-			setting_finding(e, place, path,
+			setting_finding(e, source, path,
 					"expected a name: [a-z0-9._-]+, at "
 					"most %d bytes",
 					SETTINGS_NAME_MAX);
 		else if (!json_is_string(value) ||
 			 !hex_decode(bstr_lit(json_string_value(value)), k->key,
 				     sizeof(k->key)))
-			setting_finding(e, place, path,
+			setting_finding(e, source, path,
 					"expected 64 hexadecimal digits");
 		else {
 			k->name = xstrdup(name);
@@ -288,7 +288,8 @@
 
 /* Reads a setting that is present in the file. */
 static void setting_read(const struct setting *t, const json_t *j,
-			 const char *place, struct settings *s, struct error *e)
+			 const char *source, struct settings *s,
+			 struct error *e)
 {
 	const char *text = json_string_value(j);
 	void *field = setting_field(t, s);
@@ -298,7 +299,7 @@
 		if (text && bstr_is_name(bstr_lit(text), SETTINGS_NAME_MAX))
 			*(bstr *)field = bstr_new(text);
 		else
-			setting_finding(e, place, t->path,
+			setting_finding(e, source, t->path,
 					"expected a name: [a-z0-9._-]+, at "
 					"most %d bytes",
 					SETTINGS_NAME_MAX);
@@ -307,14 +308,14 @@
 		if (text && *text && !strpbrk(text, "\r\n"))
 			*(char **)field = xstrdup(text);
 		else
-			setting_finding(e, place, t->path,
+			setting_finding(e, source, t->path,
 					"expected a line of text");
 		break;
 	case SETTING_URL:
 		if (text && url_is_http(text))
 			*(char **)field = xstrdup(text);
 		else
-			setting_finding(e, place, t->path,
+			setting_finding(e, source, t->path,
 					"expected a URL, http:// or https://, "
 					"without a final slash");
 		break;
@@ -322,26 +323,26 @@
 		if (text && *text && !access(text, R_OK))
 			*(char **)field = xstrdup(text);
 		else
-			setting_finding(e, place, t->path,
+			setting_finding(e, source, t->path,
 					"expected the name of a file that can "
 					"be read");
 		break;
 	case SETTING_ADDRESS:
 		if (!text || !address_parse(text, field))
-			setting_finding(e, place, t->path,
+			setting_finding(e, source, t->path,
 					"expected an address, \"IP:PORT\"");
 		break;
 	case SETTING_KEY:
 		if (!text || !hex_decode(bstr_lit(text), field, 32))
-			setting_finding(e, place, t->path,
+			setting_finding(e, source, t->path,
 					"expected 64 hexadecimal digits");
 		break;
 	case SETTING_KEYS:
-		keys_read(j, s, place, e);
+		keys_read(j, s, source, e);
 		break;
 	case SETTING_U32:
 		if (!number_read(t, j, s))
-			setting_finding(e, place, t->path,
+			setting_finding(e, source, t->path,
 					"expected a whole number from %" PRIu64
 					" to %" PRIu64 "%s%s",
 					t->min, t->max, *t->unit ? " " : "",
@@ -349,7 +350,7 @@
 		break;
 	case SETTING_LEVEL:
 		if (!level_read(text, field))
-			setting_finding(e, place, t->path,
+			setting_finding(e, source, t->path,
 					"expected err, warning, notice, info "
 					"or debug");
 		break;
@@ -396,7 +397,7 @@
 
 /* Reports members that are not settings, and sections that are not objects. */
 static void unknown_keys_report(const json_t *j, const char *prefix,
-				const char *place, struct error *e)
+				const char *source, struct error *e)
 {
 	const char *key;
 	json_t *value;
@@ -406,18 +407,18 @@
 		path = xasprintf("%s%s%s", prefix, *prefix ? "." : "", key);
 		if (!*prefix && path_is_section(path)) {
 			if (json_is_object(value))
-				unknown_keys_report(value, path, place, e);
+				unknown_keys_report(value, path, source, e);
 			else
-				setting_finding(e, place, path,
+				setting_finding(e, source, path,
 						"expected an object");
 		} else if (!setting_find(path))
-			setting_finding(e, place, path, "unknown key");
+			setting_finding(e, source, path, "unknown key");
 		free(path);
 	}
 }
 
 /* Checks the constraints between settings. */
-static void constraints_check(const struct settings *s, const char *place,
+static void constraints_check(const struct settings *s, const char *source,
 			      struct error *e)
 {
 	const struct constraint *c;
@@ -430,7 +431,7 @@
 		extra = c->extra ? setting_u32(s, c->extra) : 0;
 		if (smaller + extra < setting_u32(s, c->larger))
 			continue;
-		setting_finding(e, place, c->larger,
+		setting_finding(e, source, c->larger,
 				"expected more than %s%s%s%s (%" PRIu64
 				" ms): %s",
 				c->factor == 2 ? "twice " : "", c->smaller,
@@ -438,12 +439,12 @@
 				smaller + extra, c->consequence);
 	}
 	if (s->limits.queue_per_team > s->limits.queue_per_cell)
-		setting_finding(e, place, "limits.queue_per_team",
+		setting_finding(e, source, "limits.queue_per_team",
 				"expected at most limits.queue_per_cell "
 				"(%" PRIu32 ")",
 				s->limits.queue_per_cell);
 	if (!s->callers.tls_cert != !s->callers.tls_key)
-		setting_finding(e, place, "callers.tls_cert",
+		setting_finding(e, source, "callers.tls_cert",
 				"expected callers.tls_cert and "
 				"callers.tls_key together or neither");
 	/*
@@ -453,7 +454,7 @@
 	if (s->peers.listen.host &&
 	    (strcmp(s->peers.listen.host, "0.0.0.0") == 0 ||
 	     strcmp(s->peers.listen.host, "::") == 0))
-		setting_finding(e, place, "peers.listen",
+		setting_finding(e, source, "peers.listen",
 				"expected the address that peers connect to, "
 				"not the wildcard");
 }
@@ -462,7 +463,7 @@
  * Reads all settings of the table.  Those of a recording lack the addresses and
  * secrets, so from_recording allows missing settings and skips the constraints.
  */
-static bool settings_read(const json_t *root, const char *place,
+static bool settings_read(const json_t *root, const char *source,
 			  bool from_recording, struct settings *s,
 			  struct error *e)
 {
@@ -473,21 +474,21 @@
 
 	memset(s, 0, sizeof(*s));
 	if (!json_is_object(root)) {
-		error_add(e, place, "$: expected an object");
+		error_add(e, source, "$: expected an object");
 		return false;
 	}
-	unknown_keys_report(root, "", place, e);
+	unknown_keys_report(root, "", source, e);
 	for (i = 0; i < settings_count; i++) {
 		t = &settings_table[i];
 		setting_set_default(t, s);
 		j = json_at(root, t->path);
 		if (j)
-			setting_read(t, j, place, s, e);
+			setting_read(t, j, source, s, e);
 		else if (t->required && !from_recording)
-			setting_finding(e, place, t->path, "missing");
+			setting_finding(e, source, t->path, "missing");
 	}
 	if (!from_recording)
-		constraints_check(s, place, e);
+		constraints_check(s, source, e);
 	if (e->count == before)
 		return true;
 	settings_free(s);
@@ -498,23 +499,23 @@
  * Parses and validates the text of a settings file.  Adds every finding to e,
  * with its file and JSON path.  On failure s is empty.
  */
-bool settings_parse(const char *place, const char *text, size_t len,
+bool settings_parse(const char *source, const char *text, size_t len,
 		    struct settings *s, struct error *e)
 {
 	json_error_t je;
 	json_t *root;
-	char *where;
+	char *location;
 	bool ok;
 
 	memset(s, 0, sizeof(*s));
 	root = json_loadb(text, len, JSON_REJECT_DUPLICATES, &je);
 	if (!root) {
-		where = xasprintf("%s:%d:%d", place, je.line, je.column);
-		error_add(e, where, "no JSON: %s", je.text);
-		free(where);
+		location = xasprintf("%s:%d:%d", source, je.line, je.column);
+		error_add(e, location, "no JSON: %s", je.text);
+		free(location);
 		return false;
 	}
-	ok = settings_read(root, place, false, s, e);
+	ok = settings_read(root, source, false, s, e);
 	json_decref(root);
 	return ok;
 }
