--- a/counter.c
+++ b/counter.c
@@ -72,8 +72,8 @@
 }
 
 /*
- * Returns all counters as a JSON object from "family" or "family.value" to
- * number.
+ * Returns all counters and gauges as a JSON object, with "family" or
+ * "family.value" as names of its members.
  */
 json_t *counter_json(void)
 {
