--- a/cmd-trace.c
+++ b/cmd-trace.c
@@ -146,7 +146,7 @@
 static int trace_exec(const struct cmd_client *c, const struct command *cmd,
 		      union cmd_values *v)
 {
-	char *id = bstr_cstr(v->job.job), *path = bstr_cstr(v->job.label);
+	char *id = bstr_cstr(v->trace.id), *path = bstr_cstr(v->trace.file);
 	FILE *f = strcmp(path, "-") == 0 ? stdin : fopen(path, "re");
 	struct trace t = {0};
 	struct error e;
@@ -175,11 +175,11 @@
 	return findings_exit(c, &e, matches ? CMD_OK : CMD_NOT_FOUND);
 }
 
-#define TRACE(field) offsetof(struct cmd_job, field)
+#define TRACE(field) offsetof(struct cmd_trace, field)
 
 static const struct cmd_field trace_fields[] = {
-	{"ID", FIELD_TEXT, true, TRACE(job), NULL},
-	{"FILE", FIELD_TEXT, true, TRACE(label), NULL},
+	{"ID", FIELD_TEXT, true, TRACE(id), NULL},
+	{"FILE", FIELD_TEXT, true, TRACE(file), NULL},
 	{0}};
 
 const struct command trace_commands[] = {
--- a/cmd.h
+++ b/cmd.h
@@ -92,6 +92,10 @@
 		bstr label;
 		uint32_t wait_ms;
 	} job;
+	struct cmd_trace {
+		bstr id;
+		bstr file;
+	} trace;
 };
 
 /*
