--- a/bamboofront.c
+++ b/bamboofront.c
@@ -1,4 +1,4 @@
-/* The command-line client of operators and submitters. */
+/* The command-line client of operators and callers. */
 #include "cmd.h"
 
 #include <curl/curl.h>
--- a/bamboofront.h
+++ b/bamboofront.h
@@ -61,10 +61,6 @@
 int bstr_cmp(bstr a, bstr b);
 bool bstr_eq(bstr a, bstr b);
 bool bstr_eq_str(bstr a, const char *s);
-/*
- * Returns true if b is a name of at most max bytes: [a-z0-9._-]+, starting
- * with a letter or digit.
- */
 bool bstr_is_name(bstr b, size_t max);
 /* Returns a NUL-terminated copy, to be released with free. */
 char *bstr_cstr(bstr b);
@@ -115,7 +111,7 @@
  * or, after log_open_structured, to a descriptor as key=value lines.
  */
 enum log_number {
-#define LOG_EVENT(name, number, level, what) LOG_##name = (number),
+#define LOG_EVENT(name, number, level, description) LOG_##name = (number),
 #include "log.def"
 #undef LOG_EVENT
 };
@@ -200,10 +196,7 @@
 void *mailbox_take(struct mailbox *m);	      /* NULL if empty */
 /* Returns the eventfd, which becomes readable when entries were added. */
 int mailbox_fd(struct mailbox *m);
-/*
- * Resets the eventfd.  The consumer calls this before it empties the queue;
- * in the other order it would not be woken for an entry added in between.
- */
+/* Resets the eventfd; the consumer calls this before it empties the queue. */
 void mailbox_clear_wakeup(struct mailbox *m);
 /* Makes the eventfd readable without adding an entry. */
 void mailbox_wake(struct mailbox *m);
@@ -212,7 +205,7 @@
 void mailbox_free(struct mailbox *m);
 
 /*
- * codec.c: events and effects on the heap.  An event that is put into the
+ * codec.c: allocation of events and effects.  An event that is put into the
  * daemon's inbox belongs to the daemon, which sets its time (now) when it
  * takes the event out.
  */
@@ -220,7 +213,6 @@
 void event_free(event *ev);
 effect *effect_new(effect_kind kind);
 void effect_free(effect *fx);
-/* Returns the request id of an effect that is sent to the platform. */
 uint64_t effect_request_id(const effect *fx);
 
 /*
@@ -375,11 +367,7 @@
  * valid for one procedure only.
  */
 #define SEAL_KEY_BYTES 32
-/*
- * Nonces that have been accepted, at most max of them.  A nonce is dropped
- * only after its envelope's deadline, from when on the deadline rejects the
- * envelope.
- */
+/* The nonces of accepted envelopes, at most max of them. */
 struct replay_guard;
 struct replay_guard *replay_guard_new(size_t max);
 void replay_guard_free(struct replay_guard *g);
@@ -402,7 +390,6 @@
  */
 void secret_new(bstr key_id, bstr *secret, bstr *salt, bstr *hash);
 bool secret_split(bstr secret, bstr *key_id, bstr *digest);
-/* Takes constant time, so that timing reveals nothing about the hash. */
 bool secret_matches(bstr digest, bstr salt, bstr hash);
 
 #ifdef __cplusplus
--- a/cmd-operator.c
+++ b/cmd-operator.c
@@ -29,8 +29,9 @@
 }
 
 /*
- * Reads a file, or standard input for "-".  Returns false and adds a finding if
- * that fails or the file is too large.
+ * Reads a file, or standard input for "-".  Adds a finding on failure and
+ * leaves text empty.  Returns false if the file cannot be opened or is too
+ * large, but true after a read error.
  */
 bool file_read(const char *path, bstr *text, struct error *e)
 {
--- a/cmd-submit.c
+++ b/cmd-submit.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Commands of submitters, which use the callers' API over HTTP. */
+/* Commands that use the callers' API over HTTP. */
 
 #define ANSWER_MAX_BYTES (64u << 20)
 #define SUBMIT_DEFAULT_WITHIN_MS 60000 /* default of the service */
--- a/config-edit.c
+++ b/config-edit.c
@@ -214,7 +214,7 @@
 	{OP_CONFIG_APPLY, edit_apply},
 };
 
-/* Returns true if a request changes the configuration. */
+/* Returns true if requests of this kind change the configuration. */
 bool config_is_edit(op_kind kind)
 {
 	size_t i;
--- a/config.h
+++ b/config.h
@@ -38,7 +38,7 @@
 	bstr name;
 	bstr *dcs;
 	size_t dc_count;
-	uint32_t budget; /* VMs that may be out at once */
+	uint32_t budget; /* VMs that may be out of service at once */
 	bool spare;	 /* this is the spare pool */
 	UT_hash_handle hh;
 };
@@ -58,9 +58,7 @@
 struct config *config_new(json_t *doc, uint64_t revision, struct error *e);
 struct config *config_parse(bstr text, uint64_t revision, struct error *e);
 void config_free(struct config *c);
-/* Returns the document as compact JSON with sorted keys. */
 bstr config_canonical_text(const json_t *doc);
-/* These return NULL if there is no such entry. */
 struct pool *config_find_pool(const struct config *c, bstr name);
 struct team *config_find_team(const struct config *c, bstr name);
 struct team_key *config_find_key(const struct config *c, bstr id);
@@ -74,7 +72,6 @@
  */
 op_status config_edit(json_t *doc, const op_request *rq, const char **reason,
 		      bstr *detail);
-/* Returns true if requests of this kind change the configuration. */
 bool config_is_edit(op_kind kind);
 
 #endif
--- a/heap.c
+++ b/heap.c
@@ -43,13 +43,10 @@
 	node_put(h, pos, n);
 }
 
-/*
- * Inserts a node that is due at a time, or changes its time if it is in the
- * heap.
- */
-void heap_set(struct heap *h, struct heap_node *n, int64_t at)
+/* Inserts a node, or changes its time if it is in the heap. */
+void heap_set(struct heap *h, struct heap_node *n, int64_t due)
 {
-	n->due = at;
+	n->due = due;
 	if (!n->index) {
 		if (h->count == h->capacity) {
 			h->capacity = h->capacity ? 2 * h->capacity : 64;
@@ -85,7 +82,7 @@
 	return h->count ? h->nodes[0] : NULL;
 }
 
-/* Frees the heap but not its nodes. */
+/* Frees the heap but not its nodes, which belong to the caller. */
 void heap_free(struct heap *h)
 {
 	free(h->nodes);
--- a/heap.h
+++ b/heap.h
@@ -23,13 +23,9 @@
 #define HEAP_ENTRY(node, type, field) \
 	((type *)(void *)((char *)(node)-offsetof(type, field)))
 
-/* Inserts a node that is due at a time, or changes its time if it is in. */
-void heap_set(struct heap *h, struct heap_node *n, int64_t at);
-/* Removes a node; does nothing if it is not in the heap. */
+void heap_set(struct heap *h, struct heap_node *n, int64_t due);
 void heap_remove(struct heap *h, struct heap_node *n);
-/* Returns the node that is due first, or NULL if the heap is empty. */
 struct heap_node *heap_first(const struct heap *h);
-/* Frees the heap but not the nodes, which belong to the caller. */
 void heap_free(struct heap *h);
 
 #endif
--- a/log.c
+++ b/log.c
@@ -8,7 +8,8 @@
 #include <unistd.h>
 
 const struct log_entry log_entries[] = {
-#define LOG_EVENT(name, number, level, what) {number, level, #name, what},
+#define LOG_EVENT(name, number, level, description) \
+	{number, level, #name, description},
 #include "log.def"
 #undef LOG_EVENT
 };
@@ -217,8 +218,7 @@
 
 /*
  * Writes a line with one write(2), so that lines of threads and processes that
- * share stderr are not interleaved.  Control characters become '?', so that a
- * caller cannot forge a line.
+ * share stderr are not interleaved.
  */
 static void log_write(const struct log_entry *entry, const char *fmt,
 		      va_list ap)
--- a/mailbox.c
+++ b/mailbox.c
@@ -98,7 +98,8 @@
 /*
  * Resets the eventfd and makes the next put write to it.  The consumer calls
  * this before it drains the ring: a pointer added in between is either drained
- * or makes the eventfd readable, so no wake-up is lost.
+ * or makes the eventfd readable, so no wake-up is lost.  In the other order the
+ * consumer would not be woken for it.
  */
 void mailbox_clear_wakeup(struct mailbox *m)
 {
--- a/operator-client.h
+++ b/operator-client.h
@@ -1,6 +1,6 @@
 /*
- * operator-client.c: an operator's calls to an entry VM, and the encryption of
- * the secret of a new key in the reply.
+ * An operator's calls to an entry VM (operator-client.c), and the sealing of
+ * calls, replies and the secret of a new key in a reply (sealed.c).
  */
 #ifndef OPERATOR_CLIENT_H
 #define OPERATOR_CLIENT_H
--- a/record.h
+++ b/record.h
@@ -44,7 +44,6 @@
 enum record_result recording_next(struct recording *r, step *st);
 void recording_close(struct recording *r);
 
-/* Returns the index of the first effect that differs, or -1 if none does. */
 ssize_t effects_mismatch(const effect *a, size_t a_count, const effect *b,
 			 size_t b_count);
 
--- a/settings.h
+++ b/settings.h
@@ -43,7 +43,6 @@
 json_t *settings_to_json(const struct settings *s);
 bool settings_from_json(const json_t *j, struct settings *s, struct error *e);
 
-/* Returns the name of a log level, or NULL if there is no such level. */
 const char *settings_level_name(uint64_t level);
 
 #ifdef __cplusplus
