--- a/bamboofront.h
+++ b/bamboofront.h
@@ -122,14 +122,14 @@
 	LEVEL_INFO,
 	LEVEL_DEBUG
 };
-struct log_entry {
+struct log_event_def {
 	uint32_t number;
 	enum log_level level;
 	const char *name;
 	const char *description;
 };
-extern const struct log_entry log_entries[];
-extern const size_t log_entry_count;
+extern const struct log_event_def log_event_defs[];
+extern const size_t log_event_def_count;
 void log_open(const char *program, enum log_level max_level);
 void log_event(uint32_t number, const char *fmt, ...) PRINTF_LIKE(2, 3);
 void log_debug(const char *fmt, ...) PRINTF_LIKE(1, 2);
--- a/cmd-submit.c
+++ b/cmd-submit.c
@@ -71,7 +71,7 @@
 	bstr key;     /* idempotency key; may be empty */
 	uint32_t wait_ms;
 	bstr answer;
-	long http;
+	long http_status;
 };
 
 /* Callback of curl: appends to the answer; fails beyond ANSWER_MAX_BYTES. */
@@ -100,7 +100,8 @@
 }
 
 /*
- * Sends a request and receives the response. x->http stays 0 if there was none.
+ * Sends a request and receives the response. x->http_status stays 0 if there
+ * was none.
  */
 static CURLcode exchange_run(const struct cmd_client *c, bstr secret,
 			     struct exchange *x)
@@ -139,7 +140,8 @@
 		curl_easy_setopt(curl, CURLOPT_CAINFO, c->ca_file);
 	rc = curl_easy_perform(curl);
 	if (rc == CURLE_OK)
-		curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &x->http);
+		curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE,
+				  &x->http_status);
 	curl_easy_cleanup(curl);
 	curl_slist_free_all(headers);
 	free(body);
@@ -152,11 +154,11 @@
  * because a job that did not run, or whose outcome is unknown, must not look
  * like a success.  After a cancel, however, "not-run" is the success.
  */
-static int answer_code(const struct command *cmd, long http,
+static int answer_code(const struct command *cmd, long http_status,
 		       const json_t *answer)
 {
 	static const struct {
-		long http;
+		long http_status;
 		int code;
 	} codes[] = {
 		{401, CMD_DENIED},	{403, CMD_DENIED},
@@ -170,15 +172,16 @@
 	if (state && strcmp(state, "unknown") == 0)
 		return CMD_UNKNOWN;
 	for (i = 0; i < NELEMS(codes); i++)
-		if (codes[i].http == http)
+		if (codes[i].http_status == http_status)
 			return codes[i].code;
 	if (state && cmd->exec != cancel_exec && strcmp(state, "not-run") == 0)
 		return CMD_REFUSED;
 	if (state && cmd->exec != cancel_exec && strcmp(state, "failed") == 0)
 		return CMD_JOB_FAILED;
-	if (http >= 200 && http < 300)
+	if (http_status >= 200 && http_status < 300)
 		return CMD_OK;
-	return http >= 400 && http < 500 ? CMD_INVALID : CMD_UNKNOWN;
+	return http_status >= 400 && http_status < 500 ? CMD_INVALID
+						       : CMD_UNKNOWN;
 }
 
 /* Prints an answer, as JSON or as a table. */
@@ -237,7 +240,7 @@
 		return exchange_failed(c, cmd, x, "the answer is no JSON",
 				       true);
 	answer_print(c, answer);
-	code = answer_code(cmd, x->http, answer);
+	code = answer_code(cmd, x->http_status, answer);
 	json_decref(answer);
 	return code;
 }
--- a/config-edit.c
+++ b/config-edit.c
@@ -51,33 +51,35 @@
 }
 
 /* Fails an edit because what it names does not exist. */
-static op_status edit_not_found(struct edit_ctx *a, const char *what, bstr name)
+static op_status edit_not_found(struct edit_ctx *ctx, const char *what,
+				bstr name)
 {
-	a->reason = "not-found";
-	a->detail = bstr_printf("there is no %s '%.*s'", what, BSTR_ARG(name));
+	ctx->reason = "not-found";
+	ctx->detail = bstr_printf("there is no %s '%.*s'", what,
+				  BSTR_ARG(name));
 	return OP_NOT_FOUND;
 }
 
 /* Fails an edit because what it creates exists already. */
-static op_status edit_exists(struct edit_ctx *a, const char *what, bstr name)
+static op_status edit_exists(struct edit_ctx *ctx, const char *what, bstr name)
 {
-	a->reason = "exists";
-	a->detail = bstr_printf("there is a %s '%.*s' already", what,
-				BSTR_ARG(name));
+	ctx->reason = "exists";
+	ctx->detail = bstr_printf("there is a %s '%.*s' already", what,
+				  BSTR_ARG(name));
 	return OP_CONFLICT;
 }
 
 /* Creates or removes a pool, or sets its budget. */
-static op_status edit_pool(struct edit_ctx *a)
+static op_status edit_pool(struct edit_ctx *ctx)
 {
-	const op_pool *p = &a->rq->op_request_u.pool;
-	json_t *pools = edit_get_object(a->doc, "pools"), *o, *dcs;
+	const op_pool *p = &ctx->rq->op_request_u.pool;
+	json_t *pools = edit_get_object(ctx->doc, "pools"), *o, *dcs;
 	u_int i;
 
 	o = edit_get(pools, p->pool);
-	if (a->rq->kind == OP_POOL_CREATE) {
+	if (ctx->rq->kind == OP_POOL_CREATE) {
 		if (o)
-			return edit_exists(a, "pool", p->pool);
+			return edit_exists(ctx, "pool", p->pool);
 		o = json_object();
 		dcs = json_array();
 		for (i = 0; i < p->dcs.dcs_len; i++)
@@ -90,8 +92,8 @@
 		return OP_OK;
 	}
 	if (!o)
-		return edit_not_found(a, "pool", p->pool);
-	if (a->rq->kind == OP_POOL_REMOVE)
+		return edit_not_found(ctx, "pool", p->pool);
+	if (ctx->rq->kind == OP_POOL_REMOVE)
 		edit_remove(pools, p->pool);
 	else
 		json_object_set_new(o, "budget", json_integer(p->budget));
@@ -99,15 +101,15 @@
 }
 
 /* Creates or removes a team, or sets its share, limit or grace period. */
-static op_status edit_team(struct edit_ctx *a)
+static op_status edit_team(struct edit_ctx *ctx)
 {
-	const op_team *t = &a->rq->op_request_u.team;
-	json_t *teams = edit_get_object(a->doc, "teams"), *o;
+	const op_team *t = &ctx->rq->op_request_u.team;
+	json_t *teams = edit_get_object(ctx->doc, "teams"), *o;
 
 	o = edit_get(teams, t->team);
-	if (a->rq->kind == OP_TEAM_CREATE) {
+	if (ctx->rq->kind == OP_TEAM_CREATE) {
 		if (o)
-			return edit_exists(a, "team", t->team);
+			return edit_exists(ctx, "team", t->team);
 		o = json_object();
 		json_object_set_new(o, "share", json_integer(t->share));
 		json_object_set_new(o, "limit", json_integer(t->limit));
@@ -117,12 +119,12 @@
 		return OP_OK;
 	}
 	if (!o)
-		return edit_not_found(a, "team", t->team);
-	if (a->rq->kind == OP_TEAM_REMOVE)
+		return edit_not_found(ctx, "team", t->team);
+	if (ctx->rq->kind == OP_TEAM_REMOVE)
 		edit_remove(teams, t->team);
-	else if (a->rq->kind == OP_TEAM_SHARE)
+	else if (ctx->rq->kind == OP_TEAM_SHARE)
 		json_object_set_new(o, "share", json_integer(t->share));
-	else if (a->rq->kind == OP_TEAM_LIMIT)
+	else if (ctx->rq->kind == OP_TEAM_LIMIT)
 		json_object_set_new(o, "limit", json_integer(t->limit));
 	else
 		json_object_set_new(o, "grace_ms", json_integer(t->grace_ms));
@@ -147,19 +149,19 @@
  * its id is never reused for another secret.  Withdrawing it again succeeds,
  * because an operator repeats the request if the first answer was lost.
  */
-static op_status edit_key(struct edit_ctx *a)
+static op_status edit_key(struct edit_ctx *ctx)
 {
-	const op_key *k = &a->rq->op_request_u.key;
-	json_t *teams = edit_get_object(a->doc, "teams"), *team, *keys, *o;
+	const op_key *k = &ctx->rq->op_request_u.key;
+	json_t *teams = edit_get_object(ctx->doc, "teams"), *team, *keys, *o;
 	bstr salt, hash;
 
 	team = edit_get(teams, k->team);
 	if (!team)
-		return edit_not_found(a, "team", k->team);
+		return edit_not_found(ctx, "team", k->team);
 	keys = edit_get_object(team, "keys");
-	if (a->rq->kind == OP_KEY_CREATE) {
+	if (ctx->rq->kind == OP_KEY_CREATE) {
 		if (edit_key_exists(teams, k->key_id))
-			return edit_exists(a, "key", k->key_id);
+			return edit_exists(ctx, "key", k->key_id);
 		o = json_object();
 		salt = base64_encode(k->salt);
 		hash = base64_encode(k->hash);
@@ -173,15 +175,15 @@
 	}
 	o = edit_get(keys, k->key_id);
 	if (!o)
-		return edit_not_found(a, "key", k->key_id);
+		return edit_not_found(ctx, "key", k->key_id);
 	json_object_set_new(o, "withdrawn", json_true());
 	return OP_OK;
 }
 
 /* Replaces the whole document, if the new one is valid. */
-static op_status edit_apply(struct edit_ctx *a)
+static op_status edit_apply(struct edit_ctx *ctx)
 {
-	const op_config *oc = &a->rq->op_request_u.config;
+	const op_config *oc = &ctx->rq->op_request_u.config;
 	struct config *c;
 	struct error e;
 	char *text;
@@ -190,21 +192,21 @@
 	c = config_parse(oc->body, 0, &e);
 	if (!c) {
 		text = error_text(&e);
-		a->reason = "config-invalid";
-		a->detail = bstr_new(text);
+		ctx->reason = "config-invalid";
+		ctx->detail = bstr_new(text);
 		free(text);
 		error_free(&e);
 		return OP_INVALID;
 	}
-	json_object_clear(a->doc);
-	json_object_update(a->doc, c->doc);
+	json_object_clear(ctx->doc);
+	json_object_update(ctx->doc, c->doc);
 	config_free(c);
 	return OP_OK;
 }
 
 static const struct {
 	op_kind kind;
-	op_status (*exec)(struct edit_ctx *a);
+	op_status (*exec)(struct edit_ctx *ctx);
 } edits[] = {
 	{OP_POOL_CREATE, edit_pool},   {OP_POOL_REMOVE, edit_pool},
 	{OP_POOL_BUDGET, edit_pool},   {OP_TEAM_CREATE, edit_team},
@@ -232,7 +234,7 @@
 op_status config_edit(json_t *doc, const op_request *rq, const char **reason,
 		      bstr *detail)
 {
-	struct edit_ctx a = {doc, rq, "", BSTR_NONE};
+	struct edit_ctx ctx = {doc, rq, "", BSTR_NONE};
 	op_status status = OP_INVALID;
 	struct config *c;
 	struct error e;
@@ -241,21 +243,21 @@
 
 	for (i = 0; i < NELEMS(edits); i++)
 		if (edits[i].kind == rq->kind)
-			status = edits[i].exec(&a);
+			status = edits[i].exec(&ctx);
 	if (status == OP_OK) {
 		error_init(&e);
 		c = config_new(doc, 0, &e);
 		if (!c) {
 			text = error_text(&e);
 			status = OP_INVALID;
-			a.reason = "config-invalid";
-			a.detail = bstr_new(text);
+			ctx.reason = "config-invalid";
+			ctx.detail = bstr_new(text);
 			free(text);
 		}
 		config_free(c);
 		error_free(&e);
 	}
-	*reason = a.reason;
-	*detail = a.detail;
+	*reason = ctx.reason;
+	*detail = ctx.detail;
 	return status;
 }
--- a/log.c
+++ b/log.c
@@ -7,13 +7,13 @@
 #include <time.h>
 #include <unistd.h>
 
-const struct log_entry log_entries[] = {
+const struct log_event_def log_event_defs[] = {
 #define LOG_EVENT(name, number, level, description) \
 	{number, level, #name, description},
 #include "log.def"
 #undef LOG_EVENT
 };
-const size_t log_entry_count = NELEMS(log_entries);
+const size_t log_event_def_count = NELEMS(log_event_defs);
 
 /*
  * Size of the buffer that holds lines for a slow reader.  When it is full,
@@ -43,14 +43,15 @@
 	uint64_t dropped;
 } log_stream = {.lock = PTHREAD_MUTEX_INITIALIZER, .fd = -1};
 
-/* Returns the entry of an event number, or NULL if there is none. */
-static const struct log_entry *log_find(uint32_t number)
+/* Returns the definition of an event by its number, or NULL if there is none.
+ */
+static const struct log_event_def *log_find(uint32_t number)
 {
 	size_t i;
 
-	for (i = 0; i < log_entry_count; i++)
-		if (log_entries[i].number == number)
-			return &log_entries[i];
+	for (i = 0; i < log_event_def_count; i++)
+		if (log_event_defs[i].number == number)
+			return &log_event_defs[i];
 	return NULL;
 }
 
@@ -142,7 +143,7 @@
 }
 
 /* Formats a structured line and appends it to the buffer. */
-static void stream_write(const struct log_entry *entry, const char *fmt,
+static void stream_write(const struct log_event_def *def, const char *fmt,
 			 va_list ap)
 {
 	char line[LOG_LINE_MAX];
@@ -152,11 +153,11 @@
 
 	n = snprintf(line, sizeof(line),
 		     "ev=%u name=%s level=%s wall_ms=%lld mono_ms=%lld vm=%s ",
-		     entry->number, entry->name, level_word(entry->level),
+		     def->number, def->name, level_word(def->level),
 		     (long long)wall, (long long)clock_now(), log_stream.vm);
 	len = line_finish(line, n, fmt, ap);
 	pthread_mutex_lock(&log_stream.lock);
-	stream_append(line, len, entry->level);
+	stream_append(line, len, def->level);
 	pthread_mutex_unlock(&log_stream.lock);
 }
 
@@ -220,7 +221,7 @@
  * Writes a line with one write(2), so that lines of threads and processes that
  * share stderr are not interleaved.
  */
-static void log_write(const struct log_entry *entry, const char *fmt,
+static void log_write(const struct log_event_def *def, const char *fmt,
 		      va_list ap)
 {
 	char line[LOG_LINE_MAX], stamp[32];
@@ -230,16 +231,16 @@
 	int n;
 
 	if (log_stream.enabled) {
-		stream_write(entry, fmt, ap);
+		stream_write(def, fmt, ap);
 		return;
 	}
 	clock_gettime(CLOCK_REALTIME, &ts);
 	gmtime_r(&ts.tv_sec, &tm);
 	strftime(stamp, sizeof(stamp), "%Y-%m-%dT%H:%M:%S", &tm);
 	n = snprintf(line, sizeof(line),
-		     "<%d>%s.%03ldZ %s[%d]: %u %s: ", 24 + (int)entry->level,
+		     "<%d>%s.%03ldZ %s[%d]: %u %s: ", 24 + (int)def->level,
 		     stamp, ts.tv_nsec / 1000000, log_program, (int)getpid(),
-		     entry->number, entry->name);
+		     def->number, def->name);
 	len = line_finish(line, n, fmt, ap);
 	if (write(STDERR_FILENO, line, len) < 0)
 		return; /* nobody reads stderr; the error cannot be reported */
@@ -248,13 +249,13 @@
 /* Logs an event by its number; an unknown number is ignored. */
 void log_event(uint32_t number, const char *fmt, ...)
 {
-	const struct log_entry *entry = log_find(number);
+	const struct log_event_def *def = log_find(number);
 	va_list ap;
 
-	if (!entry || entry->level > log_max_level)
+	if (!def || def->level > log_max_level)
 		return;
 	va_start(ap, fmt);
-	log_write(entry, fmt, ap);
+	log_write(def, fmt, ap);
 	va_end(ap);
 }
 
@@ -266,6 +267,6 @@
 	if (log_max_level < LEVEL_DEBUG)
 		return;
 	va_start(ap, fmt);
-	log_write(&log_entries[0], fmt, ap);
+	log_write(&log_event_defs[0], fmt, ap);
 	va_end(ap);
 }
--- a/tests/test-catalogue.c
+++ b/tests/test-catalogue.c
@@ -70,11 +70,12 @@
 	struct page d = page_open("docs/EVENTS.md");
 	size_t i;
 
-	for (i = 0; i < log_entry_count; i++)
+	for (i = 0; i < log_event_def_count; i++)
 		page_expect_row(&d, "| %" PRIu32 " | `%s` | %s | %s |",
-				log_entries[i].number, log_entries[i].name,
-				settings_level_name(log_entries[i].level),
-				log_entries[i].description);
+				log_event_defs[i].number,
+				log_event_defs[i].name,
+				settings_level_name(log_event_defs[i].level),
+				log_event_defs[i].description);
 	page_close(&d);
 }
 
