--- a/bamboofront-replay.c
+++ b/bamboofront-replay.c
@@ -9,7 +9,7 @@
 #include <sodium.h>
 #include <stdlib.h>
 
-/* Prints the i-th effect of a list, or that the list has none. */
+/* Prints the effect at index i, or that the list has no such effect. */
 static void effect_print(const char *what, const effect *list, size_t count,
 			 size_t i)
 {
--- a/bamboofront.h
+++ b/bamboofront.h
@@ -275,8 +275,9 @@
 		 * withdrawn keys is valid.
 		 */
 		uint32_t fresh_ms;
-		uint32_t commit_window_ms; /* records are batched this long */
-		uint32_t task_lease_ms;	   /* lease of a running task */
+		/* Minimum interval between commits of a journal shard. */
+		uint32_t commit_window_ms;
+		uint32_t task_lease_ms; /* lease of a running task */
 		uint32_t config_poll_ms;
 		uint32_t list_poll_ms; /* of the platform's list of VMs */
 		uint32_t stop_ms;      /* time limit of a planned stop */
--- a/cmd.h
+++ b/cmd.h
@@ -120,9 +120,7 @@
 /*
  * cmd-parse.c
  *
- * command_find looks up a command by its first one or two words and stores how
- * many in used. command_parse adds every error to e; call command_free also if
- * it fails.
+ * command_parse adds every error to e; call command_free also if it fails.
  */
 const struct command *command_find(const char *const *words, size_t *used);
 bool command_parse(const struct command *cmd, const struct poptOption *common,
@@ -135,7 +133,7 @@
 /*
  * cmd-operator.c
  *
- * findings_exit prints the errors in e and returns code.
+ * findings_exit prints and frees the errors in e and returns code.
  */
 int operator_exec(const struct cmd_client *c, const struct command *cmd,
 		  union cmd_values *v);
--- a/log.c
+++ b/log.c
@@ -43,8 +43,7 @@
 	uint64_t dropped;
 } log_stream = {.lock = PTHREAD_MUTEX_INITIALIZER, .fd = -1};
 
-/* Returns the definition of an event by its number, or NULL if there is none.
- */
+/* Returns the event with a number, or NULL if there is none. */
 static const struct log_event_def *log_find(uint32_t number)
 {
 	size_t i;
