--- a/bamboofront.h
+++ b/bamboofront.h
@@ -275,7 +275,10 @@
 		 * withdrawn keys is valid.
 		 */
 		uint32_t fresh_ms;
-		/* Minimum interval between commits of a journal shard. */
+		/*
+		 * A journal shard batches its records this long between
+		 * commits, except for a planned stop.
+		 */
 		uint32_t commit_window_ms;
 		uint32_t task_lease_ms; /* lease of a running task */
 		uint32_t config_poll_ms;
