--- a/bamboofront.h
+++ b/bamboofront.h
@@ -61,10 +61,6 @@
 int bstr_cmp(bstr a, bstr b);
 bool bstr_eq(bstr a, bstr b);
 bool bstr_eq_str(bstr a, const char *s);
-/*
- * Returns true if b is a name of at most max bytes: [a-z0-9._-]+, starting
- * with a letter or digit.
- */
 bool bstr_is_name(bstr b, size_t max);
 /* Returns a NUL-terminated copy, to be released with free. */
 char *bstr_cstr(bstr b);
@@ -103,7 +99,7 @@
 	unsigned count;
 };
 void error_init(struct error *e);
-void error_add(struct error *e, const char *place, const char *fmt, ...)
+void error_add(struct error *e, const char *location, const char *fmt, ...)
 	PRINTF_LIKE(3, 4);
 void error_print(const struct error *e, FILE *f);
 /* Returns all findings on one line, to be released with free. */
@@ -115,7 +111,7 @@
  * or, after log_open_structured, to a descriptor as key=value lines.
  */
 enum log_number {
-#define LOG_EVENT(name, number, level, what) LOG_##name = (number),
+#define LOG_EVENT(name, number, level, description) LOG_##name = (number),
 #include "log.def"
 #undef LOG_EVENT
 };
@@ -126,16 +122,15 @@
 	LEVEL_INFO,
 	LEVEL_DEBUG
 };
-struct log_entry {
+struct log_event_def {
 	uint32_t number;
 	enum log_level level;
 	const char *name;
 	const char *description;
 };
-extern const struct log_entry log_entries[];
-extern const size_t log_entry_count;
-/* Sets the program's name and the least severe level that is written. */
-void log_open(const char *program, enum log_level most);
+extern const struct log_event_def log_event_defs[];
+extern const size_t log_event_def_count;
+void log_open(const char *program, enum log_level max_level);
 void log_event(uint32_t number, const char *fmt, ...) PRINTF_LIKE(2, 3);
 void log_debug(const char *fmt, ...) PRINTF_LIKE(1, 2);
 /*
@@ -201,10 +196,7 @@
 void *mailbox_take(struct mailbox *m);	      /* NULL if empty */
 /* Returns the eventfd, which becomes readable when entries were added. */
 int mailbox_fd(struct mailbox *m);
-/*
- * Resets the eventfd.  The consumer calls this before it empties the queue;
- * in the other order it would not be woken for an entry added in between.
- */
+/* Resets the eventfd; the consumer calls this before it empties the queue. */
 void mailbox_clear_wakeup(struct mailbox *m);
 /* Makes the eventfd readable without adding an entry. */
 void mailbox_wake(struct mailbox *m);
@@ -213,7 +205,7 @@
 void mailbox_free(struct mailbox *m);
 
 /*
- * codec.c: events and effects on the heap.  An event that is put into the
+ * codec.c: allocation of events and effects.  An event that is put into the
  * daemon's inbox belongs to the daemon, which sets its time (now) when it
  * takes the event out.
  */
@@ -221,7 +213,6 @@
 void event_free(event *ev);
 effect *effect_new(effect_kind kind);
 void effect_free(effect *fx);
-/* Returns the request id of an effect that is sent to the platform. */
 uint64_t effect_request_id(const effect *fx);
 
 /*
@@ -284,8 +275,12 @@
 		 * withdrawn keys is valid.
 		 */
 		uint32_t fresh_ms;
-		uint32_t commit_window_ms; /* records are batched this long */
-		uint32_t task_lease_ms;	   /* lease of a running task */
+		/*
+		 * A journal shard batches its records this long between
+		 * commits, except for a planned stop.
+		 */
+		uint32_t commit_window_ms;
+		uint32_t task_lease_ms; /* lease of a running task */
 		uint32_t config_poll_ms;
 		uint32_t list_poll_ms; /* of the platform's list of VMs */
 		uint32_t stop_ms;      /* time limit of a planned stop */
@@ -299,7 +294,8 @@
 	enum log_level log_level;
 };
 bool settings_load(const char *path, struct settings *s, struct error *e);
-bool settings_parse(const char *place, const char *text, size_t len,
+/* source names the text in findings, such as the path of its file. */
+bool settings_parse(const char *source, const char *text, size_t len,
 		    struct settings *s, struct error *e);
 void settings_free(struct settings *s);
 
@@ -375,11 +371,7 @@
  * valid for one procedure only.
  */
 #define SEAL_KEY_BYTES 32
-/*
- * Nonces that have been accepted, at most max of them.  A nonce is dropped
- * only after its envelope's deadline, from when on the deadline rejects the
- * envelope.
- */
+/* The nonces of accepted envelopes, at most max of them. */
 struct replay_guard;
 struct replay_guard *replay_guard_new(size_t max);
 void replay_guard_free(struct replay_guard *g);
@@ -402,7 +394,6 @@
  */
 void secret_new(bstr key_id, bstr *secret, bstr *salt, bstr *hash);
 bool secret_split(bstr secret, bstr *key_id, bstr *digest);
-/* Takes constant time, so that timing reveals nothing about the hash. */
 bool secret_matches(bstr digest, bstr salt, bstr hash);
 
 #ifdef __cplusplus
