--- a/sched-advice.c
+++ b/sched-advice.c
@@ -57,9 +57,9 @@
  * there is no valid one.
  */
 bstr advice_ticket(const struct sched *s, const struct occurrence *o,
-		   unsigned step, const struct worker *w)
+		   unsigned step_index, const struct worker *w)
 {
-	const struct advice *a = o->advice ? &o->advice[step] : NULL;
+	const struct advice *a = o->advice ? &o->advice[step_index] : NULL;
 	size_t i;
 
 	if (!a || s->now >= a->valid_until - TICKET_MARGIN_MS)
@@ -71,8 +71,9 @@
 }
 
 /* Requests tickets for a step on the given workers. */
-static void advice_request(struct sched *s, struct occurrence *o, unsigned step,
-			   struct worker **workers, size_t count)
+static void advice_request(struct sched *s, struct occurrence *o,
+			   unsigned step_index, struct worker **workers,
+			   size_t count)
 {
 	struct request *rq;
 	struct ask *ask;
@@ -82,20 +83,21 @@
 		       &ask);
 	snprintf(rq->job, sizeof(rq->job), "%s", o->job->id);
 	rq->occurrence = o->number;
-	rq->task = step;
-	ask->order.step = bstr_printf("%s.%u.%u", o->job->id, o->number, step);
+	rq->task = step_index;
+	ask->order.step = bstr_printf("%s.%u.%u", o->job->id, o->number,
+				      step_index);
 	if (count > ADVICE_WORKERS_MAX)
 		count = ADVICE_WORKERS_MAX;
 	ask->order.workers = xcalloc(count, sizeof(bstr));
 	for (i = 0; i < count; i++)
 		ask->order.workers[ask->order.worker_count++] = bstr_copy(
 			workers[i]->id);
-	o->advice[step].in_flight = true;
+	o->advice[step_index].in_flight = true;
 	s->advice_calls_in_flight++;
 }
 
 /* Returns true if there are valid tickets for a step; requests them if not. */
-bool advice_ready(struct sched *s, struct occurrence *o, unsigned step,
+bool advice_ready(struct sched *s, struct occurrence *o, unsigned step_index,
 		  struct worker **workers, size_t count)
 {
 	struct advice *a;
@@ -103,12 +105,12 @@
 	if (!o->advice)
 		o->advice = xcalloc(o->job->body->step_count,
 				    sizeof(*o->advice));
-	a = &o->advice[step];
+	a = &o->advice[step_index];
 	if (a->count && s->now < a->valid_until - TICKET_MARGIN_MS)
 		return true;
 	if (!a->in_flight && s->now >= a->retry_at && count &&
 	    s->advice_calls_in_flight < ADVICE_CALLS_MAX)
-		advice_request(s, o, step, workers, count);
+		advice_request(s, o, step_index, workers, count);
 	return false;
 }
 
--- a/sched-job.c
+++ b/sched-job.c
@@ -287,9 +287,9 @@
 }
 
 /* Returns true if all prerequisites of a step are done. */
-bool step_is_ready(const struct occurrence *o, unsigned step)
+bool step_is_ready(const struct occurrence *o, unsigned step_index)
 {
-	const struct job_step *st = &o->job->body->steps[step];
+	const struct job_step *st = &o->job->body->steps[step_index];
 	size_t i;
 
 	for (i = 0; i < st->prerequisite_count; i++)
--- a/sched-learn.c
+++ b/sched-learn.c
@@ -52,9 +52,10 @@
 }
 
 /* Returns the expected run time of a task of a step. */
-int64_t step_expected_ms(struct sched *s, const struct job *j, unsigned step)
+int64_t step_expected_ms(struct sched *s, const struct job *j,
+			 unsigned step_index)
 {
-	const struct job_step *st = &j->body->steps[step];
+	const struct job_step *st = &j->body->steps[step_index];
 	double declared = st->estimated_ms ? st->estimated_ms : 1;
 	struct learnt_time *l = learnt_time_of(s, j->route);
 
--- a/sched-place.c
+++ b/sched-place.c
@@ -66,20 +66,20 @@
  * has_delayed_tasks if a task of it is only delayed.
  */
 static bool step_is_placeable(struct sched *s, const struct occurrence *o,
-			      unsigned step)
+			      unsigned step_index)
 {
-	const struct task *t = &o->tasks[o->first_task[step]];
-	struct pending_tasks *pending = &o->pending_tasks[step];
+	const struct task *t = &o->tasks[o->first_task[step_index]];
+	struct pending_tasks *pending = &o->pending_tasks[step_index];
 	bool placeable = false;
 	unsigned i;
 
-	if (!pending->count || !step_is_ready(o, step))
+	if (!pending->count || !step_is_ready(o, step_index))
 		return false;
 	if (!pending->ready_at)
 		pending->ready_at = s->now;
 	if (s->now >= pending->retry_at_max)
 		return true;
-	for (i = 0; i < o->job->body->steps[step].count; i++, t++) {
+	for (i = 0; i < o->job->body->steps[step_index].count; i++, t++) {
 		if (t->phase != PHASE_PENDING)
 			continue;
 		if (s->now >= t->not_before)
@@ -93,9 +93,9 @@
 /* Adds a step to the candidates of this pass. */
 static void candidate_add(struct sched *s, struct place_pass *p,
 			  const struct route *r, struct pool *pool,
-			  struct occurrence *o, unsigned step)
+			  struct occurrence *o, unsigned step_index)
 {
-	const struct job_step *st = &o->job->body->steps[step];
+	const struct job_step *st = &o->job->body->steps[step_index];
 	const struct job_estimate *estimate = &o->job->estimate;
 	struct candidate *c;
 
@@ -109,7 +109,7 @@
 	*c = (struct candidate){.job = o->job,
 				.occ = o,
 				.pool = pool,
-				.step = step,
+				.step = step_index,
 				.need = step_need(st),
 				.previous_reason = o->job->pending_reason};
 	c->needs_tickets = r && r->needs_ticket;
@@ -118,7 +118,7 @@
 	if (!o->job->due)
 		o->job->due = c->due;
 	c->late = !st->long_running &&
-		  s->now + estimate->remaining_ms[step] > c->due &&
+		  s->now + estimate->remaining_ms[step_index] > c->due &&
 		  policy_is_enabled(s, POLICY_LATE_LAST);
 	if (c->late)
 		c->due = estimate->longest_ms;
@@ -214,13 +214,13 @@
 
 /* Returns the number of tasks of a step that are on a worker. */
 unsigned step_tasks_on_worker(const struct worker *w,
-			      const struct occurrence *o, unsigned step)
+			      const struct occurrence *o, unsigned step_index)
 {
 	const struct task *t;
 	unsigned n = 0;
 
 	TAILQ_FOREACH(t, &w->tasks, worker_entry)
-		if (t->occ == o && t->step == step)
+		if (t->occ == o && t->step == step_index)
 			n++;
 	return n;
 }
--- a/sched-state.h
+++ b/sched-state.h
@@ -819,7 +819,7 @@
 bool job_is_settled(struct sched *s, struct job *j);
 bool job_request_start(struct sched *s, struct job *j);
 void job_mark_durable(struct sched *s, struct job *j);
-bool step_is_ready(const struct occurrence *o, unsigned step);
+bool step_is_ready(const struct occurrence *o, unsigned step_index);
 struct task *task_find(struct sched *s, bstr name, struct job **job);
 bstr task_name(const struct task *t);
 const struct job_step *task_step(const struct task *t);
@@ -906,7 +906,7 @@
 /* sched-place.c: placing tasks on workers */
 void place_all(struct sched *s);
 unsigned step_tasks_on_worker(const struct worker *w,
-			      const struct occurrence *o, unsigned step);
+			      const struct occurrence *o, unsigned step_index);
 
 /* sched-move.c: moving machines between pools */
 void move_tick(struct sched *s);
@@ -918,8 +918,8 @@
 void advice_free(struct occurrence *o);
 bool advice_is_needed(const struct sched *s, struct job *j);
 bstr advice_ticket(const struct sched *s, const struct occurrence *o,
-		   unsigned step, const struct worker *w);
-bool advice_ready(struct sched *s, struct occurrence *o, unsigned step,
+		   unsigned step_index, const struct worker *w);
+bool advice_ready(struct sched *s, struct occurrence *o, unsigned step_index,
 		  struct worker **workers, size_t count);
 void advice_answer(struct sched *s, struct request *rq, struct answer *ans);
 
@@ -940,7 +940,8 @@
 
 /* sched-learn.c: observed run times */
 void learn_run_time(struct sched *s, const struct task *t);
-int64_t step_expected_ms(struct sched *s, const struct job *j, unsigned step);
+int64_t step_expected_ms(struct sched *s, const struct job *j,
+			 unsigned step_index);
 void learnt_times_free(struct sched *s);
 
 /* sched-pace.c: throttling of best-effort tasks */
