--- a/reduce-cell.c
+++ b/reduce-cell.c
@@ -520,8 +520,8 @@
 		effect_count(st, COUNT_DROPPED_DUPLICATE, 1);
 		if (t->attempt != m->attempt)
 			effect_log(st, LOG_PEER_CONFUSED,
-				   "attempt %u of %.*s, known attempt is %u",
-				   m->attempt, BSTR_ARG(m->job), t->attempt);
+				   "attempt %u of %.*s, here is %u", m->attempt,
+				   BSTR_ARG(m->job), t->attempt);
 		task_send_update(st, u->cell, t, from, 0);
 		return;
 	}
--- a/reduce-claim.c
+++ b/reduce-claim.c
@@ -273,7 +273,7 @@
 		 * another VM owns the shard.  This commit wrote nothing, and
 		 * the new owner has read all earlier records.
 		 */
-		unit_drop(st, u, "another VM owns the journal");
+		unit_drop(st, u, "another owner has the journal");
 		return;
 	}
 	shard_durable(st, s, ev);
@@ -400,7 +400,7 @@
 		segment_free(s, TAILQ_FIRST(&s->segments));
 		s->trim_at = st->now;
 	} else {
-		unit_drop(st, u, "another VM owns the journal");
+		unit_drop(st, u, "another owner has the journal");
 	}
 }
 
--- a/reduce-config.c
+++ b/reduce-config.c
@@ -68,7 +68,7 @@
 		return;
 	}
 	if (!head_parse(r->value, &revision, &object)) {
-		effect_log(st, LOG_CONFIG_BAD, "the head row can't be parsed");
+		effect_log(st, LOG_CONFIG_BAD, "the head can't be read");
 	} else if (st->config && revision <= st->config->revision) {
 		st->config_known = true;
 		st->head_confirmed_at = rq->sent_at;
--- a/reduce-key.c
+++ b/reduce-key.c
@@ -77,8 +77,8 @@
 	st->fresh = fresh;
 	effect_count(st, COUNT_FRESH, fresh);
 	effect_log(st, fresh ? LOG_PROOF_BACK : LOG_PROOF_LOST, "%s",
-		   fresh ? "new jobs are accepted"
-			 : "new jobs are refused; accepted jobs go on");
+		   fresh ? "new work is accepted"
+			 : "new work is refused; accepted work goes on");
 }
 
 /* Fills in a refusal.  Returns NULL for key_check() to return. */
--- a/reduce-member.c
+++ b/reduce-member.c
@@ -195,7 +195,7 @@
 	}
 	if (r && r->revision && !ours && st->member_revision) {
 		effect_log(st, LOG_STOPPED,
-			   "another process uses the name %.*s",
+			   "another process bears the name %.*s",
 			   BSTR_ARG(st->vm));
 		st->stopped = true;
 		effect_add(st, FX_EXIT);
--- a/reduce-own.c
+++ b/reduce-own.c
@@ -193,7 +193,7 @@
 	    row->epoch == u->epoch)
 		u->unverified = false;
 	else
-		unit_drop(st, u, "taken over by another owner");
+		unit_drop(st, u, "taken over while this VM was away");
 }
 
 /*
--- a/reduce.c
+++ b/reduce.c
@@ -340,7 +340,7 @@
 	ops_stop(st);
 	st->stopped = true;
 	effect_log(st, LOG_STOPPED, "%s",
-		   idle ? "all handed over" : "stop deadline reached");
+		   idle ? "all handed over" : "the stop's deadline passed");
 	effect_add(st, FX_EXIT);
 }
 
