--- a/tests/support-process.c
+++ b/tests/support-process.c
@@ -518,9 +518,9 @@
 		j->no_retry_after++;
 	/*
 	 * A final state is taken only with a job ID: an entry VM that answers
-	 * "unknown" by itself gives none.  Nor is the answer of an owner final
-	 * that has just taken over and hasn't heard from its workers yet; a
-	 * later request tells more.
+	 * "unknown" by itself gives none.  The answer of an owner that has just
+	 * taken over isn't final either, as it has no answers of its workers
+	 * yet; the caller asks again.
 	 */
 	if (*response_text(response, "job") && state_is_final(state) &&
 	    strcmp(j->reason, "owner-taking-over") != 0) {
@@ -657,7 +657,8 @@
 }
 
 /* Adds the log entries of a job's tasks, whose IDs begin with JOB/. */
-static void truth_add(struct truth *t, const json_t *log, const char *job)
+static void job_runs_add(struct job_runs *runs, const json_t *log,
+			 const char *job)
 {
 	const char *task, *state;
 	const json_t *line;
@@ -670,34 +671,35 @@
 			continue;
 		state = json_string_value(json_object_get(line, "state"));
 		/* a checkpointed task continues on another worker */
-		t->starts += strcmp(state, "checkpointed") != 0;
-		t->done += !strcmp(state, "done");
-		t->running += !strcmp(state, "running");
+		runs->starts += strcmp(state, "checkpointed") != 0;
+		runs->done += !strcmp(state, "done");
+		runs->running += !strcmp(state, "running");
 	}
 }
 
-/* Returns what the log of one data centre has of a job's tasks. */
-struct truth truth_at(const struct install *in, size_t dc, const char *job)
+/* Returns the runs of a job's tasks by the log of one data centre. */
+struct job_runs job_runs_at(const struct install *in, size_t dc,
+			    const char *job)
 {
 	json_t *log = worker_log(in, dc);
-	struct truth t = {0};
+	struct job_runs runs = {0};
 
-	truth_add(&t, log, job);
+	job_runs_add(&runs, log, job);
 	json_decref(log);
-	return t;
+	return runs;
 }
 
-/* Returns what the logs of all data centres have of a job's tasks. */
-struct truth truth_of(const struct install *in, const char *job)
+/* Returns the runs of a job's tasks by the logs of all data centres. */
+struct job_runs job_runs_of(const struct install *in, const char *job)
 {
-	struct truth all = {0}, t;
+	struct job_runs all = {0}, runs;
 	size_t i;
 
 	for (i = 0; i < in->log_count; i++) {
-		t = truth_at(in, i, job);
-		all.starts += t.starts;
-		all.done += t.done;
-		all.running += t.running;
+		runs = job_runs_at(in, i, job);
+		all.starts += runs.starts;
+		all.done += runs.done;
+		all.running += runs.running;
 	}
 	return all;
 }
@@ -740,19 +742,20 @@
  * the workers, or NULL.
  */
 static const char *job_wrong_answer(const struct load_job *j,
-				    const struct truth *t, bool may_fail)
+				    const struct job_runs *runs, bool may_fail)
 {
 	if (j->wrong_job)
 		return "the result of another job";
-	if (!(j->kind & KIND_REPEAT) && t->starts > 1)
+	if (!(j->kind & KIND_REPEAT) && runs->starts > 1)
 		return "run more than once";
 	if (j->accepted && !*j->state)
 		return "accepted, but it never ended";
-	if (!strcmp(j->state, "not-run") && t->starts)
+	if (!strcmp(j->state, "not-run") && runs->starts)
 		return "answered \"not run\", but it was started";
-	if (!strcmp(j->state, "done") && !t->done)
+	if (!strcmp(j->state, "done") && !runs->done)
 		return "answered \"done\", but it was not";
-	if (!strcmp(j->state, "failed") && (!may_fail || !t->starts || t->done))
+	if (!strcmp(j->state, "failed") &&
+	    (!may_fail || !runs->starts || runs->done))
 		return "answered \"failed\", but nothing failed";
 	if (j->no_retry_after)
 		return "503 without Retry-After";
@@ -763,14 +766,14 @@
  * Compares the answers that callers got with the logs of the workers; prints
  * each wrong answer, and each job that ended as unknown or not run.
  */
-struct verdict load_check(struct load *l)
+struct load_result load_check(struct load *l)
 {
-	struct verdict v = {0};
+	struct load_result r = {0};
 	const struct load_job *j;
 	unsigned refusals = 0, no_answers = 0;
 	json_t *logs[DCS_MAX];
 	const char *fault;
-	struct truth t;
+	struct job_runs runs;
 	size_t i, k;
 	char *why;
 
@@ -778,17 +781,17 @@
 		logs[k] = worker_log(l->in, k);
 	for (i = 0; i < l->count; i++) {
 		j = &l->jobs[i];
-		t = (struct truth){0};
+		runs = (struct job_runs){0};
 		for (k = 0; *j->id && k < l->in->log_count; k++)
-			truth_add(&t, logs[k], j->id);
-		v.done += !strcmp(j->state, "done");
-		v.failed += !strcmp(j->state, "failed");
-		v.not_run += !strcmp(j->state, "not-run");
-		v.unknown += !strcmp(j->state, "unknown");
-		v.refused += !*j->state;
+			job_runs_add(&runs, logs[k], j->id);
+		r.done += !strcmp(j->state, "done");
+		r.failed += !strcmp(j->state, "failed");
+		r.not_run += !strcmp(j->state, "not-run");
+		r.unknown += !strcmp(j->state, "unknown");
+		r.refused += !*j->state;
 		refusals += j->refusals;
 		no_answers += j->no_answers;
-		fault = job_wrong_answer(j, &t, l->may_fail);
+		fault = job_wrong_answer(j, &runs, l->may_fail);
 		if (!fault && strcmp(j->state, "unknown") != 0 &&
 		    strcmp(j->state, "not-run") != 0)
 			continue;
@@ -796,11 +799,11 @@
 			"%s: %s (%s) kind %u state '%s' reason '%s' result '%s': "
 			"%u starts, %u done, %u running: %s\n",
 			l->name, j->key, j->id, j->kind, j->state, j->reason,
-			j->result, t.starts, t.done, t.running,
+			j->result, runs.starts, runs.done, runs.running,
 			fault ? fault : "correct");
 		if (!fault)
 			continue;
-		v.wrong++;
+		r.wrong++;
 		why = *j->id ? job_explain(l->in, 0, j->id) : xstrdup("");
 		fprintf(stderr, "%s: why: %s\n", l->name, why);
 		free(why);
@@ -811,9 +814,9 @@
 		"%s: callers saw %zu done, %zu failed, %zu not run, %zu "
 		"unknown, %zu without a final state; %u refusals and %u "
 		"requests without a response; %zu wrong\n",
-		l->name, v.done, v.failed, v.not_run, v.unknown, v.refused,
-		refusals, no_answers, v.wrong);
-	return v;
+		l->name, r.done, r.failed, r.not_run, r.unknown, r.refused,
+		refusals, no_answers, r.wrong);
+	return r;
 }
 
 /* Frees the jobs of a load. */
--- a/tests/support-process.h
+++ b/tests/support-process.h
@@ -129,7 +129,7 @@
 				  const char *method, const char *path,
 				  const char *key, const char *body,
 				  unsigned timeout_ms);
-void caller_response_free(struct caller_response *said);
+void caller_response_free(struct caller_response *response);
 
 struct submission {
 	const char *key, *label;
@@ -141,7 +141,8 @@
 			      const struct submission *s);
 
 /* Returns a string member of a response's body, "" if it is missing. */
-const char *response_text(const struct caller_response *said, const char *name);
+const char *response_text(const struct caller_response *response,
+			  const char *name);
 
 /*
  * Kinds of jobs of a load, flags that combine: may be repeated, the caller
@@ -186,16 +187,17 @@
 void load_join(struct load *l);
 
 /*
- * What the log of the workers has of a job's tasks.  A start that ended in a
+ * The runs of a job's tasks by the log of the workers.  A start that ended in a
  * checkpoint isn't counted, as the task continues on another worker.
  */
-struct truth {
+struct job_runs {
 	unsigned starts, done, running;
 };
 
 /* Reads the log of one data centre, or of all. */
-struct truth truth_at(const struct install *in, size_t dc, const char *job);
-struct truth truth_of(const struct install *in, const char *job);
+struct job_runs job_runs_at(const struct install *in, size_t dc,
+			    const char *job);
+struct job_runs job_runs_of(const struct install *in, const char *job);
 
 /* Returns how many tasks a worker has started. */
 size_t worker_starts(const struct install *in, size_t dc, const char *worker);
@@ -213,12 +215,12 @@
  * "done" or "failed" though it was not, the result of another job, or a 503
  * without Retry-After.
  */
-struct verdict {
+struct load_result {
 	size_t done, failed, not_run, unknown, refused, wrong;
 };
 
 /* Checks a load that has been joined; prints each wrong answer. */
-struct verdict load_check(struct load *l);
+struct load_result load_check(struct load *l);
 void load_free(struct load *l);
 
 /* Inject faults into the stand-ins of the platform and the workers. */
--- a/tests/test-failure.c
+++ b/tests/test-failure.c
@@ -48,7 +48,7 @@
 
 	for (i = 0; i < l->count; i++)
 		if (l->jobs[i].kind == kind && l->jobs[i].accepted &&
-		    truth_of(l->in, l->jobs[i].id).running)
+		    job_runs_of(l->in, l->jobs[i].id).running)
 			return &l->jobs[i];
 	return NULL;
 }
@@ -71,7 +71,7 @@
 			 .long_ms = 2500,
 			 .threads = 12};
 	struct load_job *j = NULL;
-	struct verdict v;
+	struct load_result r;
 	size_t vm;
 
 	install_start(&in, &default_plan);
@@ -85,10 +85,10 @@
 		vm_signal(&in, vm, SIGCONT);
 	}
 	load_join(&l);
-	v = load_check(&l);
-	cr_expect_eq(v.wrong, 0);
-	cr_expect_eq(v.refused, 0, "some jobs were never accepted");
-	cr_expect_geq(v.done, l.count * 9 / 10);
+	r = load_check(&l);
+	cr_expect_eq(r.wrong, 0);
+	cr_expect_eq(r.refused, 0, "some jobs were never accepted");
+	cr_expect_geq(r.done, l.count * 9 / 10);
 	load_free(&l);
 	install_stop(&in);
 }
@@ -119,16 +119,16 @@
 }
 
 /* Waits for the callers and checks that all they were answered is true. */
-static struct verdict load_finish(struct load *l)
+static struct load_result load_finish(struct load *l)
 {
-	struct verdict v;
+	struct load_result r;
 
 	load_join(l);
-	v = load_check(l);
-	cr_expect_eq(v.wrong, 0);
-	cr_expect_eq(v.refused, 0, "some jobs were never accepted");
+	r = load_check(l);
+	cr_expect_eq(r.wrong, 0);
+	cr_expect_eq(r.refused, 0, "some jobs were never accepted");
 	load_free(l);
-	return v;
+	return r;
 }
 
 /* Initialises a load that has jobs of every kind. */
@@ -491,7 +491,7 @@
 			continue;
 		unit = unit_of_job(l->jobs[i].id);
 		if (vm_owner(l->in, unit) == b &&
-		    truth_at(l->in, 1, l->jobs[i].id).running)
+		    job_runs_at(l->in, 1, l->jobs[i].id).running)
 			jobs[n++] = &l->jobs[i];
 		free(unit);
 	}
@@ -517,7 +517,7 @@
 			 .threads = 30,
 			 .may_fail = true};
 	struct load_job *jobs[2];
-	struct verdict v;
+	struct load_result r;
 	char *state;
 
 	plan.relayed = true;
@@ -535,9 +535,9 @@
 	cr_expect(EVENTUALLY(15, job_state_is(&in, 2, jobs[0]->id, "done")));
 	relay_net_set(in.net, "b1", NULL, RELAY_PASS);
 	cr_expect(EVENTUALLY(15, probe(&in, 2, "healed", false, false)));
-	v = load_finish(&l);
-	cr_expect_eq(v.done, 29);
-	cr_expect_eq(v.failed, 1);
+	r = load_finish(&l);
+	cr_expect_eq(r.done, 29);
+	cr_expect_eq(r.failed, 1);
 	install_stop(&in);
 }
 
@@ -880,7 +880,7 @@
 {
 	static char ids[300][96];
 	struct submission s = {.label = "tour", .run_ms = 20000};
-	struct truth t, all = {0};
+	struct job_runs t, all = {0};
 	struct caller_response response;
 	size_t i, false_not_run = 0;
 	struct install in;
@@ -906,7 +906,7 @@
 	caller_response_free(&response);
 	cr_expect(EVENTUALLY(15, jobs_final(&in, ids, 300) == 300));
 	for (i = 0; i < 300; i++) {
-		t = truth_of(&in, ids[i]);
+		t = job_runs_of(&in, ids[i]);
 		all.running += t.running;
 		all.starts += t.starts;
 		false_not_run += t.starts &&
@@ -962,7 +962,7 @@
 		cr_expect_str_eq(duplicates[i].state, "done");
 		cr_expect_str_eq(duplicates[i].id, duplicates[0].id);
 	}
-	cr_expect_eq(truth_of(&in, duplicates[0].id).starts, 1);
+	cr_expect_eq(job_runs_of(&in, duplicates[0].id).starts, 1);
 	install_stop(&in);
 }
 
