--- a/tests/soak-entry.c
+++ b/tests/soak-entry.c
@@ -83,7 +83,7 @@
 	uint16_t port, readiness;
 	uint16_t store; /* port of its relay to the store */
 	char name[8];
-	unsigned lives;
+	unsigned start_count;
 	bool stopping; /* a planned stop was requested */
 	int64_t started_at;
 	int64_t stop_by;
@@ -219,7 +219,7 @@
 				  .readiness_port = v->readiness,
 				  .store_port = v->store,
 				  .machines_port = s->cloud.port,
-				  .start_number = v->lives++};
+				  .start_number = v->start_count++};
 
 	inet_ntop(AF_INET, &a.sin_addr, ip, sizeof(ip));
 	v->stopping = false;
--- a/tests/support-world-machine.c
+++ b/tests/support-world-machine.c
@@ -8,17 +8,17 @@
 void world_worker_restart(struct world *w, unsigned n, int64_t down_ms)
 {
 	struct world_worker *k = &w->workers[n];
-	unsigned life = k->life, starts = k->starts;
+	unsigned life = k->generation, starts = k->starts;
 	bool listed = k->listed, fails = k->fails;
 	bool draining = k->draining;
 
 	memset(k, 0, sizeof(*k));
-	k->life = life + 1;
+	k->generation = life + 1;
 	k->starts = starts;
 	k->listed = listed;
 	k->fails = fails;
 	k->draining = draining;
-	k->born = w->now + down_ms;
+	k->started_at = w->now + down_ms;
 	k->down_until = w->now + down_ms;
 }
 
--- a/tests/support-world-state.h
+++ b/tests/support-world-state.h
@@ -84,8 +84,8 @@
 };
 
 struct world_worker {
-	unsigned life; /* number of the current process */
-	int64_t born;  /* start of the process in simulated time */
+	unsigned generation; /* number of the current process */
+	int64_t started_at;  /* start of the process in simulated time */
 	bool listed;
 	bool draining;
 	bool fails; /* all tasks */
@@ -110,7 +110,7 @@
 /* An entry VM. */
 struct world_vm {
 	struct sched *sched; /* NULL: not running */
-	unsigned life;	     /* number of the current process */
+	unsigned generation; /* number of the current process */
 	bool cut_store;
 	enum world_store_mode store_mode;
 	int64_t store_delay_ms;
@@ -129,8 +129,8 @@
 	int64_t at;
 	uint64_t order;
 	unsigned vm;
-	unsigned life; /* of the VM; UINT32_MAX: a late order to a worker */
-	unsigned worker_life; /* a late order is lost with this process */
+	unsigned generation;	    /* UINT32_MAX: a late order to a worker */
+	unsigned worker_generation; /* a late order is lost with this process */
 	struct sched_effect *effect; /* a request; NULL for an answer */
 	struct sched_event *event; /* an answer to the VM; NULL for a request */
 	bool unawaited;	  /* a late write, whose answer already timed out */
@@ -204,7 +204,7 @@
 	struct task_record task_records[NAMES_MAX];
 	unsigned task_record_count;
 	unsigned starts;
-	unsigned sender_life; /* process of the VM whose message is handled */
+	unsigned sender_generation; /* of the VM whose message is handled */
 	unsigned wave_machines;
 	unsigned wave_maximum;
 	unsigned machine_restarts[WORLD_WORKERS_MAX];
--- a/tests/support-world-store.c
+++ b/tests/support-world-store.c
@@ -232,14 +232,14 @@
 	struct pending *p, *next;
 	struct sched_event *ev;
 	const struct range *r;
-	unsigned i, life = w->sender_life;
+	unsigned i, life = w->sender_generation;
 	bool any;
 
 	for (p = TAILQ_FIRST(&w->waiting); p; p = next) {
 		next = TAILQ_NEXT(p, entry);
 		if (p->effect->ask.kind != ASK_FEED)
 			continue;
-		w->sender_life = p->life;
+		w->sender_generation = p->generation;
 		r = &p->effect->ask.range;
 		for (any = false, i = 0; i < w->row_count; i++)
 			any = any || (w->rows[i].table == r->table &&
@@ -256,7 +256,7 @@
 		sched_effect_free(p->effect);
 		free(p);
 	}
-	w->sender_life = life;
+	w->sender_generation = life;
 }
 
 /* Updates the record of a job from a row that was written for it. */
--- a/tests/support-world-worker.c
+++ b/tests/support-world-worker.c
@@ -72,7 +72,7 @@
 	unsigned i;
 
 	a->clock = world_worker_now(w, n);
-	a->worker_started_at = WALL_BASE + k->born;
+	a->worker_started_at = WALL_BASE + k->started_at;
 	a->running = xcalloc(k->run_count + 1, sizeof(*a->running));
 	a->ended = xcalloc(k->end_count + 1, sizeof(*a->ended));
 	for (i = 0; i < k->run_count; i++)
@@ -330,7 +330,7 @@
 		next = TAILQ_NEXT(p, entry);
 		if (p->effect->ask.kind != ASK_POLL)
 			continue;
-		w->sender_life = p->life;
+		w->sender_generation = p->generation;
 		n = address_number(p->effect->ask.order.address);
 		k = &w->workers[n];
 		if (w->now < p->deadline &&
@@ -415,8 +415,8 @@
 				(int64_t)(random_next(&w->random) % 8000),
 			vm);
 		p->effect = fx;
-		p->life = UINT32_MAX; /* no process awaits the answer */
-		p->worker_life = w->workers[n].life;
+		p->generation = UINT32_MAX; /* no process awaits the answer */
+		p->worker_generation = w->workers[n].generation;
 		return;
 	}
 	refusal = world_order_apply(w, vm, n, &fx->ask);
@@ -434,7 +434,8 @@
 				       w->now);
 		ev->answer.refusal = refusal;
 		ev->answer.clock = world_worker_now(w, n);
-		ev->answer.worker_started_at = WALL_BASE + w->workers[n].born;
+		ev->answer.worker_started_at = WALL_BASE +
+					       w->workers[n].started_at;
 		world_answer_send(w, vm, ev, w->now + ONE_WAY_MS);
 	}
 	sched_effect_free(fx);
--- a/tests/support-world.c
+++ b/tests/support-world.c
@@ -55,7 +55,7 @@
 /* Returns the time on a worker's clock, which starts with its process. */
 int64_t world_worker_now(const struct world *w, unsigned i)
 {
-	return w->now - w->workers[i].born + 1;
+	return w->now - w->workers[i].started_at + 1;
 }
 
 /* Returns true if the store has the cancel row of a job. */
@@ -83,7 +83,7 @@
 	p->at = at;
 	p->order = ++w->order;
 	p->vm = vm;
-	p->life = w->sender_life;
+	p->generation = w->sender_generation;
 	TAILQ_FOREACH(q, list, entry) {
 		if (q->at > at) {
 			TAILQ_INSERT_BEFORE(q, p, entry);
@@ -121,7 +121,7 @@
 	 * answer goes to that process or is dropped.
 	 */
 	p->event = ev;
-	p->life = w->sender_life;
+	p->generation = w->sender_generation;
 }
 
 /*
@@ -245,7 +245,7 @@
 	struct pending *p;
 
 	TAILQ_INIT(&out);
-	w->sender_life = w->vms[vm].life;
+	w->sender_generation = w->vms[vm].generation;
 	ev->now = w->now;
 	ev->wall = WALL_BASE + w->now;
 	sched_reduce(w->vms[vm].sched, ev, &out);
@@ -281,7 +281,7 @@
 	const struct pending *next = TAILQ_FIRST(&w->pending);
 
 	return next && next->at <= w->now && !next->effect &&
-	       next->vm == p->vm && next->life == p->life;
+	       next->vm == p->vm && next->generation == p->generation;
 }
 
 /* Delivers a message that is due. */
@@ -289,22 +289,22 @@
 {
 	struct world_vm *v = &w->vms[p->vm];
 
-	w->sender_life = p->life;
+	w->sender_generation = p->generation;
 	if (p->unawaited) {
 		world_tx_apply(w, &p->effect->ask.tx);
 		sched_effect_free(p->effect);
 		world_feeds_wake(w);
-	} else if (p->effect && p->life == UINT32_MAX) {
+	} else if (p->effect && p->generation == UINT32_MAX) {
 		unsigned n =
 			(unsigned)(p->effect->ask.order.address.bstr_val[1] -
 				   '0');
 
-		if (p->worker_life == w->workers[n].life)
+		if (p->worker_generation == w->workers[n].generation)
 			world_order_apply(w, p->vm, n, &p->effect->ask);
 		sched_effect_free(p->effect);
 	} else if (p->effect) {
 		request_deliver(w, p->vm, p->effect);
-	} else if (v->sched && p->life == v->life) {
+	} else if (v->sched && p->generation == v->generation) {
 		if (w->now < v->frozen_until) {
 			world_answer_send(w, p->vm, p->event, v->frozen_until);
 		} else {
@@ -423,7 +423,7 @@
 	snprintf(name, sizeof(name), "vm%u", vm);
 	o.vm = bstr_lit(name);
 	o.zone = bstr_lit("z");
-	v->life++;
+	v->generation++;
 	v->exited = false;
 	v->tick_at = w->now + 1 + vm;
 	v->sched = sched_new(&o);
@@ -598,7 +598,7 @@
 		return;
 	sched_free(v->sched);
 	v->sched = NULL;
-	v->life++;
+	v->generation++;
 }
 
 /* Asks a VM's process to stop as planned. */
