--- a/tests/test-load.c
+++ b/tests/test-load.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 /* Returns a world in which a VM owns the scheduling and knows the workers. */
-static struct world *calm(uint64_t seed)
+static struct world *world_new_settled(uint64_t seed)
 {
 	struct world *w = world_new(seed, WORLD_VMS, WORLD_WORKERS);
 
@@ -84,7 +84,7 @@
 	char id[24];
 
 	for (row = 0; row < NELEMS(begin_rows); row++) {
-		w = calm(1680 + row);
+		w = world_new_settled(1680 + row);
 		job = (struct world_job){.tasks = begin_rows[row].running_tasks,
 					 .task_ms = 9000};
 		world_submit(w, 0, "00000000000000aa", &job);
@@ -157,7 +157,7 @@
 	unsigned row;
 
 	for (row = 0; row < NELEMS(slow_ms); row++) {
-		w = calm(1720 + row);
+		w = world_new_settled(1720 + row);
 		world_set_feed_delay(w, TABLE_JOBS, slow_ms[row]);
 		world_submit(w, 0, "00000000000000aa", &one);
 		world_run(w, 14000);
@@ -265,7 +265,7 @@
 	struct world *w;
 
 	for (row = 0; row < NELEMS(beat_rows); row++) {
-		w = calm(1950 + row);
+		w = world_new_settled(1950 + row);
 		n = (unsigned)world_owner(w);
 		vm = (n + 1) % WORLD_VMS;
 		world_set_cores(w, vm, beat_rows[row].cores);
@@ -295,7 +295,7 @@
 Test(load, final_jobs_space_no_looks)
 {
 	static const struct world_job tiny = {.tasks = 1, .task_ms = 20};
-	struct world *w = calm(1980);
+	struct world *w = world_new_settled(1980);
 	unsigned n = (unsigned)world_owner(w), k;
 	const struct sched *s;
 	int64_t most = 0;
@@ -413,7 +413,7 @@
 Test(load, what_the_window_held_back_is_started)
 {
 	static const struct world_job wide = {.tasks = 40, .task_ms = 300};
-	struct world *w = calm(2050);
+	struct world *w = world_new_settled(2050);
 	unsigned n = (unsigned)world_owner(w), k;
 	struct sched *s = world_sched(w, n);
 
@@ -497,7 +497,7 @@
 	struct world *w;
 
 	for (seed = 2100; seed < 2130; seed++) {
-		w = calm(seed);
+		w = world_new_settled(seed);
 		n = (unsigned)world_owner(w);
 		s = world_sched(w, n);
 		world_run(w, 17 * (seed - 2100));
--- a/tests/test-sched.c
+++ b/tests/test-sched.c
@@ -31,7 +31,7 @@
  */
 Test(sched, calm_day)
 {
-	struct world *w = calm(1);
+	struct world *w = world_new_settled(1);
 	uint64_t a = world_submit(w, other(w), JOB_A, &two_steps), b, c;
 
 	world_run(w, 20);
@@ -61,7 +61,7 @@
  */
 Test(sched, idle_workers_stay_empty)
 {
-	struct world *w = calm(50);
+	struct world *w = world_new_settled(50);
 	unsigned i, used = 0;
 
 	world_submit(w, 0, JOB_A, &long_lived);
@@ -93,7 +93,7 @@
 	unsigned i, vm;
 
 	for (i = 0; i < NELEMS(large); i++) {
-		w = calm(100 + i);
+		w = world_new_settled(100 + i);
 		world_set_page_delay(w, TABLE_OPERATOR, i < 6 ? 0 : 2000);
 		for (vm = 0; vm < 4; vm++) {
 			world_kill_vm(w, vm);
@@ -110,7 +110,7 @@
 /* A key that was removed stops working; requests with it get 401. */
 Test(sched, key_withdrawn)
 {
-	struct world *w = calm(2);
+	struct world *w = world_new_settled(2);
 	uint64_t a;
 
 	world_set_key(w, false);
@@ -129,7 +129,7 @@
 /* A cancelled job's tasks are stopped, and no more of them are started. */
 Test(sched, cancel)
 {
-	struct world *w = calm(3);
+	struct world *w = world_new_settled(3);
 	uint64_t a;
 	unsigned starts;
 
@@ -148,7 +148,7 @@
 /* Tasks run only up to the organisation's upper limit; the rest wait. */
 Test(sched, upper_limit)
 {
-	struct world *w = calm(4);
+	struct world *w = world_new_settled(4);
 	uint64_t a;
 
 	world_set_limit(w, 4000);
@@ -171,7 +171,7 @@
 {
 	static const struct world_job hopeless = {
 		.tasks = 1, .task_ms = 100, .failures = 99};
-	struct world *w = calm(5);
+	struct world *w = world_new_settled(5);
 
 	world_submit(w, 0, JOB_A, &flaky);
 	world_submit(w, 0, JOB_B, &hopeless);
@@ -264,7 +264,7 @@
 };
 static void owner_lost(const char *name, enum owner_fault fault, int64_t at)
 {
-	struct world *w = calm(100 + (uint64_t)at);
+	struct world *w = world_new_settled(100 + (uint64_t)at);
 	uint64_t a;
 
 	world_submit(w, other(w), JOB_B, &long_lived);
@@ -312,7 +312,7 @@
 	unsigned i, n, row;
 
 	for (row = 0; row < 80; row++) {
-		w = calm(900 + row);
+		w = world_new_settled(900 + row);
 		n = owner(w);
 		/* The limit lets one job run at a time; the others wait. */
 		world_set_limit(w, 8000);
@@ -345,7 +345,7 @@
  */
 Test(sched, replaced_owner_sees_silent_worker)
 {
-	struct world *w = calm(7);
+	struct world *w = world_new_settled(7);
 	unsigned n, i;
 
 	world_submit(w, other(w), JOB_A, &long_lived);
@@ -372,7 +372,7 @@
 	unsigned n, next, i, k, row;
 
 	for (row = 0; row < 14; row++) {
-		w = calm(200 + row);
+		w = world_new_settled(200 + row);
 		world_submit(w, other(w), JOB_A, &long_lived);
 		world_submit(w, other(w), JOB_B, &long_lived);
 		world_run(w, 500);
@@ -400,7 +400,7 @@
  */
 Test(sched, cut_workers_have_no_rows)
 {
-	struct world *w = calm(8);
+	struct world *w = world_new_settled(8);
 	unsigned n, i, k;
 
 	world_submit(w, other(w), JOB_A, &long_lived);
@@ -433,7 +433,7 @@
 	char id[17];
 
 	for (row = 0; row < 10; row++) {
-		w = calm(400 + row);
+		w = world_new_settled(400 + row);
 		world_set_store_mode(w, WORLD_STORE_LATE);
 		for (k = 0; k < 3; k++) {
 			snprintf(id, sizeof(id), "%016x", 0xa0 + k);
@@ -463,7 +463,7 @@
 Test(sched, waiting_after_takeover)
 {
 	static const struct world_job slow = {.tasks = 3, .task_ms = 20000};
-	struct world *w = calm(60);
+	struct world *w = world_new_settled(60);
 	uint64_t a;
 	unsigned k;
 	char id[17];
@@ -490,7 +490,7 @@
  */
 Test(sched, long_outage)
 {
-	struct world *w = calm(9);
+	struct world *w = world_new_settled(9);
 
 	world_submit(w, other(w), JOB_A, &long_lived);
 	world_run(w, 500);
@@ -505,7 +505,7 @@
 /* While the store is down, callers are refused at once instead of waiting. */
 Test(sched, refused_at_once)
 {
-	struct world *w = calm(10);
+	struct world *w = world_new_settled(10);
 	uint64_t a;
 
 	world_set_store_mode(w, WORLD_STORE_REFUSES);
@@ -525,7 +525,7 @@
  */
 Test(sched, lost_answer)
 {
-	struct world *w = calm(11);
+	struct world *w = world_new_settled(11);
 	uint64_t a;
 
 	world_set_store_mode(w, WORLD_STORE_LOSES_ANSWERS);
@@ -542,7 +542,7 @@
 /* Faults of workers: they drain, crash, fall silent or fail all their tasks. */
 Test(sched, draining_worker_gets_nothing)
 {
-	struct world *w = calm(12);
+	struct world *w = world_new_settled(12);
 	unsigned i, before;
 
 	for (i = 0; i < 5; i++)
@@ -558,7 +558,7 @@
 }
 Test(sched, worker_crashes)
 {
-	struct world *w = calm(13);
+	struct world *w = world_new_settled(13);
 	unsigned i;
 
 	world_submit(w, 0, JOB_A, &long_lived);
@@ -571,7 +571,7 @@
 }
 Test(sched, worker_is_silent)
 {
-	struct world *w = calm(14);
+	struct world *w = world_new_settled(14);
 	unsigned k;
 
 	world_submit(w, 0, JOB_A, &two_steps);
@@ -611,7 +611,7 @@
 	for (i = 0; i < NELEMS(silent_start_rows); i++) {
 		silent = silent_start_rows[i].silent_ms;
 		after = silent_start_rows[i].after_ms;
-		w = calm(17);
+		w = world_new_settled(17);
 		if (silent_start_rows[i].old_connections)
 			world_old_connections(w);
 		world_set_lost_starts(w, 100);
@@ -645,7 +645,7 @@
 	unsigned row, i;
 
 	for (row = 0; row < 60; row++) {
-		w = calm(700 + row);
+		w = world_new_settled(700 + row);
 		world_run(w, 6000);
 		for (i = 0; i < 6; i++)
 			world_crash_worker(w, i);
@@ -686,7 +686,7 @@
 	unsigned i;
 
 	for (i = 0; i < NELEMS(truncated_list_rows); i++) {
-		w = calm(180 + i);
+		w = world_new_settled(180 + i);
 		world_set_ends_listed(w, truncated_list_rows[i].listed);
 		world_submit(w, other(w), JOB_A, &many);
 		world_run(w, 300);
@@ -705,7 +705,7 @@
 }
 Test(sched, worker_fails_all)
 {
-	struct world *w = calm(15);
+	struct world *w = world_new_settled(15);
 
 	world_fail_tasks(w, 0, true);
 	world_submit(w, 0, JOB_A, &two_steps);
@@ -721,7 +721,7 @@
 /* Orders time out and are carried out seconds later. */
 Test(sched, late_orders)
 {
-	struct world *w = calm(16);
+	struct world *w = world_new_settled(16);
 
 	world_set_late_orders(w, 30);
 	world_submit(w, 0, JOB_A, &two_steps);
@@ -743,7 +743,7 @@
 	int64_t at;
 
 	for (at = 100; at < 1200; at += 50) {
-		struct world *w = calm(17);
+		struct world *w = world_new_settled(17);
 
 		world_submit(w, other(w), JOB_A, &flaky);
 		world_run(w, at);
@@ -760,7 +760,7 @@
 /* In a queue that needs advice, only workers with a ticket get tasks. */
 Test(sched, advice)
 {
-	struct world *w = calm(30);
+	struct world *w = world_new_settled(30);
 
 	world_require_advice(w);
 	world_run(w, 20);
@@ -777,7 +777,7 @@
 /* A maintenance wave handles every machine once, and never too many at once. */
 Test(sched, wave)
 {
-	struct world *w = calm(18);
+	struct world *w = world_new_settled(18);
 
 	world_submit(w, 0, JOB_A, &long_lived);
 	world_submit(w, 0, JOB_B, &long_lived);
@@ -814,7 +814,7 @@
 	unsigned seed, i;
 
 	for (seed = 60; seed < 66; seed++) {
-		w = calm(seed);
+		w = world_new_settled(seed);
 		world_submit(w, 0, JOB_A, &long_lived);
 		world_submit(w, 0, JOB_B, &long_lived);
 		world_run(w, 500);
@@ -848,7 +848,7 @@
 	unsigned n, i, row;
 
 	for (row = 0; row < 12; row++) {
-		w = calm(300 + row);
+		w = world_new_settled(300 + row);
 		world_submit(w, 0, JOB_A, &long_lived);
 		world_run(w, 500);
 		world_silence_machines(w, true);
@@ -875,7 +875,7 @@
 	int64_t at;
 
 	for (at = 200; at < 4000; at += 350) {
-		struct world *w = calm(20 + (uint64_t)at);
+		struct world *w = world_new_settled(20 + (uint64_t)at);
 
 		world_submit(w, 0, JOB_A, &long_lived);
 		world_submit(w, 0, JOB_B, &long_lived);
--- a/tests/test-takeover.c
+++ b/tests/test-takeover.c
@@ -63,7 +63,7 @@
 };
 static void ceilings_at_takeover(unsigned row)
 {
-	struct world *w = calm(500 + row);
+	struct world *w = world_new_settled(500 + row);
 	unsigned n, next, k;
 
 	world_set_limit(w, 4000);
@@ -112,7 +112,7 @@
 	uint64_t a;
 
 	for (row = 0; row < 6; row++) {
-		w = calm(520 + row);
+		w = world_new_settled(520 + row);
 		n = owner(w);
 		world_set_page_delay(w, TABLE_PROGRESS, 350);
 		world_set_page_delay(w, TABLE_WORKERS, 300);
@@ -150,7 +150,7 @@
 	unsigned i;
 
 	for (i = 0; i < NELEMS(modes); i++) {
-		w = calm(540 + i);
+		w = world_new_settled(540 + i);
 		world_submit(w, other(w), JOB_A, &quick);
 		world_run(w, 99500);
 		cr_assert_str_eq(world_job_state(w, JOB_A), "completed");
@@ -183,7 +183,7 @@
 	unsigned row;
 
 	for (row = 0; row < 4; row++) {
-		w = calm(550 + row);
+		w = world_new_settled(550 + row);
 		world_submit(w, other(w), JOB_A, &quick);
 		world_run(w, 99800 + 250 * row);
 		world_set_page_delay(w, TABLE_JOBS, 650);
@@ -263,7 +263,7 @@
 	unsigned row, n, k;
 
 	for (row = 0; row < 8; row++) {
-		w = calm(600 + row);
+		w = world_new_settled(600 + row);
 		world_submit(w, other(w), JOB_A, &five_tasks);
 		world_run(w, 500);
 		n = owner(w);
@@ -307,7 +307,7 @@
 	unsigned row, n, k;
 
 	for (row = 0; row < 24; row++) {
-		w = calm(640 + row);
+		w = world_new_settled(640 + row);
 		world_submit(w, other(w), JOB_A, &four_tasks);
 		world_run(w, 500);
 		n = owner(w);
@@ -340,7 +340,7 @@
 	unsigned row, k;
 
 	for (row = 0; row < 4; row++) {
-		w = calm(680 + row);
+		w = world_new_settled(680 + row);
 		world_set_limit(w, 4000);
 		world_run(w, 2500);
 		world_submit(w, 0, JOB_A, row % 2 ? &flaky : &four_tasks);
@@ -401,7 +401,7 @@
 	unsigned row, n, k, reader;
 
 	for (row = 0; row < 6; row++) {
-		w = calm(720 + row);
+		w = world_new_settled(720 + row);
 		n = owner(w);
 		reader = (n + 1 + row / 3) % 4;
 		for (k = 0; k < 4; k++)
@@ -427,7 +427,7 @@
 	unsigned row, n;
 
 	for (row = 0; row < 24; row++) {
-		w = calm(1300 + row);
+		w = world_new_settled(1300 + row);
 		n = owner(w);
 		world_submit(w, other(w), JOB_A, &quick);
 		world_run(w, 100);
@@ -456,7 +456,7 @@
 	unsigned row, n, k, lost = 0;
 
 	for (row = 0; row < 60; row++) {
-		w = calm(720 + row);
+		w = world_new_settled(720 + row);
 		n = owner(w);
 		world_set_vm_store_mode(w, n, WORLD_STORE_LATE);
 		world_run(w, 420);
@@ -512,7 +512,7 @@
 	unsigned row, n, k;
 
 	for (row = 0; row < 4; row++) {
-		w = calm(860 + row);
+		w = world_new_settled(860 + row);
 		n = owner(w);
 		world_kill_vm(w, n);
 		for (k = 0; k < 16; k++) {
@@ -543,7 +543,7 @@
 	char id[24];
 
 	for (row = 0; row < 4; row++) {
-		w = calm(560 + row);
+		w = world_new_settled(560 + row);
 		for (i = 0; i < 320; i++) {
 			snprintf(id, sizeof(id), "%x0000000000000%02x", i % 16,
 				 i / 16);
--- a/tests/test-upkeep.c
+++ b/tests/test-upkeep.c
@@ -51,7 +51,7 @@
 	struct world *w;
 
 	for (row = 0; row < NELEMS(restart_rows); row++) {
-		w = calm(1500 + row);
+		w = world_new_settled(1500 + row);
 		world_submit(w, other(w), JOB_A, &backlog);
 		world_run(w, 300);
 		world_start_wave(w, 6, 3);
@@ -92,7 +92,7 @@
 	struct world *w;
 
 	for (row = 0; row < NELEMS(silent_rows); row++) {
-		w = calm(1520 + row);
+		w = world_new_settled(1520 + row);
 		world_submit(w, other(w), JOB_A, &long_lived);
 		world_run(w, 800);
 		for (i = 0; i < silent_rows[row].silent; i++)
@@ -118,7 +118,7 @@
 	unsigned row, k;
 
 	for (row = 0; row < 4; row++) {
-		w = calm(1540 + row);
+		w = world_new_settled(1540 + row);
 		world_submit(w, other(w), JOB_A, &backlog);
 		world_run(w, 300);
 		world_kill_vm(w, owner(w));
--- a/tests/test-waiting.c
+++ b/tests/test-waiting.c
@@ -29,7 +29,7 @@
  * Returns a world with an owner, in which new jobs must wait unless the fill is
  * EMPTY.
  */
-static struct world *calm(uint64_t seed, enum fill fill)
+static struct world *world_new_settled(uint64_t seed, enum fill fill)
 {
 	struct world *w = world_new(seed, VMS, WORLD_WORKERS);
 
@@ -143,7 +143,7 @@
 	unsigned i, lost;
 
 	for (i = 0; i < NELEMS(rows); i++) {
-		w = calm(700 + i, rows[i].fill);
+		w = world_new_settled(700 + i, rows[i].fill);
 		lost = (unsigned)world_owner(w);
 		submit_all(w, 0);
 		world_poll_counts(w, ASK_MS);
@@ -202,7 +202,7 @@
 	unsigned i, vm, lost, suspended, reported;
 
 	for (i = 0; i < NELEMS(rows); i++) {
-		w = calm(720 + i, rows[i].fill);
+		w = world_new_settled(720 + i, rows[i].fill);
 		lost = (unsigned)world_owner(w);
 		suspended = (lost + 1) % VMS;
 		world_poll_counts(w, ASK_MS);
@@ -260,7 +260,7 @@
 	unsigned i, vm;
 
 	for (i = 0; i < NELEMS(rows); i++) {
-		w = calm(740 + i, FILLED);
+		w = world_new_settled(740 + i, FILLED);
 		vm = ((unsigned)world_owner(w) + !rows[i].owns) % VMS;
 		world_poll_counts(w, ASK_MS);
 		world_cut_store(w, vm, rows[i].cut);
@@ -306,7 +306,7 @@
 	unsigned i, starts;
 
 	for (i = 0; i < NELEMS(rows); i++) {
-		w = calm(760 + i, EMPTY);
+		w = world_new_settled(760 + i, EMPTY);
 		world_poll_counts(w, ASK_MS);
 		world_refuse_starts(w, rows[i].why);
 		world_set_lost_starts(w, rows[i].lost_percent);
@@ -354,7 +354,7 @@
 	int64_t t, interval_ms;
 
 	for (i = 0; i < NELEMS(rows); i++) {
-		w = calm(780 + i, rows[i].fill);
+		w = world_new_settled(780 + i, rows[i].fill);
 		slow_owner = (unsigned)world_owner(w);
 		world_poll_counts(w, ASK_MS);
 		world_stall_reads(w, slow_owner, TABLE_JOBS, rows[i].stalled);
@@ -404,7 +404,7 @@
 	unsigned i, vm;
 
 	for (i = 0; i < NELEMS(rows); i++) {
-		w = calm(800 + i, rows[i].fill);
+		w = world_new_settled(800 + i, rows[i].fill);
 		submit_all(w, 0);
 		world_run(w, rows[i].waited_ms);
 		for (vm = 0; vm < VMS; vm++)
--- a/tests/world-calm.h
+++ b/tests/world-calm.h
@@ -9,7 +9,7 @@
 #include <criterion/criterion.h>
 
 /* Returns a world in which a VM owns the scheduling and knows the workers. */
-static struct world *calm(uint64_t seed)
+static struct world *world_new_settled(uint64_t seed)
 {
 	struct world *w = world_new(seed, 4, 6);
 
