--- a/bench/bench-policy.c
+++ b/bench/bench-policy.c
@@ -84,7 +84,7 @@
 static struct usage usage;
 
 /* Counts a job that starts; a hook of the simulated fleet. */
-static void job_began(struct sim *s, unsigned job, struct sim_worker *w)
+static void job_started(struct sim *s, unsigned job, struct sim_worker *w)
 {
 	const struct sim_job *j = &s->jobs[job];
 
@@ -207,7 +207,7 @@
 	*out = xcalloc(s->job_count + 1, sizeof(double));
 	for (i = 0; i < s->job_count; i++) {
 		const struct sim_job *j = &s->jobs[i];
-		int64_t end = j->began_at ? j->began_at : s->now;
+		int64_t end = j->started_at ? j->started_at : s->now;
 
 		if (j->label == kind && j->team < teams)
 			(*out)[n++] = (double)(end - j->submitted_at);
@@ -289,7 +289,7 @@
 	memset(&usage, 0, sizeof(usage));
 	s = sim_new(&plan);
 	s->entries[0]->queue_policy = policy;
-	s->hooks.began = job_began;
+	s->hooks.started = job_started;
 	s->hooks.ended = job_ended;
 	for (from = s->now; s->now - from < ms; sim_run(s, 50)) {
 		for (p = 0; p < s->pool_count; p++) {
--- a/tests/support-fleet.c
+++ b/tests/support-fleet.c
@@ -58,7 +58,7 @@
 struct entry {
 	struct state *st;
 	char name[24];
-	unsigned gen;
+	unsigned generation;
 	bool up, frozen, stopping, platform_cut;
 	int64_t clock_offset;
 	int64_t frozen_at, stop_at;
@@ -69,8 +69,8 @@
 
 struct exchange {
 	struct exchange *next;
-	unsigned slot, gen, worker, boot;
-	bool finished, taken;
+	unsigned slot, generation, worker, boot;
+	bool finished, executed;
 	effect *fx;
 };
 
@@ -80,7 +80,7 @@
 	task_state state;
 	const char *reason;
 	char result[64];
-	int64_t began_at, ends_at;
+	int64_t started_at, ends_at;
 	uint64_t seq;
 	bool fails, used;
 };
@@ -104,7 +104,7 @@
 
 struct fake_job {
 	bool may_repeat, wait, urgent;
-	bool memory_only; /* may_repeat and wait: not in the journal */
+	bool memory_only; /* not in the journal: may_repeat and wait */
 	unsigned team, pool, key, run_ms, timeout_ms;
 	bool fails, cancelled;
 	char id[96];
@@ -113,10 +113,10 @@
 };
 
 struct fake_call {
-	unsigned slot, gen, job;
+	unsigned slot, generation, job;
 	int64_t sent_at;
 	enum { CALL_NONE, CALL_OF_JOB, CALL_OF_LABEL, CALL_OF_OPERATOR } kind;
-	bool submit, taken, answered, check;
+	bool submit, received, answered, check;
 	op_kind op;
 	unsigned a, b;
 };
@@ -127,7 +127,7 @@
 };
 
 struct fleet {
-	int64_t now, fault_ended, fault_began;
+	int64_t now, fault_ended, fault_started;
 	uint64_t random, seq, events;
 	struct queue_item *heap;
 	size_t heap_count, heap_room;
@@ -223,13 +223,13 @@
  * Delivers an event to an entry VM after a delay, unless the VM's process has
  * ended by then.
  */
-static void entry_post(struct fleet *f, unsigned slot, unsigned gen,
+static void entry_post(struct fleet *f, unsigned slot, unsigned generation,
 		       int64_t delay, event *ev)
 {
 	queue_put(f, (struct queue_item){.at = f->now + delay,
 					 .kind = Q_EVENT,
 					 .a = slot,
-					 .b = gen,
+					 .b = generation,
 					 .ev = ev});
 }
 
@@ -242,7 +242,7 @@
 static int64_t unsettled_since(const struct fleet *f)
 {
 	if (f->faults || f->now - f->fault_ended < SETTLE_MS)
-		return f->fault_began - SETTLE_MS;
+		return f->fault_started - SETTLE_MS;
 	return f->now - SETTLE_MS;
 }
 
@@ -273,7 +273,7 @@
 static void fault_begin(struct fleet *f)
 {
 	if (!f->faults++ && f->now - f->fault_ended >= SETTLE_MS)
-		f->fault_began = f->now;
+		f->fault_started = f->now;
 }
 
 static void fault_end(struct fleet *f)
@@ -426,7 +426,7 @@
 /*
  * Checks a write of a pool's row: drains must not take more VMs out of a pool
  * than its budget.  A VM that was out already doesn't count: if one that failed
- * while it drained is heard from again, only its reason changes.
+ * while it drained answers again, only its reason changes.
  */
 static void check_pool(struct fleet *f, bstr key, bstr value,
 		       const struct fake_row *old)
@@ -537,10 +537,10 @@
 		reaches = answered = false;
 		p->outcome = PLATFORM_REFUSED;
 		p->retry_after_ms = 100;
-		entry_post(f, slot, e->gen, request_ms, ev);
+		entry_post(f, slot, e->generation, request_ms, ev);
 	} else if (!answered || request_ms + reply_ms > PLATFORM_TIMEOUT_MS) {
 		answered = false;
-		entry_post(f, slot, e->gen, PLATFORM_TIMEOUT_MS, ev);
+		entry_post(f, slot, e->generation, PLATFORM_TIMEOUT_MS, ev);
 	}
 	if (answered)
 		event_free(ev);
@@ -551,7 +551,7 @@
 	queue_put(f, (struct queue_item){.at = f->now + request_ms,
 					 .kind = Q_PLATFORM,
 					 .a = slot,
-					 .b = e->gen,
+					 .b = e->generation,
 					 .n = answered ? (uint64_t)reply_ms : 0,
 					 .fx = fx});
 }
@@ -669,7 +669,8 @@
 	r->req = x->fx->effect_u.worker.req;
 	r->vm = bstr_new(f->workers[x->worker].name);
 	x->finished = true;
-	entry_post(f, x->slot, x->gen, 1 + (int64_t)fleet_random(f, 3), ev);
+	entry_post(f, x->slot, x->generation, 1 + (int64_t)fleet_random(f, 3),
+		   ev);
 }
 
 /* Ends an exchange without an answer, unless it has finished. */
@@ -792,7 +793,7 @@
 		t->reason = "no-slot";
 		return;
 	}
-	t->began_at = f->now;
+	t->started_at = f->now;
 	t->job = job;
 	t->fails = fails || w->fails;
 	t->ends_at = f->now + (w->fails ? 5 : run_ms);
@@ -863,8 +864,8 @@
 			w->blocked[w->blocked_count++] = x;
 		return;
 	}
-	if (fx->epoch >= w->epoch[pool] && !x->taken) {
-		x->taken = true;
+	if (fx->epoch >= w->epoch[pool] && !x->executed) {
+		x->executed = true;
 		w->epoch[pool] = fx->epoch;
 		worker_lease(f, w, fx);
 		for (i = 0; i < fx->starts.starts_len; i++)
@@ -905,7 +906,7 @@
 	x->next = f->exchanges;
 	f->exchanges = x;
 	x->slot = slot;
-	x->gen = f->entries[slot].gen;
+	x->generation = f->entries[slot].generation;
 	x->worker = (unsigned)i;
 	x->boot = w->boot;
 	x->fx = fx;
@@ -1007,13 +1008,13 @@
 	return -1;
 }
 
-/* Tells an entry VM that a message to a peer was lost. */
+/* Reports to an entry VM that a message to a peer was lost. */
 static void peer_report_lost(struct fleet *f, unsigned slot, bstr to)
 {
 	event *ev = event_new(EV_PEER_LOST);
 
 	ev->body.event_body_u.lost = bstr_copy(to);
-	entry_post(f, slot, f->entries[slot].gen,
+	entry_post(f, slot, f->entries[slot].generation,
 		   PEER_TIMEOUT_MS / 2 +
 			   (int64_t)fleet_random(f, PEER_TIMEOUT_MS / 2),
 		   ev);
@@ -1074,7 +1075,7 @@
 		 sizeof(p->message));
 	/* the deadline, until the event is handled */
 	ev->now = p->deadline - f->entries[slot].clock_offset;
-	entry_post(f, (unsigned)to, f->entries[to].gen, delay, ev);
+	entry_post(f, (unsigned)to, f->entries[to].generation, delay, ev);
 }
 
 static bool answer_contains(const caller_answer *a, const char *text)
@@ -1133,14 +1134,15 @@
 }
 
 /* Checks an answer to a caller and records what it states. */
-static void call_answered(struct fleet *f, unsigned slot, const fx_answer *x)
+static void call_record_answer(struct fleet *f, unsigned slot,
+			       const fx_answer *x)
 {
 	const caller_answer *a = &x->answer;
 	struct fake_call *c = &f->calls[x->call % CALLS_MAX];
 	struct fake_job *j = &f->jobs[c->job];
 
 	if (x->call >= f->call_count || c->answered || c->slot != slot ||
-	    c->gen != f->entries[slot].gen) {
+	    c->generation != f->entries[slot].generation) {
 		VIOLATION(
 			f,
 			"answer: call %llu is answered twice or by another VM",
@@ -1220,14 +1222,14 @@
 	}
 	c = &f->calls[f->call_count];
 	c->slot = (unsigned)slot;
-	c->gen = f->entries[slot].gen;
+	c->generation = f->entries[slot].generation;
 	c->sent_at = f->now;
 	if (ev->body.kind == EV_CALL)
 		ev->body.event_body_u.call.call = f->call_count;
 	else
 		ev->body.event_body_u.operate.call = f->call_count;
 	f->call_count++;
-	entry_post(f, c->slot, c->gen, 1, ev);
+	entry_post(f, c->slot, c->generation, 1, ev);
 	return c;
 }
 
@@ -1327,12 +1329,14 @@
 }
 
 /* Checks and records a reply to an operator. */
-static void op_answered(struct fleet *f, unsigned slot, const fx_op_reply *x)
+static void op_record_reply(struct fleet *f, unsigned slot,
+			    const fx_op_reply *x)
 {
 	struct fake_call *c = &f->calls[x->call % CALLS_MAX];
 
 	if (x->call >= f->call_count || c->answered || c->slot != slot ||
-	    c->gen != f->entries[slot].gen || c->kind != CALL_OF_OPERATOR) {
+	    c->generation != f->entries[slot].generation ||
+	    c->kind != CALL_OF_OPERATOR) {
 		VIOLATION(f, "answer: operator's call %llu is answered twice",
 			  (unsigned long long)x->call);
 		return;
@@ -1413,19 +1417,19 @@
 	struct entry *e = &f->entries[slot];
 	struct settings s;
 
-	e->gen++;
+	e->generation++;
 	e->up = true;
 	e->frozen = e->stopping = false;
 	e->revision = 0;
 	e->stop_at = INT64_MAX;
 	e->clock_offset = (int64_t)fleet_random(f, 1000000);
-	snprintf(e->name, sizeof(e->name), "e%u-%u", slot, e->gen);
+	snprintf(e->name, sizeof(e->name), "e%u-%u", slot, e->generation);
 	entry_settings(&s, e, slot);
 	e->st = state_new(&s, fleet_random(f, UINT64_MAX), e->name);
 	queue_put(f, (struct queue_item){.at = f->now,
 					 .kind = Q_TICK,
 					 .a = slot,
-					 .b = e->gen,
+					 .b = e->generation,
 					 .n = 1});
 }
 
@@ -1454,8 +1458,9 @@
 
 	for (i = 0; i < f->call_count; i++) {
 		c = &f->calls[i];
-		if (c->slot == slot && c->gen == f->entries[slot].gen &&
-		    c->taken && !c->answered)
+		if (c->slot == slot &&
+		    c->generation == f->entries[slot].generation &&
+		    c->received && !c->answered)
 			VIOLATION(f, "stop: %s ends with call %u unanswered",
 				  f->entries[slot].name, i);
 	}
@@ -1473,10 +1478,10 @@
 		fx = &out->list[i];
 		switch (fx->kind) {
 		case FX_ANSWER:
-			call_answered(f, slot, &fx->effect_u.answer);
+			call_record_answer(f, slot, &fx->effect_u.answer);
 			break;
 		case FX_OP_REPLY:
-			op_answered(f, slot, &fx->effect_u.op_reply);
+			op_record_reply(f, slot, &fx->effect_u.op_reply);
 			break;
 		case FX_PEER:
 			peer_send(f, slot, &fx->effect_u.peer);
@@ -1502,7 +1507,7 @@
 							    e->clock_offset,
 						      .kind = Q_TICK,
 						      .a = slot,
-						      .b = e->gen});
+						      .b = e->generation});
 			break;
 		case FX_COMMIT:
 		case FX_READ:
@@ -1542,9 +1547,9 @@
 	if (ev->body.kind == EV_STOP)
 		e->stop_at = f->now;
 	if (ev->body.kind == EV_CALL)
-		f->calls[ev->body.event_body_u.call.call].taken = true;
+		f->calls[ev->body.event_body_u.call.call].received = true;
 	if (ev->body.kind == EV_OPERATE)
-		f->calls[ev->body.event_body_u.operate.call].taken = true;
+		f->calls[ev->body.event_body_u.operate.call].received = true;
 	f->events++;
 	effects_init(&out);
 	reduce(e->st, ev, &out);
@@ -1554,12 +1559,12 @@
 }
 
 /* Delivers an event to an entry VM; a frozen one handles it later. */
-static void entry_receive(struct fleet *f, unsigned slot, unsigned gen,
+static void entry_receive(struct fleet *f, unsigned slot, unsigned generation,
 			  event *ev)
 {
 	struct entry *e = &f->entries[slot];
 
-	if (!e->up || e->gen != gen ||
+	if (!e->up || e->generation != generation ||
 	    (ev->body.kind == EV_PEER && f->now > ev->now)) {
 		event_free(ev);
 		return;
@@ -1592,7 +1597,7 @@
 	e->inbox = NULL;
 	e->inbox_count = 0;
 	for (i = 0; i < n; i++)
-		entry_receive(f, slot, e->gen, inbox[i]);
+		entry_receive(f, slot, e->generation, inbox[i]);
 	free(inbox);
 }
 
@@ -1602,14 +1607,14 @@
 	struct entry *e = &f->entries[q->a];
 	struct queue_item again = *q;
 
-	if (!e->up || e->gen != q->b)
+	if (!e->up || e->generation != q->b)
 		return;
 	again.at = f->now + 100;
 	if (q->n)
 		queue_put(f, again);
 	if (!e->frozen)
 		entry_handle(f, q->a, event_new(EV_TICK));
-	if (e->up && e->gen == q->b && e->stopping &&
+	if (e->up && e->generation == q->b && e->stopping &&
 	    f->now - 12000 > e->stop_at && !e->frozen) {
 		VIOLATION(f, "stop: %s does not end", e->name);
 		e->stopping = false;
@@ -1626,7 +1631,7 @@
 		fault_end(f);
 	switch ((enum fleet_op)q->a) {
 	case FLEET_FREEZE:
-		if (e->up && e->frozen && e->gen == q->n)
+		if (e->up && e->frozen && e->generation == q->n)
 			entry_thaw(f, q->b);
 		break;
 	case FLEET_CUT:
@@ -1746,7 +1751,7 @@
 		return;
 	e->frozen = true;
 	e->frozen_at = f->now;
-	fault_for(f, FLEET_FREEZE, slot, e->gen, ms);
+	fault_for(f, FLEET_FREEZE, slot, e->generation, ms);
 }
 
 static void entry_stop(struct fleet *f, unsigned slot)
@@ -1757,7 +1762,7 @@
 		return;
 	e->stopping = true;
 	e->stop_at = INT64_MAX;
-	entry_post(f, slot, e->gen, 1, event_new(EV_STOP));
+	entry_post(f, slot, e->generation, 1, event_new(EV_STOP));
 }
 
 /* Starts a fault of network, platform or workers, or lets a worker leave. */
@@ -1936,7 +1941,8 @@
 
 	for (i = 0; i < f->call_count; i++) {
 		c = &f->calls[i];
-		if (!c->answered && f->entries[c->slot].gen == c->gen &&
+		if (!c->answered &&
+		    f->entries[c->slot].generation == c->generation &&
 		    f->now - c->sent_at > 40000)
 			VIOLATION(f, "answer: call %u at %s was not answered",
 				  i, f->entries[c->slot].name);
--- a/tests/support-sim.c
+++ b/tests/support-sim.c
@@ -20,7 +20,8 @@
 	int64_t at;
 	uint64_t seq;
 	enum queue_item_kind kind;
-	unsigned entry, gen; /* entry: an entry VM or, for workers, a worker */
+	unsigned entry,
+		generation; /* entry: an entry VM or, for workers, a worker */
 	uint64_t n;
 	event *ev;
 	effect *fx;
@@ -31,13 +32,13 @@
 	unsigned pool, job;
 	task_state state;
 	const char *reason;
-	int64_t began_at;
+	int64_t started_at;
 	int64_t elapsed, left; /* elapsed: run time, with earlier starts */
 	uint64_t seq, end_id;  /* end_id: of the queue item that ends it */
 };
 struct sim_watch {
 	struct sim_watch *next;
-	unsigned entry, gen, pool;
+	unsigned entry, generation, pool;
 	uint64_t req, id, since;
 };
 struct sim_fabric {
@@ -98,13 +99,13 @@
 	return top;
 }
 
-static void entry_post(struct sim *s, unsigned entry, unsigned gen, int64_t ms,
-		       event *ev)
+static void entry_post(struct sim *s, unsigned entry, unsigned generation,
+		       int64_t ms, event *ev)
 {
 	queue_put(s, (struct queue_item){.at = s->now + ms,
 					 .kind = IT_EVENT,
 					 .entry = entry,
-					 .gen = gen,
+					 .generation = generation,
 					 .ev = ev});
 }
 
@@ -206,7 +207,7 @@
 		p->outcome = PLATFORM_UNKNOWN;
 	}
 	p->req = effect_request_id(it->fx);
-	entry_post(s, it->entry, it->gen,
+	entry_post(s, it->entry, it->generation,
 		   p->outcome == PLATFORM_UNKNOWN ? TIMEOUT_MS : LATENCY_MS,
 		   ev);
 	effect_free(it->fx);
@@ -269,7 +270,7 @@
 	for (t = w->tasks; t; t = t->next)
 		if (t->pool == h->pool && t->seq > h->since)
 			report_add(&ev->body.event_body_u.worker, t);
-	entry_post(s, h->entry, h->gen, LATENCY_MS, ev);
+	entry_post(s, h->entry, h->generation, LATENCY_MS, ev);
 	free(h);
 }
 
@@ -289,7 +290,7 @@
 static void task_end(struct sim *s, struct sim_worker *w, struct sim_task *t,
 		     task_state state, const char *reason)
 {
-	int64_t ran = s->now - t->began_at;
+	int64_t ran = s->now - t->started_at;
 
 	t->state = state;
 	t->reason = reason;
@@ -324,14 +325,14 @@
 			t->reason = "no-slot";
 		} else {
 			t->elapsed = strtoll(ck, NULL, 10);
-			t->began_at = s->now;
+			t->started_at = s->now;
 			t->end_id = ++s->fabric->ids;
 			w->running++;
 			j->starts++;
-			if (!j->began_at)
-				j->began_at = s->now;
-			if (s->hooks.began)
-				s->hooks.began(s, t->job, w);
+			if (!j->started_at)
+				j->started_at = s->now;
+			if (s->hooks.started)
+				s->hooks.started(s, t->job, w);
 			queue_put(s,
 				  (struct queue_item){
 					  .at = s->now + j->run_ms - t->elapsed,
@@ -420,7 +421,7 @@
 		if (x->watch) {
 			h = xcalloc(1, sizeof(*h));
 			*h = (struct sim_watch){
-				NULL,	it->entry,	  it->gen, pool,
+				NULL,	it->entry,	  it->generation, pool,
 				x->req, ++s->fabric->ids, x->since};
 			event_free(ev);
 			if (!x->wait_ms || w->seq > x->since) {
@@ -442,7 +443,7 @@
 		}
 		command_execute(s, w, x, pool, ev);
 	}
-	entry_post(s, it->entry, it->gen, ms, ev);
+	entry_post(s, it->entry, it->generation, ms, ev);
 	effect_free(it->fx);
 }
 
@@ -487,7 +488,7 @@
 		next = t->next;
 		if (t->state == TASK_RUNNING) {
 			w->kills++;
-			s->jobs[t->job].total_run_ms += s->now - t->began_at;
+			s->jobs[t->job].total_run_ms += s->now - t->started_at;
 			if (s->hooks.ended)
 				s->hooks.ended(s, t->job, w);
 		}
@@ -497,7 +498,7 @@
 		w->watches = h->next;
 		ev = answer_new(w, h->req);
 		ev->body.event_body_u.worker.outcome = WORKER_NO_ANSWER;
-		entry_post(s, h->entry, h->gen, TIMEOUT_MS, ev);
+		entry_post(s, h->entry, h->generation, TIMEOUT_MS, ev);
 		free(h);
 	}
 	w->up = false;
@@ -550,7 +551,7 @@
 	queue_put(s, (struct queue_item){.at = s->now,
 					 .kind = IT_TICK,
 					 .entry = entry,
-					 .gen = s->generation[entry],
+					 .generation = s->generation[entry],
 					 .n = 1});
 }
 
@@ -587,7 +588,7 @@
 }
 
 /* Records the answer to a caller. */
-static void call_answered(struct sim *s, const fx_answer *x)
+static void call_record_answer(struct sim *s, const fx_answer *x)
 {
 	struct sim_job *j = &s->jobs[s->fabric->calls[x->call]];
 
@@ -605,11 +606,11 @@
 {
 	struct queue_item it = {.at = s->now + LATENCY_MS,
 				.entry = entry,
-				.gen = s->generation[entry]};
+				.generation = s->generation[entry]};
 
 	switch (fx->kind) {
 	case FX_ANSWER:
-		call_answered(s, &fx->effect_u.answer);
+		call_record_answer(s, &fx->effect_u.answer);
 		return;
 	case FX_OP_REPLY:
 		xdr_free(XDR_PROC(xdr_op_reply), (char *)&s->reply);
@@ -669,7 +670,7 @@
 static void queue_item_process(struct sim *s, struct queue_item *it)
 {
 	bool here = it->kind < IT_PLATFORM && s->entries[it->entry] &&
-		    s->generation[it->entry] == it->gen;
+		    s->generation[it->entry] == it->generation;
 
 	switch (it->kind) {
 	case IT_EVENT:
--- a/tests/support-sim.h
+++ b/tests/support-sim.h
@@ -61,8 +61,8 @@
 	unsigned team, pool, label;
 	bool urgent;
 	bool claimed; /* may not be repeated; answered 202 once durable */
-	int64_t run_ms, declared_ms;		  /* actual and as submitted */
-	int64_t submitted_at, began_at, ended_at; /* 0: not yet */
+	int64_t run_ms, declared_ms; /* actual and as submitted */
+	int64_t submitted_at, started_at, ended_at; /* 0: not yet */
 	unsigned starts, http_status;
 	job_state state;
 	int64_t total_run_ms; /* of all starts, including lost work */
@@ -77,7 +77,7 @@
 struct sim_hooks {
 	enum sim_fault (*request)(struct sim *s, const effect *fx);
 	void (*written)(struct sim *s, const table_write *w);
-	void (*began)(struct sim *s, unsigned job, struct sim_worker *w);
+	void (*started)(struct sim *s, unsigned job, struct sim_worker *w);
 	void (*ended)(struct sim *s, unsigned job, struct sim_worker *w);
 };
 
--- a/tests/support-world-state.h
+++ b/tests/support-world-state.h
@@ -133,8 +133,8 @@
 	unsigned worker_generation; /* a late order is lost with this process */
 	struct sched_effect *effect; /* a request; NULL for an answer */
 	struct sched_event *event; /* an answer to the VM; NULL for a request */
-	bool unawaited;	  /* a late write, whose answer already timed out */
-	int64_t deadline; /* of a long poll */
+	bool is_late_write;	   /* its answer has timed out already */
+	int64_t deadline;	   /* of a long poll */
 };
 TAILQ_HEAD(pending_list, pending);
 
@@ -184,8 +184,8 @@
 		char id[JOB_ID_BYTES + 1];
 		struct world_job job;
 		int64_t stored_at; /* 0: no row in the store */
-		bool over;  /* cancelled or final, according to the store */
-		bool begun; /* a worker has started a task of it */
+		bool over;    /* cancelled or final, according to the store */
+		bool started; /* a worker has started a task of it */
 	} jobs[CALLS_MAX];
 	unsigned job_count;
 	struct {
@@ -225,7 +225,6 @@
 void world_report_violation(struct world *w, const char *what,
 			    const char *task);
 
-/* Returns the record of a task, which is made if need be. */
 struct task_record *world_task_record(struct world *w, const char *name);
 
 /* Look up a job by the id that a job's or task's name begins with. */
@@ -259,34 +258,23 @@
 void world_row_write(struct world *w, enum table table, const char *key,
 		     int worker);
 
-/* Answers the feeds that have new rows or have reached their deadline. */
 void world_feeds_wake(struct world *w);
 
 /* Applies a transaction; returns false on a conflict. */
 bool world_tx_apply(struct world *w, const struct tx *t);
 
-/* Handles a request to the store. */
 void world_store_receive(struct world *w, unsigned vm, struct sched_effect *fx);
 
 /* support-world-worker.c */
 
-/* Lets time pass on a worker: runs end, stop or expire with the lease. */
 void world_worker_step(struct world *w, unsigned n);
-
-/*
- * Reports a violation if the progress row of a job lacks the end of a task that
- * its worker forgets.  Jobs without a job row aren't checked.
- */
 void world_end_check(struct world *w, const char *task, const char *what);
 
 /* Answers the holds that have new ends or have reached their deadline. */
 void world_holds_wake(struct world *w);
 
-/* Carries out an order on a worker; returns why it refuses, or REFUSAL_NONE. */
 enum refusal world_order_apply(struct world *w, unsigned vm, unsigned n,
 			       const struct ask *ask);
-
-/* Handles a request to a worker. */
 void world_worker_receive(struct world *w, unsigned vm,
 			  struct sched_effect *fx);
 
@@ -295,10 +283,7 @@
 /* Starts a new process of a worker, which has lost all its runs. */
 void world_worker_restart(struct world *w, unsigned n, int64_t down_ms);
 
-/* Restarts a machine; its worker gets a new id. */
 void world_machine_restart(struct world *w, unsigned n, int64_t down_ms);
-
-/* Handles a request about machines. */
 void world_machine_receive(struct world *w, unsigned vm,
 			   struct sched_effect *fx);
 
--- a/tests/support-world-store.c
+++ b/tests/support-world-store.c
@@ -416,7 +416,7 @@
 			w, &w->pending,
 			w->now + 500 + random_next(&w->random) % 3000, vm);
 		p->effect = fx;
-		p->unawaited = true;
+		p->is_late_write = true;
 		return;
 	}
 	ok = world_tx_apply(w, &fx->ask.tx);
--- a/tests/support-world-worker.c
+++ b/tests/support-world-worker.c
@@ -275,7 +275,7 @@
 	r->fails = j && world_task_record(w, name)->runs++ < j->failures;
 	world_task_record(w, name)->ended_by_order = false;
 	if (j)
-		w->jobs[world_job_number(w, name)].begun = true;
+		w->jobs[world_job_number(w, name)].started = true;
 	w->starts++;
 	k->starts++;
 	start_check(w, name);
--- a/tests/support-world.c
+++ b/tests/support-world.c
@@ -172,7 +172,7 @@
 
 	for (i = 0; i < w->job_count; i++)
 		wait += w->jobs[i].stored_at && !w->jobs[i].over &&
-			!w->jobs[i].begun &&
+			!w->jobs[i].started &&
 			w->now - w->jobs[i].stored_at > WAITING_REPORT_MS;
 	if (r->waiting * WAITING_DIVISOR >= wait)
 		return;
@@ -290,7 +290,7 @@
 	struct world_vm *v = &w->vms[p->vm];
 
 	w->sender_generation = p->generation;
-	if (p->unawaited) {
+	if (p->is_late_write) {
 		world_tx_apply(w, &p->effect->ask.tx);
 		sched_effect_free(p->effect);
 		world_feeds_wake(w);
--- a/tests/test-limit.c
+++ b/tests/test-limit.c
@@ -93,7 +93,8 @@
 			submit(s, pool, pool, 4);
 		sim_run(s, 3000);
 		for (job = first; job < s->job_count; job++)
-			started[s->jobs[job].pool] += s->jobs[job].began_at > 0;
+			started[s->jobs[job].pool] += s->jobs[job].started_at >
+						      0;
 		for (pool = 0; pool < 2; pool++)
 			cr_expect_eq(started[pool], 4, "%u writes, pool %u: %u",
 				     writes, pool, started[pool]);
--- a/tests/test-queue.c
+++ b/tests/test-queue.c
@@ -45,13 +45,13 @@
 {
 	const struct sim_job *j = &s->jobs[job];
 
-	return (j->began_at ? j->began_at : s->now) - j->submitted_at;
+	return (j->started_at ? j->started_at : s->now) - j->submitted_at;
 }
 
 /* Running tasks of each team, counted at the workers. */
 static int running[SIM_TEAMS];
 
-static void task_began(struct sim *s, unsigned job, struct sim_worker *w)
+static void task_started(struct sim *s, unsigned job, struct sim_worker *w)
 {
 	(void)w;
 	running[s->jobs[job].team]++;
@@ -68,7 +68,7 @@
 	struct sim *s = sim_new(&plan);
 
 	memset(running, 0, sizeof(running));
-	s->hooks.began = task_began;
+	s->hooks.started = task_started;
 	s->hooks.ended = task_ended;
 	return s;
 }
