--- a/tests/soak-entry.c
+++ b/tests/soak-entry.c
@@ -68,7 +68,8 @@
 	 "owners killed in a row, planned stops, the store slow and silent"},
 	{33, "owners killed in a row, answers lost, starts refused"},
 	{402, "refused starts were counted as started"},
-	{414, "a VM answered with the last beat's count, seconds after it"},
+	{414,
+	 "a VM answered with the last heartbeat's count, seconds after it"},
 	{417, "a former owner answered with a count from before it owned"},
 	{2001, "stops requested while the process was paused"},
 	{2016, "the same"},
@@ -419,7 +420,7 @@
 	unsigned vm = draw(&c->random, VMS);
 	int64_t before = clock_now() - COUNT_LATE_MS, age;
 	unsigned long waiting;
-	json_t *beat;
+	json_t *heartbeat;
 	char *what;
 	int status = client_count(c, vm, queue, &waiting);
 
@@ -430,18 +431,18 @@
 	expected = queue_waiting(c->soak, queue, before);
 	if (2 * waiting >= expected)
 		return;
-	beat = scheduler_row(c->soak, "beat", &age);
+	heartbeat = scheduler_row(c->soak, "beat", &age);
 	what = xasprintf(
-		"%s counts %lu of %u in %s; the store's beat is %lld ms "
+		"%s counts %lu of %u in %s; the stored heartbeat is %lld ms "
 		"old, of epoch %lld, and counts %lld",
 		c->soak->vms[vm].name, waiting, expected, queues[queue],
-		(long long)age, (long long)json_int(beat, "epoch"),
-		(long long)json_int(json_object_get(beat, "waiting"),
+		(long long)age, (long long)json_int(heartbeat, "epoch"),
+		(long long)json_int(json_object_get(heartbeat, "waiting"),
 				    queue == LIMITED ? "w" : "q"));
 	violation(c->soak, "count of waiting jobs too low:", what);
 	fault_log(c->soak, "wrong:", what);
 	free(what);
-	json_decref(beat);
+	json_decref(heartbeat);
 }
 
 /*
--- a/tests/support-caller.c
+++ b/tests/support-caller.c
@@ -19,7 +19,7 @@
 	s->callers.max_wait_ms = 30000;
 }
 
-/* Returns an answer with a job ID, by which a test tells answers apart. */
+/* Returns an answer with a job ID, which identifies it in a test. */
 static effect *answer_new(uint64_t call, uint32_t http, const char *job,
 			  job_state state)
 {
--- a/tests/support-fleet.h
+++ b/tests/support-fleet.h
@@ -24,8 +24,8 @@
 /*
  * Steps of a test sequence.  The arguments of a step may have any value; they
  * are reduced to the range that the step needs.  The order matters:
- * fleet_apply() tells callers' requests, faults of entry VMs, other faults and
- * operators' requests apart by ranges of this enum.
+ * fleet_apply() distinguishes callers' requests, faults of entry VMs, other
+ * faults and operators' requests by ranges of this enum.
  */
 enum fleet_op {
 	FLEET_END,    /* end of a sequence; does nothing */
--- a/tests/test-edge-peer.c
+++ b/tests/test-edge-peer.c
@@ -230,9 +230,9 @@
 
 /*
  * A peer's connection has failed: it is silent, closed or reset, or carries
- * invalid answers.  The sender must tell the reducer once, by the deadline, and
- * send the next message on a new connection to the same address, where a real
- * peer answers by now.  Nothing is sent again automatically.
+ * invalid answers.  The sender must report the loss to the reducer once, by the
+ * deadline, and send the next message on a new connection to the same address,
+ * where a real peer answers by now.  Nothing is sent again automatically.
  */
 Test(edge_peer, replaces_a_connection_that_fails)
 {
@@ -290,8 +290,8 @@
 
 /*
  * Guards against messages that are sent too late because the VM was suspended.
- * A message whose deadline has passed must not be sent, and the reducer must be
- * told that it was lost.  A message that is sent in time arrives.
+ * A message whose deadline has passed must not be sent, and the reducer must
+ * get the event that it was lost.  A message that is sent in time arrives.
  */
 Test(edge_peer, sends_nothing_after_its_deadline)
 {
--- a/tests/test-failure.c
+++ b/tests/test-failure.c
@@ -880,7 +880,7 @@
 {
 	static char ids[300][96];
 	struct submission s = {.label = "tour", .run_ms = 20000};
-	struct job_runs t, all = {0};
+	struct job_runs runs, all = {0};
 	struct caller_response response;
 	size_t i, false_not_run = 0;
 	struct install in;
@@ -906,10 +906,10 @@
 	caller_response_free(&response);
 	cr_expect(EVENTUALLY(15, jobs_final(&in, ids, 300) == 300));
 	for (i = 0; i < 300; i++) {
-		t = job_runs_of(&in, ids[i]);
-		all.running += t.running;
-		all.starts += t.starts;
-		false_not_run += t.starts &&
+		runs = job_runs_of(&in, ids[i]);
+		all.running += runs.running;
+		all.starts += runs.starts;
+		false_not_run += runs.starts &&
 				 job_state_is(&in, 0, ids[i], "not-run");
 	}
 	fprintf(stderr, "cancel_many: %u of 300 had been started\n",
@@ -930,11 +930,11 @@
 static void *duplicate_run(void *arg)
 {
 	struct submission s = {.key = "twins", .wait = true, .run_ms = 300};
-	struct duplicate *t = arg;
-	struct caller_response response = submit(t->in, t->vm, &s);
+	struct duplicate *d = arg;
+	struct caller_response response = submit(d->in, d->vm, &s);
 
-	snprintf(t->id, sizeof(t->id), "%s", response_text(&response, "job"));
-	snprintf(t->state, sizeof(t->state), "%s",
+	snprintf(d->id, sizeof(d->id), "%s", response_text(&response, "job"));
+	snprintf(d->state, sizeof(d->state), "%s",
 		 response_text(&response, "state"));
 	caller_response_free(&response);
 	return NULL;
--- a/tests/test-reduce.c
+++ b/tests/test-reduce.c
@@ -344,8 +344,8 @@
 /*
  * Guards against running a job twice that must not be repeated.  Its worker
  * restarts and loses the task while the cell's owner stops, so that no VM
- * notices the restart.  The new owner hears from all workers, none of which
- * knows the task, and the home takes that as proof that it never ran.
+ * notices the restart.  The new owner gets answers from all workers, none of
+ * which knows the task, and the home takes that as proof that it never ran.
  */
 Test(reduce, restart_and_takeover)
 {
--- a/tests/test-takeover.c
+++ b/tests/test-takeover.c
@@ -504,7 +504,7 @@
 /*
  * There is no scheduling although the owner is dead. The store drops the feeds'
  * history every half second, so that its rows are read in full again and again.
- * A heartbeat that was known before must not count as a sign of life.
+ * A heartbeat that a VM has read before must not count as a new one.
  */
 Test(takeover, old_beat_is_no_sign_of_life)
 {
