--- a/tests/soak-entry.c
+++ b/tests/soak-entry.c
@@ -107,7 +107,7 @@
 	unsigned counts, counts_refused;
 };
 /* The remaining kills of the owner of the scheduling and its successors. */
-struct succession {
+struct owner_kills {
 	unsigned kills;
 	uint64_t epoch; /* epoch of the last owner killed */
 	unsigned down_ms;
@@ -120,7 +120,7 @@
 	struct relay_net *net;
 	struct vm vms[VMS];
 	struct client clients[CLIENTS];
-	struct succession succession;
+	struct owner_kills owner_kills;
 	const char *store_fault, *start_fault; /* JSON; "" for none */
 	FILE *log_file;			       /* log of the faults */
 	atomic_bool over;
@@ -573,7 +573,7 @@
  */
 static void owner_kill(struct soak *s)
 {
-	struct succession *k = &s->succession;
+	struct owner_kills *k = &s->owner_kills;
 	uint64_t epoch;
 	struct vm *v;
 
@@ -620,7 +620,7 @@
 }
 
 /* Draws and injects one fault. */
-static void fault_make(struct soak *s)
+static void fault_inject(struct soak *s)
 {
 	static const enum relay_mode modes[] = {RELAY_RESET, RELAY_LOSE_ANSWERS,
 						RELAY_STALL};
@@ -658,8 +658,8 @@
 		fault_log(s, "store", stores[i]);
 		break;
 	case 9:
-		s->succession.kills = 2;
-		s->succession.down_ms = 2500 * draw(&s->random, 2);
+		s->owner_kills.kills = 2;
+		s->owner_kills.down_ms = 2500 * draw(&s->random, 2);
 		break;
 	default:
 		fault_worker(s);
@@ -668,7 +668,7 @@
 }
 
 /* Ends the faults that last. */
-static void faults_heal(struct soak *s)
+static void faults_end(struct soak *s)
 {
 	char *body;
 	unsigned i;
@@ -881,7 +881,7 @@
 static bool soak_run(uint64_t seed, unsigned seconds)
 {
 	struct soak *s = xcalloc(1, sizeof(*s));
-	int64_t until, heal_at = 0;
+	int64_t until, end_faults_at = 0;
 	struct client *c;
 	bool ok;
 
@@ -891,20 +891,21 @@
 	nap_ms(LEAD_MS);
 	until = clock_now() + seconds * 1000;
 	while (clock_now() < until) {
-		fault_make(s);
+		fault_inject(s);
 		soak_sleep(s, 100 + draw(&s->random, 500));
-		if (clock_now() > heal_at) {
-			faults_heal(s);
-			heal_at = clock_now() + 1000 + draw(&s->random, 3000);
+		if (clock_now() > end_faults_at) {
+			faults_end(s);
+			end_faults_at = clock_now() + 1000 +
+					draw(&s->random, 3000);
 			/*
 			 * Some faults last longer than the age that a count may
 			 * have.
 			 */
 			if (!draw(&s->random, 4))
-				heal_at += COUNT_LATE_MS;
+				end_faults_at += COUNT_LATE_MS;
 		}
 	}
-	faults_heal(s);
+	faults_end(s);
 	s->limit = 0;
 	config_write(s);
 	atomic_store(&s->over, true);
--- a/tests/support-process.h
+++ b/tests/support-process.h
@@ -79,7 +79,6 @@
 /* Returns the key of the shard's row that a job belongs to. */
 char *unit_of_job(const char *job);
 
-/* Sleeps. */
 void nap_ms(unsigned ms);
 
 /*
@@ -111,10 +110,16 @@
 		}                                \
 	}
 
-/* Returns the pool of a VM as an operator sees it; "" if unknown. */
+/*
+ * Returns the pool of a VM as an operator sees it, "" if unknown.  The caller
+ * frees it.
+ */
 char *vm_pool_get(const struct install *in, size_t vm, const char *name);
 
-/* Returns the answer of the operator's request that explains a job. */
+/*
+ * Returns the answer of the operator's request that explains a job.  The caller
+ * frees it.
+ */
 char *job_explain(const struct install *in, size_t vm, const char *job);
 
 /* The response to a caller's request. */
--- a/tests/support-world-machine.c
+++ b/tests/support-world-machine.c
@@ -8,12 +8,12 @@
 void world_worker_restart(struct world *w, unsigned n, int64_t down_ms)
 {
 	struct world_worker *k = &w->workers[n];
-	unsigned life = k->generation, starts = k->starts;
+	unsigned generation = k->generation, starts = k->starts;
 	bool listed = k->listed, fails = k->fails;
 	bool draining = k->draining;
 
 	memset(k, 0, sizeof(*k));
-	k->generation = life + 1;
+	k->generation = generation + 1;
 	k->starts = starts;
 	k->listed = listed;
 	k->fails = fails;
--- a/tests/support-world-state.h
+++ b/tests/support-world-state.h
@@ -98,11 +98,11 @@
 	unsigned end_count;
 	uint64_t last_end;
 	uint64_t acked_end;
+	/* Ended or stopped runs; older starts of their tasks are refused. */
 	struct {
 		char name[64];
 		uint64_t run;
-	} closed[ENDS_MAX]; /* ended or stopped runs; older starts are refused
-			     */
+	} closed[ENDS_MAX];
 	unsigned closed_count;
 	unsigned starts;
 };
@@ -156,7 +156,7 @@
 	struct world_vm vms[WORLD_VMS];
 	struct world_worker *workers; /* worker_count */
 	struct pending_list pending;
-	struct pending_list waiting; /* long polls: feeds and holds */
+	struct pending_list waiting; /* long polls of store and workers */
 	struct world_row rows[ROWS_MAX];
 	unsigned row_count;
 	uint64_t revision;
@@ -270,8 +270,7 @@
 void world_worker_step(struct world *w, unsigned n);
 void world_end_check(struct world *w, const char *task, const char *what);
 
-/* Answers the holds that have new ends or have reached their deadline. */
-void world_holds_wake(struct world *w);
+void world_polls_wake(struct world *w);
 
 enum refusal world_order_apply(struct world *w, unsigned vm, unsigned n,
 			       const struct ask *ask);
--- a/tests/support-world-store.c
+++ b/tests/support-world-store.c
@@ -232,7 +232,7 @@
 	struct pending *p, *next;
 	struct sched_event *ev;
 	const struct range *r;
-	unsigned i, life = w->sender_generation;
+	unsigned i, generation = w->sender_generation;
 	bool any;
 
 	for (p = TAILQ_FIRST(&w->waiting); p; p = next) {
@@ -256,7 +256,7 @@
 		sched_effect_free(p->effect);
 		free(p);
 	}
-	w->sender_generation = life;
+	w->sender_generation = generation;
 }
 
 /* Updates the record of a job from a row that was written for it. */
--- a/tests/support-world-worker.c
+++ b/tests/support-world-worker.c
@@ -319,8 +319,8 @@
 	world_answer_send(w, vm, ev, w->now + ONE_WAY_MS);
 }
 
-/* Answers the held polls that have new ends or have reached their deadline. */
-void world_holds_wake(struct world *w)
+/* Answers the long polls that have new ends or have reached their deadline. */
+void world_polls_wake(struct world *w)
 {
 	struct pending *p, *next;
 	struct world_worker *k;
--- a/tests/support-world.c
+++ b/tests/support-world.c
@@ -371,7 +371,7 @@
 		pending_deliver(w, p);
 	}
 	world_feeds_wake(w);
-	world_holds_wake(w);
+	world_polls_wake(w);
 	for (i = 0; i < w->vm_count; i++) {
 		struct world_vm *v = &w->vms[i];
 
--- a/tests/test-edge-peer.c
+++ b/tests/test-edge-peer.c
@@ -222,7 +222,7 @@
  * Closes a fake peer's listening socket; an open connection stays open and
  * silent.
  */
-static void fake_leave(struct fake_peer *p)
+static void fake_stop_listening(struct fake_peer *p)
 {
 	pthread_join(p->thread, NULL);
 	close(p->listen_fd);
@@ -275,7 +275,7 @@
 		address = bstr_printf("127.0.0.1:%u", p.port);
 		node_send(&a, ping("b1", address, 1));
 		expect_lost(&a, "b1", fakes[i].name);
-		fake_leave(&p);
+		fake_stop_listening(&p);
 		node_start_at(&b, "b1", p.port, 64);
 		node_send(&a, ping("b1", address, 2));
 		expect_pings(&b, "a1", 2, 2);
@@ -336,7 +336,7 @@
 	node_send(&a, ping("b1", b.address, 1)); /* on a new connection */
 	expect_pings(&b, "a1", 1, 1);
 	cr_expect_null(mailbox_take(a.inbox));
-	fake_leave(&p);
+	fake_stop_listening(&p);
 	node_stop(&a);
 	node_stop(&b);
 	close(p.fd);
@@ -364,7 +364,7 @@
 		node_send(&a, ping("a1", a.address, (uint64_t)i));
 	expect_pings(&a, "a1", 0, 299);
 	expect_lost(&a, "b1", "reads nothing");
-	fake_leave(&p);
+	fake_stop_listening(&p);
 	node_stop(&a);
 	close(p.fd);
 	bstr_free(&address);
@@ -495,7 +495,7 @@
 		effect_free(fx);
 		node_stop(&a);
 	}
-	fake_leave(&p);
+	fake_stop_listening(&p);
 	close(p.fd);
 	bstr_free(&address);
 }
