--- a/tests/support-process.c
+++ b/tests/support-process.c
@@ -252,14 +252,14 @@
 {
 	json_t *j, *one;
 	const char *text;
-	char *state;
+	char *pool;
 
 	operate(in, vm, OP_VM_REQUEST(OP_VM_SHOW, name, ""), &j, NULL);
 	one = json_is_array(j) ? json_array_get(j, 0) : j;
 	text = json_string_value(json_object_get(one, "pool"));
-	state = xstrdup(text ? text : "");
+	pool = xstrdup(text ? text : "");
 	json_decref(j);
-	return state;
+	return pool;
 }
 
 /*
--- a/tests/test-failure.c
+++ b/tests/test-failure.c
@@ -407,12 +407,12 @@
 		       const char *want)
 {
 	size_t i, same = 0;
-	char *state;
+	char *pool;
 
 	for (i = 0; i < in->vm_count; i++) {
-		state = vm_pool_get(in, i, name);
-		same += !strcmp(state, want);
-		free(state);
+		pool = vm_pool_get(in, i, name);
+		same += !strcmp(pool, want);
+		free(pool);
 	}
 	return same == in->vm_count;
 }
--- a/tests/test-sched.c
+++ b/tests/test-sched.c
@@ -1,6 +1,7 @@
 /*
  * Tests of the scheduler in the simulated world: what callers see of jobs while
- * VMs, the store, workers and machines fail.
+ * VMs, the store, workers and machines fail. A test whose comment describes a
+ * failure guards against that failure.
  */
 #include "world-calm.h"
 
@@ -53,8 +54,8 @@
 }
 
 /*
- * Callers of a queue with a backlog wait for machines that another pool could
- * lend, if each of them didn't run a task or two: only empty ones can be moved.
+ * The callers of a queue with a backlog wait longer if each machine that
+ * another pool could lend runs a task or two, as only empty ones can be moved.
  * So long-running tasks of several jobs must share as few workers as their
  * steps allow, and short ones must go beside them, so that the others stay
  * empty.
--- a/tests/test-takeover.c
+++ b/tests/test-takeover.c
@@ -1,6 +1,7 @@
 /*
  * Tests of a takeover of the scheduling by a new owner: it must not use,
  * publish or overwrite what it has not read yet, nor use what is out of date.
+ * A test whose comment describes a failure guards against that failure.
  */
 #include "world-calm.h"
 
@@ -24,8 +25,8 @@
 }
 
 /*
- * Cuts a VM off from the store, and all other VMs from the workers in use; the
- * VM itself keeps only those.
+ * Cuts a VM off from the store and from the unused workers, and all other VMs
+ * from the workers in use.
  */
 static void cut_with_its_workers(struct world *w, unsigned n)
 {
