--- a/tests/test-edge-peer.c
+++ b/tests/test-edge-peer.c
@@ -442,7 +442,7 @@
 	node_stop(&b);
 }
 
-/* A VM was replaced by one with the same name at another address. */
+/* Messages reach a VM that was replaced by one at another address. */
 Test(edge_peer, follows_a_changed_address)
 {
 	struct node a, b, c;
@@ -550,7 +550,7 @@
  * Delivers a batch as another peer and takes its event; it must work beside the
  * faults.
  */
-static bool target_bystander(void *arg)
+static bool target_other_call(void *arg)
 {
 	struct node *n = arg;
 	int64_t deadline = clock_now() + WAIT_MS;
@@ -574,8 +574,8 @@
 static void target_start(struct node *n, struct target *t)
 {
 	node_start(n, "a1");
-	*t = (struct target){edge_peer_port(n->edge), BAMBOO_PEER,	4,
-			     target_envelope,	      target_bystander, n};
+	*t = (struct target){edge_peer_port(n->edge), BAMBOO_PEER,	 4,
+			     target_envelope,	      target_other_call, n};
 }
 
 /* The listener serves the client of libtirpc. */
@@ -607,7 +607,7 @@
 static int served;
 
 /* Dispatch function of libtirpc's server; counts the valid calls. */
-static void stock_dispatch(struct svc_req *req, SVCXPRT *xprt)
+static void tirpc_dispatch(struct svc_req *req, SVCXPRT *xprt)
 {
 	sealed envelope = {0};
 
@@ -619,7 +619,7 @@
 }
 
 /* The thread of libtirpc's server; serves one connection. */
-static void *stock_run(void *arg)
+static void *tirpc_run(void *arg)
 {
 	int i;
 
@@ -648,9 +648,9 @@
 	close(fault_connect(p.port)); /* uses up the fake's one connection */
 	pthread_join(p.thread, NULL);
 	xprt = svc_vc_create(p.listen_fd, 0, 0);
-	cr_assert(svc_reg(xprt, BAMBOO_PEER, BAMBOO_PEER_V1, stock_dispatch,
+	cr_assert(svc_reg(xprt, BAMBOO_PEER, BAMBOO_PEER_V1, tirpc_dispatch,
 			  NULL));
-	pthread_create(&thread, NULL, stock_run, &p.listen_fd);
+	pthread_create(&thread, NULL, tirpc_run, &p.listen_fd);
 	address = bstr_printf("127.0.0.1:%u", p.port);
 	c = rpc_client_open(address, BAMBOO_PEER, BAMBOO_PEER_V1, deadline);
 	cr_assert_not_null(c);
@@ -693,8 +693,8 @@
 }
 
 /*
- * No file descriptor is left for a new connection.  The bystander must still be
- * served, and the new connection once there are descriptors again.
+ * No file descriptor is left for a new connection.  The other client must still
+ * be served, and the new connection once there are descriptors again.
  */
 Test(edge_peer, survives_a_lack_of_descriptors)
 {
