--- a/tests/soak-entry.c
+++ b/tests/soak-entry.c
@@ -68,7 +68,8 @@
 	 "owners killed in a row, planned stops, the store slow and silent"},
 	{33, "owners killed in a row, answers lost, starts refused"},
 	{402, "refused starts were counted as started"},
-	{414, "a VM answered with the last beat's count, seconds after it"},
+	{414,
+	 "a VM answered with the last heartbeat's count, seconds after it"},
 	{417, "a former owner answered with a count from before it owned"},
 	{2001, "stops requested while the process was paused"},
 	{2016, "the same"},
@@ -83,7 +84,7 @@
 	uint16_t port, readiness;
 	uint16_t store; /* port of its relay to the store */
 	char name[8];
-	unsigned lives;
+	unsigned start_count;
 	bool stopping; /* a planned stop was requested */
 	int64_t started_at;
 	int64_t stop_by;
@@ -106,7 +107,7 @@
 	unsigned counts, counts_refused;
 };
 /* The remaining kills of the owner of the scheduling and its successors. */
-struct succession {
+struct owner_kills {
 	unsigned kills;
 	uint64_t epoch; /* epoch of the last owner killed */
 	unsigned down_ms;
@@ -119,7 +120,7 @@
 	struct relay_net *net;
 	struct vm vms[VMS];
 	struct client clients[CLIENTS];
-	struct succession succession;
+	struct owner_kills owner_kills;
 	const char *store_fault, *start_fault; /* JSON; "" for none */
 	FILE *log_file;			       /* log of the faults */
 	atomic_bool over;
@@ -219,7 +220,7 @@
 				  .readiness_port = v->readiness,
 				  .store_port = v->store,
 				  .machines_port = s->cloud.port,
-				  .start_number = v->lives++};
+				  .start_number = v->start_count++};
 
 	inet_ntop(AF_INET, &a.sin_addr, ip, sizeof(ip));
 	v->stopping = false;
@@ -419,7 +420,7 @@
 	unsigned vm = draw(&c->random, VMS);
 	int64_t before = clock_now() - COUNT_LATE_MS, age;
 	unsigned long waiting;
-	json_t *beat;
+	json_t *heartbeat;
 	char *what;
 	int status = client_count(c, vm, queue, &waiting);
 
@@ -430,18 +431,18 @@
 	expected = queue_waiting(c->soak, queue, before);
 	if (2 * waiting >= expected)
 		return;
-	beat = scheduler_row(c->soak, "beat", &age);
+	heartbeat = scheduler_row(c->soak, "beat", &age);
 	what = xasprintf(
-		"%s counts %lu of %u in %s; the store's beat is %lld ms "
+		"%s counts %lu of %u in %s; the stored heartbeat is %lld ms "
 		"old, of epoch %lld, and counts %lld",
 		c->soak->vms[vm].name, waiting, expected, queues[queue],
-		(long long)age, (long long)json_int(beat, "epoch"),
-		(long long)json_int(json_object_get(beat, "waiting"),
+		(long long)age, (long long)json_int(heartbeat, "epoch"),
+		(long long)json_int(json_object_get(heartbeat, "waiting"),
 				    queue == LIMITED ? "w" : "q"));
 	violation(c->soak, "count of waiting jobs too low:", what);
 	fault_log(c->soak, "wrong:", what);
 	free(what);
-	json_decref(beat);
+	json_decref(heartbeat);
 }
 
 /*
@@ -572,7 +573,7 @@
  */
 static void owner_kill(struct soak *s)
 {
-	struct succession *k = &s->succession;
+	struct owner_kills *k = &s->owner_kills;
 	uint64_t epoch;
 	struct vm *v;
 
@@ -619,7 +620,7 @@
 }
 
 /* Draws and injects one fault. */
-static void fault_make(struct soak *s)
+static void fault_inject(struct soak *s)
 {
 	static const enum relay_mode modes[] = {RELAY_RESET, RELAY_LOSE_ANSWERS,
 						RELAY_STALL};
@@ -657,8 +658,8 @@
 		fault_log(s, "store", stores[i]);
 		break;
 	case 9:
-		s->succession.kills = 2;
-		s->succession.down_ms = 2500 * draw(&s->random, 2);
+		s->owner_kills.kills = 2;
+		s->owner_kills.down_ms = 2500 * draw(&s->random, 2);
 		break;
 	default:
 		fault_worker(s);
@@ -667,7 +668,7 @@
 }
 
 /* Ends the faults that last. */
-static void faults_heal(struct soak *s)
+static void faults_end(struct soak *s)
 {
 	char *body;
 	unsigned i;
@@ -880,7 +881,7 @@
 static bool soak_run(uint64_t seed, unsigned seconds)
 {
 	struct soak *s = xcalloc(1, sizeof(*s));
-	int64_t until, heal_at = 0;
+	int64_t until, end_faults_at = 0;
 	struct client *c;
 	bool ok;
 
@@ -890,20 +891,21 @@
 	nap_ms(LEAD_MS);
 	until = clock_now() + seconds * 1000;
 	while (clock_now() < until) {
-		fault_make(s);
+		fault_inject(s);
 		soak_sleep(s, 100 + draw(&s->random, 500));
-		if (clock_now() > heal_at) {
-			faults_heal(s);
-			heal_at = clock_now() + 1000 + draw(&s->random, 3000);
+		if (clock_now() > end_faults_at) {
+			faults_end(s);
+			end_faults_at = clock_now() + 1000 +
+					draw(&s->random, 3000);
 			/*
 			 * Some faults last longer than the age that a count may
 			 * have.
 			 */
 			if (!draw(&s->random, 4))
-				heal_at += COUNT_LATE_MS;
+				end_faults_at += COUNT_LATE_MS;
 		}
 	}
-	faults_heal(s);
+	faults_end(s);
 	s->limit = 0;
 	config_write(s);
 	atomic_store(&s->over, true);
--- a/tests/support-world-state.h
+++ b/tests/support-world-state.h
@@ -84,8 +84,8 @@
 };
 
 struct world_worker {
-	unsigned life; /* number of the current process */
-	int64_t born;  /* start of the process in simulated time */
+	unsigned generation; /* number of the current process */
+	int64_t started_at;  /* start of the process in simulated time */
 	bool listed;
 	bool draining;
 	bool fails; /* all tasks */
@@ -98,11 +98,11 @@
 	unsigned end_count;
 	uint64_t last_end;
 	uint64_t acked_end;
+	/* Ended or stopped runs; older starts of their tasks are refused. */
 	struct {
 		char name[64];
 		uint64_t run;
-	} closed[ENDS_MAX]; /* ended or stopped runs; older starts are refused
-			     */
+	} closed[ENDS_MAX];
 	unsigned closed_count;
 	unsigned starts;
 };
@@ -110,7 +110,7 @@
 /* An entry VM. */
 struct world_vm {
 	struct sched *sched; /* NULL: not running */
-	unsigned life;	     /* number of the current process */
+	unsigned generation; /* number of the current process */
 	bool cut_store;
 	enum world_store_mode store_mode;
 	int64_t store_delay_ms;
@@ -129,12 +129,12 @@
 	int64_t at;
 	uint64_t order;
 	unsigned vm;
-	unsigned life; /* of the VM; UINT32_MAX: a late order to a worker */
-	unsigned worker_life; /* a late order is lost with this process */
+	unsigned generation;	    /* UINT32_MAX: a late order to a worker */
+	unsigned worker_generation; /* a late order is lost with this process */
 	struct sched_effect *effect; /* a request; NULL for an answer */
 	struct sched_event *event; /* an answer to the VM; NULL for a request */
-	bool unawaited;	  /* a late write, whose answer already timed out */
-	int64_t deadline; /* of a long poll */
+	bool is_late_write;	   /* its answer has timed out already */
+	int64_t deadline;	   /* of a long poll */
 };
 TAILQ_HEAD(pending_list, pending);
 
@@ -156,7 +156,7 @@
 	struct world_vm vms[WORLD_VMS];
 	struct world_worker *workers; /* worker_count */
 	struct pending_list pending;
-	struct pending_list waiting; /* long polls: feeds and holds */
+	struct pending_list waiting; /* long polls of store and workers */
 	struct world_row rows[ROWS_MAX];
 	unsigned row_count;
 	uint64_t revision;
@@ -184,8 +184,8 @@
 		char id[JOB_ID_BYTES + 1];
 		struct world_job job;
 		int64_t stored_at; /* 0: no row in the store */
-		bool over;  /* cancelled or final, according to the store */
-		bool begun; /* a worker has started a task of it */
+		bool over;    /* cancelled or final, according to the store */
+		bool started; /* a worker has started a task of it */
 	} jobs[CALLS_MAX];
 	unsigned job_count;
 	struct {
@@ -204,7 +204,7 @@
 	struct task_record task_records[NAMES_MAX];
 	unsigned task_record_count;
 	unsigned starts;
-	unsigned sender_life; /* process of the VM whose message is handled */
+	unsigned sender_generation; /* of the VM whose message is handled */
 	unsigned wave_machines;
 	unsigned wave_maximum;
 	unsigned machine_restarts[WORLD_WORKERS_MAX];
@@ -225,7 +225,6 @@
 void world_report_violation(struct world *w, const char *what,
 			    const char *task);
 
-/* Returns the record of a task, which is made if need be. */
 struct task_record *world_task_record(struct world *w, const char *name);
 
 /* Look up a job by the id that a job's or task's name begins with. */
@@ -259,34 +258,22 @@
 void world_row_write(struct world *w, enum table table, const char *key,
 		     int worker);
 
-/* Answers the feeds that have new rows or have reached their deadline. */
 void world_feeds_wake(struct world *w);
 
 /* Applies a transaction; returns false on a conflict. */
 bool world_tx_apply(struct world *w, const struct tx *t);
 
-/* Handles a request to the store. */
 void world_store_receive(struct world *w, unsigned vm, struct sched_effect *fx);
 
 /* support-world-worker.c */
 
-/* Lets time pass on a worker: runs end, stop or expire with the lease. */
 void world_worker_step(struct world *w, unsigned n);
-
-/*
- * Reports a violation if the progress row of a job lacks the end of a task that
- * its worker forgets.  Jobs without a job row aren't checked.
- */
 void world_end_check(struct world *w, const char *task, const char *what);
 
-/* Answers the holds that have new ends or have reached their deadline. */
-void world_holds_wake(struct world *w);
+void world_polls_wake(struct world *w);
 
-/* Carries out an order on a worker; returns why it refuses, or REFUSAL_NONE. */
 enum refusal world_order_apply(struct world *w, unsigned vm, unsigned n,
 			       const struct ask *ask);
-
-/* Handles a request to a worker. */
 void world_worker_receive(struct world *w, unsigned vm,
 			  struct sched_effect *fx);
 
@@ -295,10 +282,7 @@
 /* Starts a new process of a worker, which has lost all its runs. */
 void world_worker_restart(struct world *w, unsigned n, int64_t down_ms);
 
-/* Restarts a machine; its worker gets a new id. */
 void world_machine_restart(struct world *w, unsigned n, int64_t down_ms);
-
-/* Handles a request about machines. */
 void world_machine_receive(struct world *w, unsigned vm,
 			   struct sched_effect *fx);
 
--- a/tests/support-world-store.c
+++ b/tests/support-world-store.c
@@ -232,14 +232,14 @@
 	struct pending *p, *next;
 	struct sched_event *ev;
 	const struct range *r;
-	unsigned i, life = w->sender_life;
+	unsigned i, generation = w->sender_generation;
 	bool any;
 
 	for (p = TAILQ_FIRST(&w->waiting); p; p = next) {
 		next = TAILQ_NEXT(p, entry);
 		if (p->effect->ask.kind != ASK_FEED)
 			continue;
-		w->sender_life = p->life;
+		w->sender_generation = p->generation;
 		r = &p->effect->ask.range;
 		for (any = false, i = 0; i < w->row_count; i++)
 			any = any || (w->rows[i].table == r->table &&
@@ -256,7 +256,7 @@
 		sched_effect_free(p->effect);
 		free(p);
 	}
-	w->sender_life = life;
+	w->sender_generation = generation;
 }
 
 /* Updates the record of a job from a row that was written for it. */
@@ -416,7 +416,7 @@
 			w, &w->pending,
 			w->now + 500 + random_next(&w->random) % 3000, vm);
 		p->effect = fx;
-		p->unawaited = true;
+		p->is_late_write = true;
 		return;
 	}
 	ok = world_tx_apply(w, &fx->ask.tx);
--- a/tests/test-edge-peer.c
+++ b/tests/test-edge-peer.c
@@ -222,7 +222,7 @@
  * Closes a fake peer's listening socket; an open connection stays open and
  * silent.
  */
-static void fake_leave(struct fake_peer *p)
+static void fake_stop_listening(struct fake_peer *p)
 {
 	pthread_join(p->thread, NULL);
 	close(p->listen_fd);
@@ -230,9 +230,9 @@
 
 /*
  * A peer's connection has failed: it is silent, closed or reset, or carries
- * invalid answers.  The sender must tell the reducer once, by the deadline, and
- * send the next message on a new connection to the same address, where a real
- * peer answers by now.  Nothing is sent again automatically.
+ * invalid answers.  The sender must report the loss to the reducer once, by the
+ * deadline, and send the next message on a new connection to the same address,
+ * where a real peer answers by now.  Nothing is sent again automatically.
  */
 Test(edge_peer, replaces_a_connection_that_fails)
 {
@@ -275,7 +275,7 @@
 		address = bstr_printf("127.0.0.1:%u", p.port);
 		node_send(&a, ping("b1", address, 1));
 		expect_lost(&a, "b1", fakes[i].name);
-		fake_leave(&p);
+		fake_stop_listening(&p);
 		node_start_at(&b, "b1", p.port, 64);
 		node_send(&a, ping("b1", address, 2));
 		expect_pings(&b, "a1", 2, 2);
@@ -290,8 +290,8 @@
 
 /*
  * Guards against messages that are sent too late because the VM was suspended.
- * A message whose deadline has passed must not be sent, and the reducer must be
- * told that it was lost.  A message that is sent in time arrives.
+ * A message whose deadline has passed must not be sent, and the reducer must
+ * get the event that it was lost.  A message that is sent in time arrives.
  */
 Test(edge_peer, sends_nothing_after_its_deadline)
 {
@@ -336,7 +336,7 @@
 	node_send(&a, ping("b1", b.address, 1)); /* on a new connection */
 	expect_pings(&b, "a1", 1, 1);
 	cr_expect_null(mailbox_take(a.inbox));
-	fake_leave(&p);
+	fake_stop_listening(&p);
 	node_stop(&a);
 	node_stop(&b);
 	close(p.fd);
@@ -364,7 +364,7 @@
 		node_send(&a, ping("a1", a.address, (uint64_t)i));
 	expect_pings(&a, "a1", 0, 299);
 	expect_lost(&a, "b1", "reads nothing");
-	fake_leave(&p);
+	fake_stop_listening(&p);
 	node_stop(&a);
 	close(p.fd);
 	bstr_free(&address);
@@ -442,7 +442,7 @@
 	node_stop(&b);
 }
 
-/* A VM was replaced by one with the same name at another address. */
+/* Messages reach a VM that was replaced by one at another address. */
 Test(edge_peer, follows_a_changed_address)
 {
 	struct node a, b, c;
@@ -495,7 +495,7 @@
 		effect_free(fx);
 		node_stop(&a);
 	}
-	fake_leave(&p);
+	fake_stop_listening(&p);
 	close(p.fd);
 	bstr_free(&address);
 }
@@ -550,7 +550,7 @@
  * Delivers a batch as another peer and takes its event; it must work beside the
  * faults.
  */
-static bool target_bystander(void *arg)
+static bool target_other_call(void *arg)
 {
 	struct node *n = arg;
 	int64_t deadline = clock_now() + WAIT_MS;
@@ -574,8 +574,8 @@
 static void target_start(struct node *n, struct target *t)
 {
 	node_start(n, "a1");
-	*t = (struct target){edge_peer_port(n->edge), BAMBOO_PEER,	4,
-			     target_envelope,	      target_bystander, n};
+	*t = (struct target){edge_peer_port(n->edge), BAMBOO_PEER,	 4,
+			     target_envelope,	      target_other_call, n};
 }
 
 /* The listener serves the client of libtirpc. */
@@ -607,7 +607,7 @@
 static int served;
 
 /* Dispatch function of libtirpc's server; counts the valid calls. */
-static void stock_dispatch(struct svc_req *req, SVCXPRT *xprt)
+static void tirpc_dispatch(struct svc_req *req, SVCXPRT *xprt)
 {
 	sealed envelope = {0};
 
@@ -619,7 +619,7 @@
 }
 
 /* The thread of libtirpc's server; serves one connection. */
-static void *stock_run(void *arg)
+static void *tirpc_run(void *arg)
 {
 	int i;
 
@@ -648,9 +648,9 @@
 	close(fault_connect(p.port)); /* uses up the fake's one connection */
 	pthread_join(p.thread, NULL);
 	xprt = svc_vc_create(p.listen_fd, 0, 0);
-	cr_assert(svc_reg(xprt, BAMBOO_PEER, BAMBOO_PEER_V1, stock_dispatch,
+	cr_assert(svc_reg(xprt, BAMBOO_PEER, BAMBOO_PEER_V1, tirpc_dispatch,
 			  NULL));
-	pthread_create(&thread, NULL, stock_run, &p.listen_fd);
+	pthread_create(&thread, NULL, tirpc_run, &p.listen_fd);
 	address = bstr_printf("127.0.0.1:%u", p.port);
 	c = rpc_client_open(address, BAMBOO_PEER, BAMBOO_PEER_V1, deadline);
 	cr_assert_not_null(c);
@@ -693,8 +693,8 @@
 }
 
 /*
- * No file descriptor is left for a new connection.  The bystander must still be
- * served, and the new connection once there are descriptors again.
+ * No file descriptor is left for a new connection.  The other client must still
+ * be served, and the new connection once there are descriptors again.
  */
 Test(edge_peer, survives_a_lack_of_descriptors)
 {
